--- a/coordination/member/benches/scale.rs
+++ b/coordination/member/benches/scale.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use sill_base::{Machine, Millis, Name};
-use sill_member::{Action, Event, MemberCfg, Members, START};
+use sill_member::{Action, CLOCK_START, Event, MemberCfg, Members};
 use sill_wire::member::{EntryInfo, MemberReply, MemberSync};
 use sill_wire::{Announcement, Incarnation, Load, Served};
 
@@ -71,7 +71,7 @@
 impl World {
     fn new(size: Size) -> Self {
         let mut world = Self {
-            now: START,
+            now: CLOCK_START,
             nodes: Vec::new(),
             endpoints: Vec::new(),
             addresses: BTreeMap::new(),
@@ -85,7 +85,7 @@
             cfg.own.incarnation = Incarnation(1_764_000_000_000 + n as u64);
             let mut core = Members::new(cfg);
             let wanted = (0..MODELS).map(model).collect();
-            core.step(world.now, Event::Wanted(wanted), &mut Vec::new());
+            core.step(world.now, Event::Services(wanted), &mut Vec::new());
             world.nodes.push(Node { core, domain, used: Use::default() });
             world.addresses.insert(address(n), n);
             world.after(Millis(n as u64 * 7 % 200), Delivery::Tick(n));
@@ -131,13 +131,13 @@
                 let (text, home) = (serde_json::to_string(announcement).expect("JSON"), *home);
                 self.nodes[home].used.bytes_in += text.len() as u64 + ANNOUNCE_OVERHEAD;
                 let read =
-                    move |_: &()| Event::Announced(serde_json::from_str(&text).expect("JSON"));
+                    move |_: &()| Event::Announcement(serde_json::from_str(&text).expect("JSON"));
                 self.step(home, read, None);
             }
             Delivery::Call { from, to, id, text } => {
                 self.nodes[to].used.bytes_in += text.len() as u64 + CALL_OVERHEAD;
                 let read = move |_: &()| {
-                    Event::Asked(serde_json::from_str::<MemberSync>(&text).expect("JSON"))
+                    Event::PeerRequest(serde_json::from_str::<MemberSync>(&text).expect("JSON"))
                 };
                 self.step(to, read, Some((from, id)));
             }
@@ -145,7 +145,7 @@
                 self.nodes[to].used.bytes_in += text.len() as u64 + REPLY_OVERHEAD;
                 let read = move |_: &()| {
                     let reply: MemberReply = serde_json::from_str(&text).expect("JSON");
-                    Event::Answered { id, reply: Box::new(reply) }
+                    Event::PeerReply { id, reply: Box::new(reply) }
                 };
                 self.step(to, read, None);
             }
@@ -163,7 +163,7 @@
         let mut sent = Vec::new();
         for action in out {
             match action {
-                Action::Ask { id, peer, sync } => {
+                Action::SendRequest { id, peer, sync } => {
                     let text = serde_json::to_string(&sync).expect("JSON");
                     self.nodes[node].used.bytes_out += text.len() as u64 + CALL_OVERHEAD;
                     self.nodes[node].used.messages += 1;
@@ -178,7 +178,7 @@
                         sent.push(Delivery::Reply { to, id, text });
                     }
                 }
-                Action::Accept(reply) => {
+                Action::AnnounceReply(reply) => {
                     let text = serde_json::to_string(&reply).expect("JSON");
                     self.nodes[node].used.bytes_out += text.len() as u64 + ACCEPT_OVERHEAD;
                 }
--- a/coordination/member/src/endpoints.rs
+++ b/coordination/member/src/endpoints.rs
@@ -208,7 +208,7 @@
             "endpoint {name} is offered in a life that is leaving"
         );
         let announcement = Announcement { leaving: None, ..record.announcement.clone() };
-        out.push(Action::Use { announcement, age: now - record.sent_at });
+        out.push(Action::UpdateEndpoint { announcement, age: now - record.sent_at });
     }
 
     /// Tells the router what changed by the passing of time, and forgets what is too old.
@@ -331,7 +331,7 @@
         } else if self.told != Told::Leaving(life) {
             self.told = Told::Leaving(life);
             let announcement = Announcement { leaving: Some(left), ..self.announcement.clone() };
-            out.push(Action::Use { announcement, age: Millis::ZERO });
+            out.push(Action::UpdateEndpoint { announcement, age: Millis::ZERO });
             let endpoint = self.announcement.name.clone();
             out.push(Action::Report(Report::EndpointLeaving { endpoint, incarnation: life }));
         }
@@ -351,7 +351,7 @@
 
     fn drop_from_router(&self, out: &mut Vec<Action>) {
         let endpoint = self.announcement.name.clone();
-        out.push(Action::Drop { endpoint, incarnation: self.announcement.incarnation });
+        out.push(Action::RemoveEndpoint { endpoint, incarnation: self.announcement.incarnation });
     }
 }
 
--- a/coordination/member/src/event.rs
+++ b/coordination/member/src/event.rs
@@ -12,26 +12,32 @@
     /// Time passed; expected a few times a second.
     Tick,
     /// An endpoint announced itself here.
-    Announced(Announcement),
+    #[serde(rename = "Announced")]
+    Announcement(Announcement),
     /// A peer asks; answered by [`Action::Reply`] in the same step.
-    Asked(MemberSync),
+    #[serde(rename = "Asked")]
+    PeerRequest(MemberSync),
     /// A peer answered.
-    Answered {
+    #[serde(rename = "Answered")]
+    PeerReply {
         /// The question's number.
         id: u64,
         /// Its answer.
         reply: Box<MemberReply>,
     },
     /// A peer did not answer.
-    Failed {
+    #[serde(rename = "Failed")]
+    RequestFailed {
         /// The question's number.
         id: u64,
     },
     /// The models and services of the settings, for which other domains are asked when the own one
     /// has no free endpoint.
-    Wanted(Vec<Name>),
+    #[serde(rename = "Wanted")]
+    Services(Vec<Name>),
     /// This instance is going to stop.
-    Leaving {
+    #[serde(rename = "Leaving")]
+    ShutdownStarted {
         /// Time left.
         left: Millis,
     },
@@ -40,8 +46,9 @@
 /// What the core's caller has to do, in this order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Ask a peer, and report [`Event::Answered`] or [`Event::Failed`].
-    Ask {
+    /// Ask a peer, and report [`Event::PeerReply`] or [`Event::RequestFailed`].
+    #[serde(rename = "Ask")]
+    SendRequest {
         /// The question's number.
         id: u64,
         /// The peer's address.
@@ -52,23 +59,27 @@
     /// Answer the peer that asked.
     Reply(Box<MemberReply>),
     /// Answer the endpoint that announced itself.
-    Accept(AnnounceReply),
+    #[serde(rename = "Accept")]
+    AnnounceReply(AnnounceReply),
     /// Tell the router about an endpoint, ready or leaving.
-    Use {
+    #[serde(rename = "Use")]
+    UpdateEndpoint {
         /// The announcement.
         announcement: Announcement,
         /// How old it is.
         age: Millis,
     },
     /// Tell the router that an endpoint must not be used.
-    Drop {
+    #[serde(rename = "Drop")]
+    RemoveEndpoint {
         /// The endpoint.
         endpoint: Name,
         /// Its life.
         incarnation: Incarnation,
     },
     /// The router may choose until then; a process that was frozen finds this in the past.
-    Trust {
+    #[serde(rename = "Trust")]
+    AllowRouting {
         /// The end, on this instance's clock.
         until: Millis,
     },
--- a/coordination/member/src/foreign.rs
+++ b/coordination/member/src/foreign.rs
@@ -135,7 +135,7 @@
         for name in ended {
             let Some(offer) = self.offers.remove(&name) else { continue };
             let incarnation = offer.announcement.incarnation;
-            out.push(Action::Drop { endpoint: name, incarnation });
+            out.push(Action::RemoveEndpoint { endpoint: name, incarnation });
         }
     }
 
@@ -214,7 +214,7 @@
         if known.is_some_and(|k| k.announcement.incarnation > announcement.incarnation) {
             return;
         }
-        out.push(Action::Use { announcement: announcement.clone(), age });
+        out.push(Action::UpdateEndpoint { announcement: announcement.clone(), age });
         let name = announcement.name.clone();
         self.offers.insert(name, Offer { announcement, until });
     }
--- a/coordination/member/src/lib.rs
+++ b/coordination/member/src/lib.rs
@@ -10,4 +10,4 @@
 
 pub use cfg::{MemberCfg, Weakening};
 pub use event::{Action, Event, Report};
-pub use members::{Members, START};
+pub use members::{CLOCK_START, Members};
--- a/coordination/member/src/members.rs
+++ b/coordination/member/src/members.rs
@@ -39,11 +39,11 @@
 ///
 /// Times of facts are kept as points before now. With a clock that starts at zero they would be cut
 /// off at the start, and a fact that is old at the time of a restart would look new.
-pub const START: Millis = Millis(86_400_000);
+pub const CLOCK_START: Millis = Millis(86_400_000);
 
 /// Who lives, who is leaving and who was replaced, as one entry instance knows it.
 ///
-/// Its clock must not show less than [`START`].
+/// Its clock must not show less than [`CLOCK_START`].
 #[derive(Debug)]
 pub struct Members {
     cfg: MemberCfg,
@@ -142,7 +142,7 @@
 
     /// Returns the peer addresses of the domain's live entry instances in the order of a key, and
     /// the place of this one among them; that is their number where this one is leaving.
-    pub fn ranked(&self, now: Millis, key: &str) -> (Vec<Name>, usize) {
+    pub fn ranking(&self, now: Millis, key: &str) -> (Vec<Name>, usize) {
         let ranked = ranked(key, self.domain(now));
         let place = ranked.iter().position(|info| info.name == self.own.name);
         let addresses: Vec<Name> = ranked.iter().map(|info| info.peer_address.clone()).collect();
@@ -210,12 +210,12 @@
         self.check_frozen(now, out);
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Announced(announcement) => self.announced(now, announcement, out),
-            Event::Asked(sync) => self.asked(now, sync, out),
-            Event::Answered { id, reply } => self.answered(now, id, *reply, out),
-            Event::Failed { id } => self.failed(now, id, out),
-            Event::Wanted(wanted) => self.wanted = wanted,
-            Event::Leaving { left } => {
+            Event::Announcement(announcement) => self.announced(now, announcement, out),
+            Event::PeerRequest(sync) => self.asked(now, sync, out),
+            Event::PeerReply { id, reply } => self.answered(now, id, *reply, out),
+            Event::RequestFailed { id } => self.failed(now, id, out),
+            Event::Services(wanted) => self.wanted = wanted,
+            Event::ShutdownStarted { left } => {
                 self.own.leaving = Some(left);
                 self.own.sequence += 1;
                 self.next_ask = now;
--- a/coordination/member/src/members/asking.rs
+++ b/coordination/member/src/members/asking.rs
@@ -31,7 +31,7 @@
         }
         let Self { endpoints, confirmation, cfg, .. } = self;
         endpoints.settle_all(now, confirmation, cfg, out);
-        out.push(Action::Trust { until: now + self.cfg.trust_for });
+        out.push(Action::AllowRouting { until: now + self.cfg.trust_for });
     }
 
     /// Notices that this process did not run, as after a SIGSTOP or a move of its machine.
@@ -181,6 +181,6 @@
         let wanted = !sync.wants.is_empty();
         let question = Question { peer: peer.clone(), asked: now, kind, salt, wanted };
         self.questions.insert(id, question);
-        out.push(Action::Ask { id, peer, sync });
+        out.push(Action::SendRequest { id, peer, sync });
     }
 }
--- a/coordination/member/src/members/hearing.rs
+++ b/coordination/member/src/members/hearing.rs
@@ -77,7 +77,11 @@
         let others = ranked(&self.own.name, self.domain(now));
         let named = others.into_iter().take(NAMED_ENTRIES).map(|info| info.address.clone());
         let accepted = reason.is_none();
-        out.push(Action::Accept(AnnounceReply { accepted, reason, entries: named.collect() }));
+        out.push(Action::AnnounceReply(AnnounceReply {
+            accepted,
+            reason,
+            entries: named.collect(),
+        }));
     }
 
     pub(super) fn answered(
--- a/coordination/member/tests/cases.rs
+++ b/coordination/member/tests/cases.rs
@@ -3,7 +3,7 @@
 mod sim;
 
 use sill_base::{Machine, Millis, Name};
-use sill_member::{Action, Event, MemberCfg, Members, Report, START, Weakening};
+use sill_member::{Action, CLOCK_START, Event, MemberCfg, Members, Report, Weakening};
 use sill_wire::member::{EntryInfo, MemberReply, Relayed};
 use sill_wire::{Announcement, Incarnation};
 use sim::{Faults, Sim, announcement};
@@ -34,7 +34,7 @@
 
 fn step(core: &mut Members, now: u64, event: Event) -> Vec<Action> {
     let mut out = Vec::new();
-    core.step(START + Millis(now), event, &mut out);
+    core.step(CLOCK_START + Millis(now), event, &mut out);
     out
 }
 
@@ -48,7 +48,7 @@
 }
 
 fn is_used(actions: &[Action]) -> bool {
-    let ready = |a: &Action| matches!(a, Action::Use { announcement, .. } if announcement.leaving.is_none());
+    let ready = |a: &Action| matches!(a, Action::UpdateEndpoint { announcement, .. } if announcement.leaving.is_none());
     actions.iter().any(ready)
 }
 
@@ -112,8 +112,8 @@
     for case in table {
         let mut core = core(Weakening::None);
         tick_until(&mut core, 0, SETTLED);
-        step(&mut core, SETTLED + 1, Event::Announced(case.first));
-        let actions = step(&mut core, SETTLED + 2, Event::Announced(case.then));
+        step(&mut core, SETTLED + 1, Event::Announcement(case.first));
+        let actions = step(&mut core, SETTLED + 2, Event::Announcement(case.then));
         assert_eq!(is_used(&actions), case.is_used, "{}", case.what);
         let is_claim = |a: &Action| matches!(a, Action::Report(Report::NameClaimedTwice { .. }));
         assert_eq!(actions.iter().any(is_claim), case.is_reported, "{}", case.what);
@@ -166,7 +166,7 @@
         let mut core = core(case.weakening);
         let asked = tick_until(&mut core, 0, 0);
         let id = asked.iter().find_map(|a| match a {
-            Action::Ask { id, .. } => Some(*id),
+            Action::SendRequest { id, .. } => Some(*id),
             _ => None,
         });
         let age = Millis(case.age);
@@ -181,7 +181,7 @@
             summaries: Vec::new(),
         };
         let answered =
-            Event::Answered { id: id.expect("a question to the seed"), reply: Box::new(reply) };
+            Event::PeerReply { id: id.expect("a question to the seed"), reply: Box::new(reply) };
         let actions = step(&mut core, case.under_way, answered);
         assert_eq!(is_used(&actions), case.is_used, "{}", case.what);
     }
--- a/coordination/member/tests/sim/mod.rs
+++ b/coordination/member/tests/sim/mod.rs
@@ -7,7 +7,7 @@
 use rand::Rng as _;
 use sill_base::random::{Rng, seeded};
 use sill_base::{Machine, Map, Millis, Name};
-use sill_member::{Action, Event, MemberCfg, Members, START, Weakening};
+use sill_member::{Action, CLOCK_START, Event, MemberCfg, Members, Weakening};
 use sill_wire::member::{EntryInfo, MemberReply, MemberSync};
 use sill_wire::{Announcement, Incarnation, Load, Served};
 
@@ -98,7 +98,7 @@
         faults: Faults,
     ) -> Self {
         let mut sim = Self {
-            now: START + START,
+            now: CLOCK_START + CLOCK_START,
             nodes: Vec::new(),
             endpoints: Vec::new(),
             rng: seeded(seed),
@@ -256,18 +256,18 @@
             }
             Delivery::Call { from, life, to, id, sync } => {
                 let back = (from, life, id);
-                self.step_with(to, None, Event::Asked(sync), Some(back))?;
+                self.step_with(to, None, Event::PeerRequest(sync), Some(back))?;
             }
             Delivery::Reply { node, life, id, reply } => {
-                self.step(node, Some(life), Event::Answered { id, reply })?;
+                self.step(node, Some(life), Event::PeerReply { id, reply })?;
             }
             Delivery::Timeout { node, life, id } => {
-                self.step(node, Some(life), Event::Failed { id })?;
+                self.step(node, Some(life), Event::RequestFailed { id })?;
             }
             Delivery::Announce { node, announcement } => {
                 let key = (announcement.name.clone(), announcement.incarnation);
                 let leaves = announcement.leaving.is_some();
-                let accepted = self.step(node, None, Event::Announced(announcement))?;
+                let accepted = self.step(node, None, Event::Announcement(announcement))?;
                 if accepted && leaves && self.nodes[node].accepted {
                     self.left.entry(key).or_insert(self.now);
                 } else if leaves {
@@ -423,7 +423,7 @@
         n.core = Some(Members::new(cfg));
         n.router.clear();
         n.highest.clear();
-        let _ = self.step(node, Some(life), Event::Wanted(vec!["desk-7b".into()]));
+        let _ = self.step(node, Some(life), Event::Services(vec!["desk-7b".into()]));
         self.after(Millis(1), Delivery::Tick { node, life });
     }
 
@@ -466,7 +466,7 @@
         back: Option<(usize, Incarnation, u64)>,
     ) -> Result<(), String> {
         match action {
-            Action::Ask { id, peer, sync } => {
+            Action::SendRequest { id, peer, sync } => {
                 let to = self.nodes.iter().position(|n| n.info.peer_address == peer);
                 self.after(CALL_TIMEOUT, Delivery::Timeout { node, life, id });
                 if let Some(to) = to {
@@ -478,7 +478,7 @@
                     self.send(node, to, Delivery::Reply { node: to, life, id, reply });
                 }
             }
-            Action::Use { announcement, .. } => {
+            Action::UpdateEndpoint { announcement, .. } => {
                 let n = &mut self.nodes[node];
                 let highest = n.highest.entry(announcement.name.clone()).or_default();
                 if announcement.incarnation < *highest {
@@ -487,11 +487,11 @@
                 *highest = announcement.incarnation;
                 n.router.insert(announcement.name.clone(), announcement);
             }
-            Action::Drop { endpoint, .. } => {
+            Action::RemoveEndpoint { endpoint, .. } => {
                 self.nodes[node].router.remove(&endpoint);
             }
-            Action::Trust { until } => self.nodes[node].trust = until,
-            Action::Accept(reply) => self.nodes[node].accepted = reply.accepted,
+            Action::AllowRouting { until } => self.nodes[node].trust = until,
+            Action::AnnounceReply(reply) => self.nodes[node].accepted = reply.accepted,
             Action::Report(_) => {}
         }
         Ok(())
@@ -596,7 +596,7 @@
 impl Node {
     /// Returns what this instance's clock shows; clocks differ, and run fast or slow.
     pub fn local(&self, now: Millis) -> Millis {
-        let drift = (now.0 - START.0) as i64 * self.drift / 1000;
+        let drift = (now.0 - CLOCK_START.0) as i64 * self.drift / 1000;
         Millis((now.0 as i64 + drift) as u64 + self.offset)
     }
 }
--- a/daemons/entry/src/announce.rs
+++ b/daemons/entry/src/announce.rs
@@ -22,7 +22,7 @@
         Ok(announcement) => announcement,
         Err(failure) => return refuse(&req, failure),
     };
-    match app.members.step(&app.routing, sill_member::Event::Announced(announcement)).accept {
+    match app.members.step(&app.routing, sill_member::Event::Announcement(announcement)).accept {
         Some(reply) => http::json(200, &reply),
         None => Failure::new(ErrorCode::Internal, "no answer").response(&Name::default()),
     }
--- a/daemons/entry/src/members.rs
+++ b/daemons/entry/src/members.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use rustc_hash::FxHashMap;
 use sill_base::{Clock, Machine, Millis, Name, event};
-use sill_member::{Action, Event, MemberCfg, Members, Report, START};
+use sill_member::{Action, CLOCK_START, Event, MemberCfg, Members, Report};
 use sill_net::{PeerClient, PeerError};
 use sill_wire::announce::AnnounceReply;
 use sill_wire::control::Revision;
@@ -96,7 +96,7 @@
         // it heard that the endpoint is leaving, from two steps that raced.
         let mut core = self.core.lock();
         let now = self.clock.now();
-        core.step(START + now, event, &mut out);
+        core.step(CLOCK_START + now, event, &mut out);
         for action in out {
             self.act(now, routing, action, &mut answers);
         }
@@ -152,27 +152,27 @@
     /// Returns the peer addresses of the domain's live entry instances in the order of the fan-out
     /// tree, and the place of this one among them.
     pub fn feed_tree(&self) -> (Vec<Name>, usize) {
-        self.core.lock().ranked(self.now(), "settings")
+        self.core.lock().ranking(self.now(), "settings")
     }
 
     fn now(&self) -> Millis {
-        START + self.clock.now()
+        CLOCK_START + self.clock.now()
     }
 
     fn act(&self, now: Millis, routing: &Routing, action: Action, answers: &mut Answers) {
         match action {
-            Action::Ask { id, peer, sync } => {
+            Action::SendRequest { id, peer, sync } => {
                 let _ = self.questions.send(Question { id, peer, sync });
             }
             Action::Reply(reply) => answers.reply = Some(*reply),
-            Action::Accept(reply) => answers.accept = Some(reply),
-            Action::Use { announcement, age } => {
+            Action::AnnounceReply(reply) => answers.accept = Some(reply),
+            Action::UpdateEndpoint { announcement, age } => {
                 routing.hear(now, sill_route::Event::Announced { announcement, age });
             }
-            Action::Drop { endpoint, incarnation } => {
+            Action::RemoveEndpoint { endpoint, incarnation } => {
                 routing.hear(now, sill_route::Event::Gone { endpoint, incarnation });
             }
-            Action::Trust { until } => routing.trust(until - START),
+            Action::AllowRouting { until } => routing.trust(until - CLOCK_START),
             Action::Report(found) => report(&found),
         }
     }
@@ -208,14 +208,14 @@
 ///
 /// Never fails; the type is what peer calls ask for.
 pub async fn answer(shared: Arc<Shared>, sync: MemberSync) -> Result<MemberReply, PeerError> {
-    let answers = shared.members.step(&shared.routing, Event::Asked(sync));
+    let answers = shared.members.step(&shared.routing, Event::PeerRequest(sync));
     answers.reply.ok_or_else(|| PeerError::Refused("the membership core gave no reply".to_owned()))
 }
 
 fn ask(shared: &Arc<Shared>, clients: &mut FxHashMap<Name, PeerClient>, question: Question) {
     let Question { id, peer, sync } = question;
     let Ok(address) = peer.parse() else {
-        shared.members.step(&shared.routing, Event::Failed { id });
+        shared.members.step(&shared.routing, Event::RequestFailed { id });
         return;
     };
     if clients.len() > MAX_CLIENTS {
@@ -226,10 +226,10 @@
     let shared = shared.clone();
     tokio::spawn(async move {
         let event = match client.call(&sync).await {
-            Ok(reply) => Event::Answered { id, reply: Box::new(reply) },
+            Ok(reply) => Event::PeerReply { id, reply: Box::new(reply) },
             Err(err) => {
                 event!(Debug, "peer_unreachable", address = address, error = err);
-                Event::Failed { id }
+                Event::RequestFailed { id }
             }
         };
         shared.members.step(&shared.routing, event);
@@ -241,7 +241,7 @@
     if revision != *told {
         *told = revision;
         let names = shared.settings.current().services.keys().cloned().collect();
-        shared.members.step(&shared.routing, Event::Wanted(names));
+        shared.members.step(&shared.routing, Event::Services(names));
     }
 }
 
@@ -249,7 +249,7 @@
     if shared.stopping.load(Ordering::Relaxed) && !*told {
         *told = true;
         let left = shared.cfg.drain_notice + shared.cfg.drain_limit;
-        shared.members.step(&shared.routing, Event::Leaving { left });
+        shared.members.step(&shared.routing, Event::ShutdownStarted { left });
     }
 }
 
