--- a/coordination/member/src/cfg.rs
+++ b/coordination/member/src/cfg.rs
@@ -6,91 +6,93 @@
 /// Settings of the membership core of one entry instance.
 #[derive(Debug, Clone)]
 pub struct MemberCfg {
-    /// This instance; sequence number zero.
+    /// This instance, with sequence number zero.
     pub own: EntryInfo,
-    /// Peer addresses to try while their entry instances are not known.
+    /// Peer addresses to probe while it is unknown which entry instances are behind them.
     pub seeds: Vec<Name>,
-    /// Seed of its random choices.
+    /// Seed of the random choices of peers and digest salts.
     pub seed: u64,
-    /// Time between two questions to peers of the failure domain.
-    pub ask_every: Millis,
-    /// Time between two pushes of the same leaving notice to a peer that has not acknowledged it.
-    pub push_every: Millis,
-    /// Time between two steps from which on this process counts as having been frozen.
-    pub frozen_after: Millis,
-    /// Age at which an endpoint that is no longer heard of is taken out.
+    /// Time between two gossip requests to peers of the own failure domain.
+    pub sync_interval: Millis,
+    /// Time between two pushes of a leaving notice to a peer that has not acknowledged it.
+    pub push_interval: Millis,
+    /// Time between two steps above which this process counts as having been frozen.
+    pub freeze_threshold: Millis,
+    /// Age of the latest announcement at which an endpoint is removed from the router.
     pub endpoint_lease: Millis,
-    /// How long a relayed endpoint may be used after the last news from a peer.
-    pub confirm_within: Millis,
-    /// How long the router may choose after a tick; one that was frozen longer has to ask first.
-    pub trust_for: Millis,
-    /// How long after a start or a freeze announcements may still come out of a buffer.
-    pub buffered: Millis,
-    /// How long after a start or a freeze news of an unsettled peer don't count as confirmation.
-    pub unsettled: Millis,
-    /// Age at which an entry instance that is no longer heard of is suspected.
+    /// How long relayed endpoints may be used after the last confirmation by a peer.
+    pub confirmation_timeout: Millis,
+    /// How long the router may choose endpoints after a tick. An instance that was frozen for
+    /// longer has to sync with a peer first.
+    pub routing_lease: Millis,
+    /// How long after a start or a freeze announcements may still come from a receive buffer.
+    pub buffer_delay: Millis,
+    /// Time after a start or a freeze from which this instance counts as settled even without a
+    /// confirmation. Before, replies of unsettled peers don't confirm anything.
+    pub settle_timeout: Millis,
+    /// Age of the latest heartbeat at which an entry instance is suspected.
     pub suspect_after: Millis,
-    /// Age at which a suspected entry instance is dropped.
+    /// Age of the latest heartbeat at which a suspected entry instance is removed from the table.
     pub drop_after: Millis,
-    /// How long leaving and replaced lives are remembered.
-    pub remember: Millis,
-    /// Time between two questions of a gateway to another failure domain.
-    pub summary_every: Millis,
-    /// Time between two requests for summaries from a peer of the own failure domain.
-    pub summary_ask_every: Millis,
-    /// How long an endpoint of another failure domain may be used after its domain named it.
+    /// How long leaving incarnations, and endpoints that the router doesn't have, are kept.
+    pub retention: Millis,
+    /// Time between two summary requests of a gateway to other failure domains.
+    pub summary_interval: Millis,
+    /// Time between two gossip requests that also request the summaries known to the peer.
+    pub summary_sync_interval: Millis,
+    /// How long an endpoint of another failure domain may be used after that domain offered it.
     pub foreign_lease: Millis,
-    /// Entry instances of a failure domain that speak with other domains.
-    pub gateways: usize,
-    /// Endpoints that a summary names for each model or service that is asked for.
-    pub offered: usize,
-    /// A deliberate fault; only tests set one.
+    /// Number of entry instances per failure domain that exchange summaries with other domains.
+    pub gateway_count: usize,
+    /// Maximum number of endpoints that a summary offers for each requested model or service.
+    pub max_offers: usize,
+    /// A deliberate fault; set only by tests.
     #[doc(hidden)]
     pub weakening: Weakening,
 }
 
-/// Deliberate faults, by which tests show that they would notice them.
+/// Deliberate faults. Tests switch them on to show that they detect them.
 #[doc(hidden)]
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum Weakening {
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// A later announcement of the same life makes a leaving endpoint ready again.
+    /// A later announcement of the same incarnation makes a leaving endpoint ready again.
     LeavingNotSticky,
-    /// Leaving notices wait for the next question in place of being pushed.
+    /// Leaving notices are not pushed and spread only by gossip requests.
     LeavingNotPushed,
-    /// A lower incarnation replaces a higher one.
+    /// An announcement of a lower incarnation replaces a higher one.
     OldIncarnationTaken,
-    /// After a freeze or a cut, relayed endpoints are used without asking first.
+    /// Relayed endpoints are used without a confirmation, also after a freeze or a partition.
     StaleTrusted,
-    /// Ages of relayed news leave out the time that the question was under way.
+    /// The ages of relayed facts don't include the time that the request was in flight.
     TransitIgnored,
 }
 
 impl MemberCfg {
-    /// Makes the usual settings of an instance.
+    /// Returns the default settings for an instance with these peer addresses to probe.
     pub fn new(own: EntryInfo, seeds: Vec<Name>, seed: u64) -> Self {
         Self {
             own,
             seeds,
             seed,
-            ask_every: Millis(1200),
-            push_every: Millis(200),
-            frozen_after: Millis(1800),
+            sync_interval: Millis(1200),
+            push_interval: Millis(200),
+            freeze_threshold: Millis(1800),
             endpoint_lease: Millis(10_000),
-            confirm_within: Millis(3000),
-            trust_for: Millis(2000),
-            buffered: Millis(1000),
-            unsettled: Millis(3000),
+            confirmation_timeout: Millis(3000),
+            routing_lease: Millis(2000),
+            buffer_delay: Millis(1000),
+            settle_timeout: Millis(3000),
             suspect_after: Millis(10_000),
             drop_after: Millis(30_000),
-            remember: Millis(3_600_000),
-            summary_every: Millis(1000),
-            summary_ask_every: Millis(5000),
+            retention: Millis(3_600_000),
+            summary_interval: Millis(1000),
+            summary_sync_interval: Millis(5000),
             foreign_lease: Millis(2500),
-            gateways: 2,
-            offered: 3,
+            gateway_count: 2,
+            max_offers: 3,
             weakening: Weakening::None,
         }
     }
--- a/coordination/member/src/digest.rs
+++ b/coordination/member/src/digest.rs
@@ -1,4 +1,4 @@
-//! Marks of known facts, so that a reply holds only what the caller lacks.
+//! Digests of known facts, so that a reply contains only what the requesting peer lacks.
 
 use std::fmt::Write;
 use std::hash::{Hash, Hasher};
@@ -7,47 +7,58 @@
 use sill_wire::Incarnation;
 use sill_wire::member::Digest;
 
-/// Hexadecimal digits of a mark's hash and of its sequence number.
+/// Hexadecimal digits of the hash of a fact.
 const HASH_DIGITS: usize = 6;
-const MARK_DIGITS: usize = HASH_DIGITS + 2;
 
-/// The kinds of facts that have marks.
+/// Hexadecimal digits of a fact in a digest: its hash and the lowest byte of its sequence number.
+const FACT_DIGITS: usize = HASH_DIGITS + 2;
+
+/// The kinds of facts that a digest lists.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Fact {
-    /// A life of an entry instance.
+pub enum FactKind {
+    /// An incarnation of an entry instance.
     Entry,
-    /// A life of an endpoint, with all that it says beside its load.
+    /// An incarnation of an endpoint, with all fields of its announcement except the load.
     Endpoint,
-    /// A life of an endpoint that is leaving.
+    /// An incarnation of an endpoint that is leaving.
     Leaving,
 }
 
-/// The marks of a received digest.
+/// The facts of a digest: the lowest byte of the sequence number of each, by the hash of the fact.
 #[derive(Debug)]
-pub struct Marks {
+pub struct DigestIndex {
     salt: u64,
-    sequences: Map<u32, u8>,
+    known_sequences: Map<u32, u8>,
 }
 
-/// A hash that is the same in every process.
+/// FNV-1a with a final mix; it gives the same hash in every process.
 #[derive(Debug)]
 struct Fnv(u64);
 
-/// Adds a mark to a digest.
-pub fn mark(digest: &mut Digest, fact: Fact, name: &str, life: Incarnation, shape: u64, seq: u64) {
-    let hash = short(hash(digest.salt, fact, name, life, shape));
+/// Appends a fact to a digest.
+///
+/// `content` is the hash of the content that tells facts with the same incarnation apart.
+pub fn append_fact(
+    digest: &mut Digest,
+    kind: FactKind,
+    name: &str,
+    incarnation: Incarnation,
+    content: u64,
+    seq: u64,
+) {
+    let hash = truncate_hash(fact_hash(digest.salt, kind, name, incarnation, content));
     let _ = write!(digest.marks, "{hash:06x}{:02x}", seq as u8);
 }
 
-/// Hashes a name together with another, equally in every process.
+/// Returns the rendezvous hash of a key and a name, which is the same in every process.
 pub fn rendezvous(key: &str, name: &str) -> u64 {
     let mut hasher = Fnv::new();
     (key, name).hash(&mut hasher);
     hasher.finish()
 }
 
-/// Hashes any value, equally in every process.
-pub fn shape<T>(value: &T) -> u64
+/// Returns a hash of a value that is the same in every process.
+pub fn stable_hash<T>(value: &T) -> u64
 where
     T: Hash,
 {
@@ -56,55 +67,78 @@
     hasher.finish()
 }
 
-impl Marks {
-    /// Reads a digest; what is not well formed counts as not known.
-    pub fn read(digest: &Digest) -> Self {
+impl DigestIndex {
+    /// Parses a digest. Facts that are not well formed are skipped, as if the peer lacked them.
+    pub fn parse(digest: &Digest) -> Self {
         let text = digest.marks.as_bytes();
         let mut sequences = Map::default();
-        for mark in text.chunks_exact(MARK_DIGITS) {
-            let Ok(mark) = std::str::from_utf8(mark) else { continue };
-            let Ok(mark) = u32::from_str_radix(mark, 16) else { continue };
-            sequences.insert(mark >> 8, mark as u8);
+        for fact in text.chunks_exact(FACT_DIGITS) {
+            let Ok(fact) = std::str::from_utf8(fact) else { continue };
+            let Ok(fact) = u32::from_str_radix(fact, 16) else { continue };
+            sequences.insert(fact >> 8, fact as u8);
         }
-        Self { salt: digest.salt, sequences }
+        Self { salt: digest.salt, known_sequences: sequences }
     }
 
-    /// Returns whether this digest shows a fact that the other lacks or knows older.
+    /// Returns whether this digest has a fact that the other lacks or has with an older sequence
+    /// number.
     pub fn is_ahead_of(&self, other: &Self) -> bool {
-        self.sequences.iter().any(|(hash, sequence)| {
-            let known = other.sequences.get(hash);
+        self.known_sequences.iter().any(|(hash, sequence)| {
+            let known = other.known_sequences.get(hash);
             known.is_none_or(|known| is_newer(u64::from(*sequence), *known))
         })
     }
 
-    /// Returns the hash that stands for a fact in this digest.
+    /// Returns the hash by which a reply to this digest identifies a fact.
     ///
-    /// It is longer than what the digest holds. With the short one, a fact that the caller lacks
-    /// would now and then pass for one that it knows, and overwrite it.
-    pub fn hash(&self, fact: Fact, name: &str, life: Incarnation, shape: u64) -> u64 {
-        hash(self.salt, fact, name, life, shape)
+    /// It is longer than the hash in the digest: with the short one, a fact that the caller lacks
+    /// would occasionally be mistaken for one that the caller has, and overwrite it.
+    pub fn fact_hash(
+        &self,
+        kind: FactKind,
+        name: &str,
+        incarnation: Incarnation,
+        content: u64,
+    ) -> u64 {
+        fact_hash(self.salt, kind, name, incarnation, content)
     }
 
-    /// Returns the lowest byte of the sequence number that the caller knows, if it knows the fact.
-    pub fn sequence(&self, fact: Fact, name: &str, life: Incarnation, shape: u64) -> Option<u8> {
-        self.sequences.get(&short(hash(self.salt, fact, name, life, shape))).copied()
+    /// Returns the lowest byte of the sequence number with which the digest lists a fact, if any.
+    pub fn known_sequence(
+        &self,
+        kind: FactKind,
+        name: &str,
+        incarnation: Incarnation,
+        content: u64,
+    ) -> Option<u8> {
+        self.known_sequences
+            .get(&truncate_hash(fact_hash(self.salt, kind, name, incarnation, content)))
+            .copied()
     }
 }
 
-/// Returns whether a sequence number is newer than one of which only the lowest byte is known.
+/// Returns whether a sequence number is newer than another of which only the lowest byte is known.
+///
+/// The comparison wraps around: a number that is up to 127 ahead counts as newer.
 pub fn is_newer(sequence: u64, known: u8) -> bool {
     (1..128).contains(&(sequence as u8).wrapping_sub(known))
 }
 
-/// Returns the hash that stands for a fact in a digest with this salt.
-pub fn hash(salt: u64, fact: Fact, name: &str, life: Incarnation, shape: u64) -> u64 {
+/// Returns the 48-bit hash of a fact for digests with this salt.
+pub fn fact_hash(
+    salt: u64,
+    kind: FactKind,
+    name: &str,
+    incarnation: Incarnation,
+    content: u64,
+) -> u64 {
     let mut hasher = Fnv::new();
-    (salt, fact as u8, name, life.0, shape).hash(&mut hasher);
+    (salt, kind as u8, name, incarnation.0, content).hash(&mut hasher);
     hasher.finish() >> 16
 }
 
-/// Returns the part of a hash that stands in a digest.
-fn short(hash: u64) -> u32 {
+/// Returns the 24 highest bits of a 48-bit hash, which a digest contains.
+fn truncate_hash(hash: u64) -> u32 {
     (hash >> 24) as u32
 }
 
@@ -116,7 +150,7 @@
 
 impl Hasher for Fnv {
     fn finish(&self) -> u64 {
-        // FNV alone leaves the highest bits of short inputs alike.
+        // With FNV alone, short inputs have nearly the same highest bits.
         let mixed = (self.0 ^ (self.0 >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
         mixed ^ (mixed >> 32)
     }
--- a/coordination/member/src/endpoints.rs
+++ b/coordination/member/src/endpoints.rs
@@ -1,137 +1,150 @@
-//! Endpoints of the own failure domain, with the lives that must never get work again.
+//! Endpoints of the own failure domain, and the incarnations that must not receive requests again.
 
 use sill_base::{Map, Millis, Name, Promise, keep};
 use sill_wire::member::{Digest, LeavingNotice, LoadUpdate, Relayed};
 use sill_wire::{Announcement, Incarnation, Served};
 
 use crate::cfg::{MemberCfg, Weakening};
-use crate::digest::{self, Fact, Marks};
+use crate::digest::{self, DigestIndex, FactKind};
 use crate::event::{Action, Report};
 
-/// How long a leaving life is told to peers after it was noted; one who asks later starts anew.
-const TELL_LEAVING: Millis = Millis(120_000);
+/// How long gossip spreads a leaving incarnation after its notice arrived. A peer that still lacks
+/// the notice later has started since.
+const LEAVING_GOSSIP_TIME: Millis = Millis(120_000);
 
-/// Whether relayed endpoints may be used.
+/// State that decides whether endpoints that peers relayed may be used.
 #[derive(Debug, Clone, Copy)]
 pub struct Confirmation {
-    /// When this process started or was last frozen.
-    pub thawed: Millis,
-    /// When the last question was asked that a settled peer answered.
-    pub confirmed: Option<Millis>,
-    /// Whether no peer of the domain is known, so that nobody else can have heard more.
+    /// When this process started, or resumed from its last freeze.
+    pub resumed_at: Millis,
+    /// When the latest gossip request was sent whose reply confirmed the facts known here.
+    pub confirmed_at: Option<Millis>,
+    /// Whether no peer of the domain is known, so that no instance can know anything newer.
     pub is_alone: bool,
 }
 
-/// How an announcement came here.
+/// The way by which an announcement arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// From the endpoint itself.
+    /// The endpoint sent it to this instance.
     Direct,
-    /// From a peer; the age is an upper bound.
+    /// A peer relayed it; holds an upper bound of its age.
     Relayed(Millis),
 }
 
-/// What became of an announcement.
+/// The result of applying an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
-    /// It is newer than what was known.
+pub enum ApplyOutcome {
+    /// It was newer than the record, which it replaced.
     New,
-    /// It tells nothing new.
-    Known,
-    /// A higher incarnation, or another endpoint with the same one, holds the name.
-    Replaced(Incarnation),
+    /// It was not newer than the record of the same incarnation and was ignored.
+    Stale,
+    /// It was refused: a higher incarnation, or another endpoint with the same one, uses the name.
+    NameInUse(Incarnation),
 }
 
-/// The table.
+/// The known endpoints of the failure domain, and their leaving notices.
 #[derive(Debug, Default)]
-pub struct Endpoints {
+pub struct EndpointTable {
     records: Map<Name, Record>,
-    leaving: Map<Name, Leaving>,
-    /// The highest life of each name that was ever noted as leaving; kept apart from `leaving`, as
-    /// the invariant must not rest on the code that it checks.
-    ended: Map<Name, Incarnation>,
+    leaving: Map<Name, LeavingRecord>,
+    /// The highest incarnation of each name for which a leaving notice arrived. Separate from
+    /// `leaving`, so that the invariant does not depend on the code that it checks.
+    ended_incarnations: Map<Name, Incarnation>,
 }
 
 #[derive(Debug)]
 struct Record {
     announcement: Announcement,
-    shape: u64,
+    /// Hash of the announcement without its load.
+    content_hash: u64,
+    /// When the endpoint sent the announcement, at the earliest.
     sent_at: Millis,
+    /// When the last announcement of this incarnation arrived from the endpoint itself.
     direct_at: Option<Millis>,
-    told: Told,
+    router_state: RouterState,
 }
 
-/// What the router was told last.
+/// What the latest action told the router about an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Told {
-    Nothing,
+enum RouterState {
+    Absent,
+    /// Ready, with the sequence number of the announcement.
     Ready(Incarnation, u64),
     Leaving(Incarnation),
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Leaving {
+struct LeavingRecord {
     incarnation: Incarnation,
+    /// When the endpoint will be gone.
     gone_at: Millis,
-    noted_at: Millis,
+    /// When the notice arrived here.
+    received_at: Millis,
 }
 
 impl Confirmation {
-    /// Returns whether relayed endpoints may be used now.
-    pub fn holds(&self, now: Millis, cfg: &MemberCfg) -> bool {
-        let fresh = self.confirmed.is_some_and(|at| now - at <= cfg.confirm_within);
+    /// Returns whether the last confirmation is recent enough to use relayed endpoints.
+    pub fn is_valid(&self, now: Millis, cfg: &MemberCfg) -> bool {
+        let fresh = self.confirmed_at.is_some_and(|at| now - at <= cfg.confirmation_timeout);
         fresh || cfg.weakening == Weakening::StaleTrusted
     }
 }
 
-impl Endpoints {
-    /// Takes in an announcement.
-    pub fn take(
+impl EndpointTable {
+    /// Applies an announcement if it is newer than the record.
+    pub fn apply(
         &mut self,
         now: Millis,
         announcement: Announcement,
         source: Source,
         cfg: &MemberCfg,
-    ) -> Taken {
+    ) -> ApplyOutcome {
         let known = self.records.get(&announcement.name);
         if let Some(known) = known {
-            let life = known.announcement.incarnation;
-            let old = announcement.incarnation < life && !weak(cfg, Weakening::OldIncarnationTaken);
-            let other = announcement.incarnation == life
+            let incarnation = known.announcement.incarnation;
+            let is_old = announcement.incarnation < incarnation
+                && !has_weakening(cfg, Weakening::OldIncarnationTaken);
+            let is_other = announcement.incarnation == incarnation
                 && announcement.address != known.announcement.address;
-            if old || other {
-                return Taken::Replaced(life);
+            if is_old || is_other {
+                return ApplyOutcome::NameInUse(incarnation);
             }
-            if announcement.incarnation == life
+            if announcement.incarnation == incarnation
                 && announcement.sequence <= known.announcement.sequence
             {
-                return Taken::Known;
+                return ApplyOutcome::Stale;
             }
         }
-        let told = known.map_or(Told::Nothing, |k| k.told);
-        let same = known.filter(|k| k.announcement.incarnation == announcement.incarnation);
+        let router_state = known.map_or(RouterState::Absent, |k| k.router_state);
+        let same_incarnation =
+            known.filter(|k| k.announcement.incarnation == announcement.incarnation);
         let (age, direct_at) = match source {
             Source::Direct => (Millis::ZERO, Some(now)),
-            Source::Relayed(age) => (age, same.and_then(|k| k.direct_at)),
+            Source::Relayed(age) => (age, same_incarnation.and_then(|k| k.direct_at)),
         };
-        let shape = shape(&announcement);
+        let content_hash = content_hash(&announcement);
         let name = announcement.name.clone();
-        let record = Record { announcement, shape, sent_at: now - age, direct_at, told };
+        let record =
+            Record { announcement, content_hash, sent_at: now - age, direct_at, router_state };
         self.records.insert(name, record);
-        Taken::New
+        ApplyOutcome::New
     }
 
-    /// Returns the names of known endpoints by the hashes that stand for them in a digest.
-    pub fn by_mark(&self, salt: u64) -> Map<u64, Name> {
-        let marked = self.records.iter().map(|(name, record)| {
-            let life = record.announcement.incarnation;
-            (digest::hash(salt, Fact::Endpoint, name, life, record.shape), name.clone())
+    /// Returns the names of the known endpoints, by their hash with the salt of a digest.
+    pub fn names_by_hash(&self, salt: u64) -> Map<u64, Name> {
+        let names = self.records.iter().map(|(name, record)| {
+            let incarnation = record.announcement.incarnation;
+            (
+                digest::fact_hash(salt, FactKind::Endpoint, name, incarnation, record.content_hash),
+                name.clone(),
+            )
         });
-        marked.collect()
+        names.collect()
     }
 
-    /// Takes in a load of a known endpoint.
-    pub fn take_load(&mut self, now: Millis, name: &Name, update: &LoadUpdate, transit: Millis) {
+    /// Applies the load of a known endpoint if it is newer than the record.
+    pub fn apply_load(&mut self, now: Millis, name: &Name, update: &LoadUpdate, transit: Millis) {
         let Some(record) = self.records.get_mut(name) else { return };
         let known = &mut record.announcement;
         if update.sequence <= known.sequence {
@@ -142,44 +155,44 @@
         record.sent_at = now - (update.age + transit);
     }
 
-    /// Notes that a life is leaving. Returns whether that is news.
-    pub fn note_leaving(&mut self, now: Millis, notice: &LeavingNotice) -> bool {
+    /// Records that an incarnation is leaving. Returns whether this was unknown.
+    pub fn record_leaving(&mut self, now: Millis, notice: &LeavingNotice) -> bool {
         let known = self.leaving.get(&notice.name);
         if known.is_some_and(|k| k.incarnation >= notice.incarnation) {
             return false;
         }
         let (incarnation, gone_at) = (notice.incarnation, now + notice.left);
-        let noted = Leaving { incarnation, gone_at, noted_at: now };
-        self.leaving.insert(notice.name.clone(), noted);
-        let ended = self.ended.entry(notice.name.clone()).or_default();
+        let record = LeavingRecord { incarnation, gone_at, received_at: now };
+        self.leaving.insert(notice.name.clone(), record);
+        let ended = self.ended_incarnations.entry(notice.name.clone()).or_default();
         *ended = incarnation.max(*ended);
         true
     }
 
-    /// Forgets that a life is leaving, which only a weakening does.
-    pub fn forget_leaving(&mut self, announcement: &Announcement) {
+    /// Removes the leaving notice of an incarnation. Only a [`Weakening`] does this.
+    pub fn remove_leaving(&mut self, announcement: &Announcement) {
         let known = self.leaving.get(&announcement.name);
         if known.is_some_and(|k| k.incarnation == announcement.incarnation) {
             self.leaving.remove(&announcement.name);
         }
     }
 
-    /// Returns the notice of a leaving life, as told now.
-    pub fn notice(&self, now: Millis, name: &Name) -> Option<LeavingNotice> {
+    /// Returns the leaving notice of an endpoint, with the time left from now.
+    pub fn leaving_notice(&self, now: Millis, name: &Name) -> Option<LeavingNotice> {
         let known = self.leaving.get(name)?;
         let left = known.gone_at - now;
         Some(LeavingNotice { name: name.clone(), incarnation: known.incarnation, left })
     }
 
-    /// Forgets what endpoints said here themselves, since it may be long out of date.
-    pub fn distrust(&mut self) {
+    /// Clears when endpoints announced themselves here, as those announcements may be outdated.
+    pub fn clear_direct(&mut self) {
         for record in self.records.values_mut() {
             record.direct_at = None;
         }
     }
 
-    /// Tells the router what changed about one endpoint.
-    pub fn settle(
+    /// Emits the actions by which the router follows the state of one endpoint.
+    pub fn update_router(
         &mut self,
         now: Millis,
         name: &Name,
@@ -188,31 +201,33 @@
         out: &mut Vec<Action>,
     ) {
         let Some(record) = self.records.get_mut(name) else { return };
-        let life = record.announcement.incarnation;
-        let leaving = self.leaving.get(name).filter(|l| l.incarnation >= life);
+        let incarnation = record.announcement.incarnation;
+        let leaving = self.leaving.get(name).filter(|l| l.incarnation >= incarnation);
         if let Some(leaving) = leaving {
-            let gone = leaving.gone_at <= now;
-            return record.settle_leaving(leaving.gone_at - now, gone, out);
+            let is_gone = leaving.gone_at <= now;
+            return record.route_leaving(leaving.gone_at - now, is_gone, out);
         }
         if !record.is_usable(now, confirmation, cfg) {
-            return record.settle_unusable(now, cfg, out);
+            return record.remove_unusable(now, cfg, out);
         }
-        let ready = Told::Ready(life, record.announcement.sequence);
-        if record.told == ready {
+        let ready = RouterState::Ready(incarnation, record.announcement.sequence);
+        if record.router_state == ready {
             return;
         }
-        record.told = ready;
+        record.router_state = ready;
         keep!(
             Promise::LeavingGetsNothing,
-            self.ended.get(name).is_none_or(|ended| *ended < life),
-            "endpoint {name} is offered in a life that is leaving"
+            self.ended_incarnations.get(name).is_none_or(|ended| *ended < incarnation),
+            "endpoint {name} is offered as ready although incarnation {} or later is leaving",
+            incarnation.0
         );
         let announcement = Announcement { leaving: None, ..record.announcement.clone() };
         out.push(Action::UpdateEndpoint { announcement, age: now - record.sent_at });
     }
 
-    /// Tells the router what changed by the passing of time, and forgets what is too old.
-    pub fn settle_all(
+    /// Emits the actions by which the router follows the state of all endpoints, and removes
+    /// records that are older than the retention time.
+    pub fn update_router_all(
         &mut self,
         now: Millis,
         confirmation: &Confirmation,
@@ -222,46 +237,65 @@
         let mut names: Vec<Name> = self.records.keys().cloned().collect();
         names.sort_unstable();
         for name in &names {
-            self.settle(now, name, confirmation, cfg, out);
+            self.update_router(now, name, confirmation, cfg, out);
         }
-        let kept = |at: Millis| now - at <= cfg.remember;
-        self.records.retain(|_, r| kept(r.sent_at) || r.told != Told::Nothing);
-        self.leaving.retain(|_, l| kept(l.noted_at));
+        let is_recent = |at: Millis| now - at <= cfg.retention;
+        self.records.retain(|_, r| is_recent(r.sent_at) || r.router_state != RouterState::Absent);
+        self.leaving.retain(|_, l| is_recent(l.received_at));
         let leaving = &self.leaving;
-        self.ended.retain(|name, _| leaving.contains_key(name));
+        self.ended_incarnations.retain(|name, _| leaving.contains_key(name));
     }
 
-    /// Adds what is known here to a digest.
-    pub fn mark(&self, now: Millis, cfg: &MemberCfg, digest: &mut Digest) {
+    /// Appends the live endpoints and the recent leaving notices to a digest.
+    pub fn append_to(&self, now: Millis, cfg: &MemberCfg, digest: &mut Digest) {
         for (name, record) in self.live(now, cfg) {
             let a = &record.announcement;
-            digest::mark(digest, Fact::Endpoint, name, a.incarnation, record.shape, a.sequence);
+            digest::append_fact(
+                digest,
+                FactKind::Endpoint,
+                name,
+                a.incarnation,
+                record.content_hash,
+                a.sequence,
+            );
         }
-        for (name, leaving) in self.told(now) {
-            digest::mark(digest, Fact::Leaving, name, leaving.incarnation, 0, 0);
+        for (name, leaving) in self.recent_leaving(now) {
+            digest::append_fact(digest, FactKind::Leaving, name, leaving.incarnation, 0, 0);
         }
     }
 
-    /// Returns the announcements that a peer lacks.
-    pub fn whole(&self, now: Millis, cfg: &MemberCfg, marks: &Marks) -> Vec<Relayed> {
-        let lacking = self.live(now, cfg).filter(|(name, record)| {
-            let life = record.announcement.incarnation;
-            marks.sequence(Fact::Endpoint, name, life, record.shape).is_none()
+    /// Returns the announcements of live endpoints that a digest lacks.
+    pub fn missing_from(&self, now: Millis, cfg: &MemberCfg, index: &DigestIndex) -> Vec<Relayed> {
+        let missing = self.live(now, cfg).filter(|(name, record)| {
+            let incarnation = record.announcement.incarnation;
+            index
+                .known_sequence(FactKind::Endpoint, name, incarnation, record.content_hash)
+                .is_none()
         });
-        let relayed = lacking.map(|(_, record)| Relayed {
+        let relayed = missing.map(|(_, record)| Relayed {
             announcement: Announcement { leaving: None, ..record.announcement.clone() },
             age: now - record.sent_at,
         });
         relayed.collect()
     }
 
-    /// Returns the loads of which a peer has older ones.
-    pub fn loads(&self, now: Millis, cfg: &MemberCfg, marks: &Marks) -> Vec<LoadUpdate> {
+    /// Returns the loads of live endpoints that a digest lists with an older sequence number.
+    pub fn newer_loads(
+        &self,
+        now: Millis,
+        cfg: &MemberCfg,
+        index: &DigestIndex,
+    ) -> Vec<LoadUpdate> {
         let newer = self.live(now, cfg).filter_map(|(name, record)| {
             let a = &record.announcement;
-            let known = marks.sequence(Fact::Endpoint, name, a.incarnation, record.shape)?;
+            let known = index.known_sequence(
+                FactKind::Endpoint,
+                name,
+                a.incarnation,
+                record.content_hash,
+            )?;
             digest::is_newer(a.sequence, known).then(|| LoadUpdate {
-                mark: marks.hash(Fact::Endpoint, name, a.incarnation, record.shape),
+                mark: index.fact_hash(FactKind::Endpoint, name, a.incarnation, record.content_hash),
                 sequence: a.sequence,
                 age: now - record.sent_at,
                 load: a.load,
@@ -270,32 +304,34 @@
         newer.collect()
     }
 
-    /// Returns the leaving lives of which a peer doesn't know.
-    pub fn notices(&self, now: Millis, marks: &Marks) -> Vec<LeavingNotice> {
-        let lacking = self.told(now).filter(|(name, leaving)| {
-            marks.sequence(Fact::Leaving, name, leaving.incarnation, 0).is_none()
+    /// Returns the recent leaving notices that a digest lacks.
+    pub fn missing_notices(&self, now: Millis, index: &DigestIndex) -> Vec<LeavingNotice> {
+        let missing = self.recent_leaving(now).filter(|(name, leaving)| {
+            index.known_sequence(FactKind::Leaving, name, leaving.incarnation, 0).is_none()
         });
-        lacking.filter_map(|(name, _)| self.notice(now, name)).collect()
+        missing.filter_map(|(name, _)| self.leaving_notice(now, name)).collect()
     }
 
-    /// Returns the announcements that the router may choose from.
+    /// Returns the announcements of the endpoints that the router has as ready.
     pub fn ready(&self) -> impl Iterator<Item = &Announcement> {
-        let ready = self.records.values().filter(|r| matches!(r.told, Told::Ready(..)));
+        let ready =
+            self.records.values().filter(|r| matches!(r.router_state, RouterState::Ready(..)));
         ready.map(|r| &r.announcement)
     }
 
-    /// Returns the endpoints that the router knows as leaving.
+    /// Returns the announcements of the endpoints that the router has as leaving.
     pub fn leaving(&self) -> impl Iterator<Item = &Announcement> {
-        let leaving = self.records.values().filter(|r| matches!(r.told, Told::Leaving(_)));
+        let leaving =
+            self.records.values().filter(|r| matches!(r.router_state, RouterState::Leaving(_)));
         leaving.map(|r| &r.announcement)
     }
 
-    /// Returns whether a life is known as leaving.
+    /// Returns whether a leaving notice of this incarnation, or of a higher one, is known.
     pub fn is_leaving(&self, name: &str, incarnation: Incarnation) -> bool {
         self.leaving.get(name).is_some_and(|l| l.incarnation >= incarnation)
     }
 
-    /// Returns whether an endpoint of this name belongs to the own failure domain.
+    /// Returns whether an endpoint of the own failure domain has this name.
     pub fn contains(&self, name: &str) -> bool {
         self.records.contains_key(name)
     }
@@ -307,55 +343,57 @@
         })
     }
 
-    fn told(&self, now: Millis) -> impl Iterator<Item = (&Name, &Leaving)> {
-        self.leaving.iter().filter(move |(_, l)| now - l.noted_at <= TELL_LEAVING)
+    fn recent_leaving(&self, now: Millis) -> impl Iterator<Item = (&Name, &LeavingRecord)> {
+        self.leaving.iter().filter(move |(_, l)| now - l.received_at <= LEAVING_GOSSIP_TIME)
     }
 }
 
 impl Record {
     fn is_usable(&self, now: Millis, confirmation: &Confirmation, cfg: &MemberCfg) -> bool {
-        // One that has peers may have missed what the endpoint told them since.
-        let limit = if confirmation.is_alone { cfg.endpoint_lease } else { cfg.confirm_within };
-        let direct = self.direct_at.is_some_and(|at| now - at <= limit);
-        let alive = now - self.sent_at <= cfg.endpoint_lease;
-        alive && (direct || confirmation.holds(now, cfg))
+        // With peers, the endpoint may have announced something newer to one of them since.
+        let limit =
+            if confirmation.is_alone { cfg.endpoint_lease } else { cfg.confirmation_timeout };
+        let is_direct = self.direct_at.is_some_and(|at| now - at <= limit);
+        let is_alive = now - self.sent_at <= cfg.endpoint_lease;
+        is_alive && (is_direct || confirmation.is_valid(now, cfg))
     }
 
-    fn settle_leaving(&mut self, left: Millis, gone: bool, out: &mut Vec<Action>) {
-        let life = self.announcement.incarnation;
-        if gone {
-            if self.told != Told::Nothing {
-                self.told = Told::Nothing;
-                self.drop_from_router(out);
+    fn route_leaving(&mut self, time_left: Millis, is_gone: bool, out: &mut Vec<Action>) {
+        let incarnation = self.announcement.incarnation;
+        if is_gone {
+            if self.router_state != RouterState::Absent {
+                self.router_state = RouterState::Absent;
+                self.remove_from_router(out);
             }
-        } else if self.told != Told::Leaving(life) {
-            self.told = Told::Leaving(life);
-            let announcement = Announcement { leaving: Some(left), ..self.announcement.clone() };
+        } else if self.router_state != RouterState::Leaving(incarnation) {
+            self.router_state = RouterState::Leaving(incarnation);
+            let announcement =
+                Announcement { leaving: Some(time_left), ..self.announcement.clone() };
             out.push(Action::UpdateEndpoint { announcement, age: Millis::ZERO });
             let endpoint = self.announcement.name.clone();
-            out.push(Action::Report(Report::EndpointLeaving { endpoint, incarnation: life }));
+            out.push(Action::Report(Report::EndpointLeaving { endpoint, incarnation }));
         }
     }
 
-    fn settle_unusable(&mut self, now: Millis, cfg: &MemberCfg, out: &mut Vec<Action>) {
-        if self.told == Told::Nothing {
+    fn remove_unusable(&mut self, now: Millis, cfg: &MemberCfg, out: &mut Vec<Action>) {
+        if self.router_state == RouterState::Absent {
             return;
         }
-        self.told = Told::Nothing;
-        self.drop_from_router(out);
+        self.router_state = RouterState::Absent;
+        self.remove_from_router(out);
         if now - self.sent_at > cfg.endpoint_lease {
             let endpoint = self.announcement.name.clone();
             out.push(Action::Report(Report::EndpointLost { endpoint }));
         }
     }
 
-    fn drop_from_router(&self, out: &mut Vec<Action>) {
+    fn remove_from_router(&self, out: &mut Vec<Action>) {
         let endpoint = self.announcement.name.clone();
         out.push(Action::RemoveEndpoint { endpoint, incarnation: self.announcement.incarnation });
     }
 }
 
-/// Returns the name of a served model or service.
+/// Returns the name of the model or service that an endpoint serves.
 pub fn served_name(served: &Served) -> &Name {
     match served {
         Served::Model { model, .. } => model,
@@ -363,20 +401,20 @@
     }
 }
 
-/// Returns the slots that an endpoint reports as free.
+/// Returns the number of slots that neither running nor queued requests of an endpoint take.
 pub fn free_slots(announcement: &Announcement) -> u32 {
     let load = &announcement.load;
     announcement.slots.saturating_sub(load.running).saturating_sub(load.queued)
 }
 
-/// Hashes all that an announcement says beside its load.
-fn shape(a: &Announcement) -> u64 {
-    let place = (&a.address, &a.domain, &a.class, a.reclaimable, a.price);
+/// Returns a hash of an announcement without its load.
+fn content_hash(a: &Announcement) -> u64 {
+    let location = (&a.address, &a.domain, &a.class, a.reclaimable, a.price);
     let work = (&a.serves, a.role, a.slots, a.checks_fencing);
     let speed = (a.prefill_tokens_per_s, a.decode_ms, a.cache_tokens);
-    digest::shape(&(place, work, speed))
+    digest::stable_hash(&(location, work, speed))
 }
 
-fn weak(cfg: &MemberCfg, weakening: Weakening) -> bool {
+fn has_weakening(cfg: &MemberCfg, weakening: Weakening) -> bool {
     cfg.weakening == weakening
 }
--- a/coordination/member/src/entries.rs
+++ b/coordination/member/src/entries.rs
@@ -4,98 +4,109 @@
 use sill_wire::member::{Digest, EntryInfo, Heartbeat, RelayedEntry};
 
 use crate::cfg::MemberCfg;
-use crate::digest::{self, Fact, Marks, rendezvous};
+use crate::digest::{self, DigestIndex, FactKind, rendezvous};
 use crate::event::{Action, Report};
 
-/// How long a peer that did not answer is left out of the choice, where there are others.
-const AVOID: Millis = Millis(3000);
+/// How long a peer whose request failed is not chosen for gossip while there are other live peers.
+const FAILED_PEER_BACKOFF: Millis = Millis(3000);
 
-/// The table; this instance is not in it.
+/// The known entry instances of the failure domain, without this one.
 #[derive(Debug, Default)]
-pub struct Entries {
+pub struct EntryTable {
     records: Map<Name, Record>,
 }
 
 #[derive(Debug)]
 struct Record {
     info: EntryInfo,
-    heard_at: Millis,
+    /// When the entry instance sent its latest report or heartbeat, at the earliest.
+    last_seen: Millis,
+    /// When the last request to it failed; none if it replied since.
     failed_at: Option<Millis>,
     is_suspect: bool,
 }
 
-impl Entries {
-    /// Takes in what an entry instance said about itself `age` ago at most.
-    pub fn take(&mut self, now: Millis, info: EntryInfo, age: Millis, out: &mut Vec<Action>) {
+impl EntryTable {
+    /// Applies what an entry instance reported about itself at most `age` ago, if it is newer than
+    /// the record.
+    pub fn apply(&mut self, now: Millis, info: EntryInfo, age: Millis, out: &mut Vec<Action>) {
         let known = self.records.get(&info.name);
         let version = |i: &EntryInfo| (i.incarnation, i.sequence);
         if known.is_some_and(|k| version(&k.info) >= version(&info)) {
             return;
         }
-        let is_same_life = known.is_some_and(|k| k.info.incarnation == info.incarnation);
-        let failed_at = known.filter(|_| is_same_life).and_then(|k| k.failed_at);
-        if !is_same_life || known.is_some_and(|k| k.is_suspect) {
+        let is_same_incarnation = known.is_some_and(|k| k.info.incarnation == info.incarnation);
+        let failed_at = known.filter(|_| is_same_incarnation).and_then(|k| k.failed_at);
+        if !is_same_incarnation || known.is_some_and(|k| k.is_suspect) {
             out.push(Action::Report(Report::EntryJoined { entry: info.name.clone() }));
         }
-        let heard_at = now - age;
+        let last_seen = now - age;
         let name = info.name.clone();
-        self.records.insert(name, Record { info, heard_at, failed_at, is_suspect: false });
+        self.records.insert(name, Record { info, last_seen, failed_at, is_suspect: false });
     }
 
-    /// Takes in signs of life of known entry instances, named by the hashes of a digest.
-    pub fn take_heartbeats(
+    /// Applies heartbeats of known entry instances, identified by their hash with the salt of the
+    /// digest to which the heartbeats reply.
+    pub fn apply_heartbeats(
         &mut self,
         now: Millis,
         salt: u64,
-        beats: &[Heartbeat],
+        heartbeats: &[Heartbeat],
         transit: Millis,
     ) {
-        let by_mark: Map<u64, &Heartbeat> = beats.iter().map(|beat| (beat.mark, beat)).collect();
+        let by_hash: Map<u64, &Heartbeat> = heartbeats.iter().map(|h| (h.mark, h)).collect();
         for record in self.records.values_mut() {
             let info = &mut record.info;
-            let mark = digest::hash(salt, Fact::Entry, &info.name, info.incarnation, shape(info));
-            let Some(beat) = by_mark.get(&mark) else { continue };
-            if beat.sequence > info.sequence {
-                info.sequence = beat.sequence;
-                record.heard_at = now - (beat.age + transit);
+            let hash = digest::fact_hash(
+                salt,
+                FactKind::Entry,
+                &info.name,
+                info.incarnation,
+                content_hash(info),
+            );
+            let Some(heartbeat) = by_hash.get(&hash) else { continue };
+            if heartbeat.sequence > info.sequence {
+                info.sequence = heartbeat.sequence;
+                record.last_seen = now - (heartbeat.age + transit);
             }
         }
     }
 
-    /// Notes that a peer answered.
-    pub fn note_answer(&mut self, name: &Name) {
+    /// Records that a peer replied.
+    pub fn record_reply(&mut self, name: &Name) {
         if let Some(record) = self.records.get_mut(name) {
             record.failed_at = None;
         }
     }
 
-    /// Notes that a peer did not answer.
-    pub fn note_failure(&mut self, now: Millis, peer: &Name) {
+    /// Records that a request to a peer failed.
+    pub fn record_failure(&mut self, now: Millis, peer: &Name) {
         let record = self.records.values_mut().find(|r| r.info.peer_address == *peer);
         if let Some(record) = record {
             record.failed_at = Some(now);
         }
     }
 
-    /// Suspects those not heard of, and drops them later.
+    /// Suspects entry instances without a heartbeat for `suspect_after`, and removes those without
+    /// one for `drop_after`.
     pub fn expire(&mut self, now: Millis, cfg: &MemberCfg, out: &mut Vec<Action>) {
         for record in self.records.values_mut() {
-            if !record.is_suspect && now - record.heard_at > cfg.suspect_after {
+            if !record.is_suspect && now - record.last_seen > cfg.suspect_after {
                 record.is_suspect = true;
                 let entry = record.info.name.clone();
                 out.push(Action::Report(Report::EntrySuspected { entry }));
             }
-            record.is_suspect &= now - record.heard_at > cfg.suspect_after;
+            record.is_suspect &= now - record.last_seen > cfg.suspect_after;
         }
-        self.records.retain(|_, r| now - r.heard_at <= cfg.drop_after);
+        self.records.retain(|_, r| now - r.last_seen <= cfg.drop_after);
     }
 
-    /// Returns whether no other entry instance of the domain is known, not even a suspected one.
+    /// Returns whether no other entry instance of the domain is known, suspected ones included.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Returns the live ones that are not leaving, in the order of their names.
+    /// Returns the live entry instances that are not leaving, sorted by name.
     pub fn live(&self, now: Millis, cfg: &MemberCfg) -> Vec<&EntryInfo> {
         let live = self.records.values().filter(|r| r.is_live(now, cfg));
         let mut live: Vec<&EntryInfo> = live.map(|r| &r.info).collect();
@@ -103,52 +114,77 @@
         live
     }
 
-    /// Returns addresses to ask: live ones that answered lately, or else all live ones.
-    pub fn askable(&self, now: Millis, cfg: &MemberCfg) -> Vec<Name> {
-        let answers = |r: &&Record| r.failed_at.is_none_or(|at| now - at > AVOID);
+    /// Returns the peer addresses to choose from for gossip: of live entry instances without a
+    /// recent failure, or of all live ones if each failed recently.
+    pub fn sync_candidates(&self, now: Millis, cfg: &MemberCfg) -> Vec<Name> {
+        let is_reachable =
+            |r: &&Record| r.failed_at.is_none_or(|at| now - at > FAILED_PEER_BACKOFF);
         let live = || self.records.values().filter(|r| r.is_live(now, cfg));
-        let mut askable: Vec<Name> =
-            live().filter(answers).map(|r| r.info.peer_address.clone()).collect();
-        if askable.is_empty() {
-            askable = live().map(|r| r.info.peer_address.clone()).collect();
+        let mut candidates: Vec<Name> =
+            live().filter(is_reachable).map(|r| r.info.peer_address.clone()).collect();
+        if candidates.is_empty() {
+            candidates = live().map(|r| r.info.peer_address.clone()).collect();
         }
-        askable.sort_unstable();
-        askable
+        candidates.sort_unstable();
+        candidates
     }
 
-    /// Returns whether an address belongs to a live entry instance.
-    pub fn has_address(&self, now: Millis, cfg: &MemberCfg, address: &Name) -> bool {
+    /// Returns whether a peer address belongs to a live entry instance.
+    pub fn has_live_address(&self, now: Millis, cfg: &MemberCfg, address: &Name) -> bool {
         self.records.values().any(|r| r.is_live(now, cfg) && r.info.peer_address == *address)
     }
 
-    /// Returns addresses of suspected entry instances, which may be back.
-    pub fn suspected(&self) -> impl Iterator<Item = &Name> {
+    /// Returns the peer addresses of suspected entry instances, which may have recovered.
+    pub fn suspect_addresses(&self) -> impl Iterator<Item = &Name> {
         self.records.values().filter(|r| r.is_suspect).map(|r| &r.info.peer_address)
     }
 
-    /// Adds what is known here to a digest.
-    pub fn mark(&self, now: Millis, cfg: &MemberCfg, digest: &mut Digest) {
+    /// Appends the recently seen entry instances to a digest.
+    pub fn append_to(&self, now: Millis, cfg: &MemberCfg, digest: &mut Digest) {
         for info in self.recent(now, cfg).map(|r| &r.info) {
-            let (life, sequence) = (info.incarnation, info.sequence);
-            digest::mark(digest, Fact::Entry, &info.name, life, shape(info), sequence);
+            let (incarnation, sequence) = (info.incarnation, info.sequence);
+            digest::append_fact(
+                digest,
+                FactKind::Entry,
+                &info.name,
+                incarnation,
+                content_hash(info),
+                sequence,
+            );
         }
     }
 
-    /// Returns the entry instances that a peer lacks.
-    pub fn whole(&self, now: Millis, cfg: &MemberCfg, marks: &Marks) -> Vec<RelayedEntry> {
-        let lacking = self.recent(now, cfg).filter(|r| known(marks, &r.info).is_none());
-        let relayed = lacking.map(|r| RelayedEntry { info: r.info.clone(), age: now - r.heard_at });
+    /// Returns the entry instances that a digest lacks.
+    pub fn missing_from(
+        &self,
+        now: Millis,
+        cfg: &MemberCfg,
+        index: &DigestIndex,
+    ) -> Vec<RelayedEntry> {
+        let missing = self.recent(now, cfg).filter(|r| known_sequence(index, &r.info).is_none());
+        let relayed =
+            missing.map(|r| RelayedEntry { info: r.info.clone(), age: now - r.last_seen });
         relayed.collect()
     }
 
-    /// Returns the signs of life of which a peer has older ones.
-    pub fn heartbeats(&self, now: Millis, cfg: &MemberCfg, marks: &Marks) -> Vec<Heartbeat> {
+    /// Returns the heartbeats of entry instances that a digest lists with an older sequence number.
+    pub fn newer_heartbeats(
+        &self,
+        now: Millis,
+        cfg: &MemberCfg,
+        index: &DigestIndex,
+    ) -> Vec<Heartbeat> {
         let newer = self.recent(now, cfg).filter_map(|r| {
             let info = &r.info;
-            digest::is_newer(info.sequence, known(marks, info)?).then(|| Heartbeat {
-                mark: marks.hash(Fact::Entry, &info.name, info.incarnation, shape(info)),
+            digest::is_newer(info.sequence, known_sequence(index, info)?).then(|| Heartbeat {
+                mark: index.fact_hash(
+                    FactKind::Entry,
+                    &info.name,
+                    info.incarnation,
+                    content_hash(info),
+                ),
                 sequence: info.sequence,
-                age: now - r.heard_at,
+                age: now - r.last_seen,
             })
         });
         newer.collect()
@@ -156,27 +192,29 @@
 
     fn recent(&self, now: Millis, cfg: &MemberCfg) -> impl Iterator<Item = &Record> {
         let limit = cfg.suspect_after;
-        self.records.values().filter(move |r| now - r.heard_at <= limit)
+        self.records.values().filter(move |r| now - r.last_seen <= limit)
     }
 }
 
 impl Record {
     fn is_live(&self, now: Millis, cfg: &MemberCfg) -> bool {
-        now - self.heard_at <= cfg.suspect_after && self.info.leaving.is_none()
+        now - self.last_seen <= cfg.suspect_after && self.info.leaving.is_none()
     }
 }
 
-/// Orders entry instances for a key, the same at every instance that knows the same ones.
-pub fn ranked<'a>(key: &str, mut infos: Vec<&'a EntryInfo>) -> Vec<&'a EntryInfo> {
+/// Sorts entry instances by their rendezvous hash with a key. Instances that know the same ones get
+/// the same order.
+pub fn rank<'a>(key: &str, mut infos: Vec<&'a EntryInfo>) -> Vec<&'a EntryInfo> {
     infos.sort_by_cached_key(|info| (rendezvous(key, &info.name), info.name.clone()));
     infos
 }
 
-fn known(marks: &Marks, info: &EntryInfo) -> Option<u8> {
-    marks.sequence(Fact::Entry, &info.name, info.incarnation, shape(info))
+fn known_sequence(index: &DigestIndex, info: &EntryInfo) -> Option<u8> {
+    index.known_sequence(FactKind::Entry, &info.name, info.incarnation, content_hash(info))
 }
 
-/// Returns what tells reports of one life apart that peers must get whole.
-pub fn shape(info: &EntryInfo) -> u64 {
+/// Returns a value that changes when peers must receive an entry instance in full again, not just
+/// its heartbeat, within one incarnation.
+pub fn content_hash(info: &EntryInfo) -> u64 {
     u64::from(info.leaving.is_some())
 }
--- a/coordination/member/src/event.rs
+++ b/coordination/member/src/event.rs
@@ -1,4 +1,4 @@
-//! What the membership core hears, and what it asks its caller to do.
+//! Events that the membership core receives, and actions that it requests from its caller.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Millis, Name};
@@ -6,124 +6,126 @@
 use sill_wire::member::{MemberReply, MemberSync};
 use sill_wire::{Announcement, Incarnation};
 
-/// What the core hears.
+/// Input of the membership core.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// Time passed; expected a few times a second.
+    /// A timer tick; expected a few times per second.
     Tick,
-    /// An endpoint announced itself here.
+    /// An endpoint sent its announcement to this instance.
     #[serde(rename = "Announced")]
     Announcement(Announcement),
-    /// A peer asks; answered by [`Action::Reply`] in the same step.
+    /// A peer sent a request; the same step answers it with [`Action::Reply`].
     #[serde(rename = "Asked")]
     PeerRequest(MemberSync),
-    /// A peer answered.
+    /// A peer replied to a request of this instance.
     #[serde(rename = "Answered")]
     PeerReply {
-        /// The question's number.
+        /// Identifier of the request, from [`Action::SendRequest`].
         id: u64,
-        /// Its answer.
+        /// The reply of the peer.
         reply: Box<MemberReply>,
     },
-    /// A peer did not answer.
+    /// A request to a peer failed or timed out.
     #[serde(rename = "Failed")]
     RequestFailed {
-        /// The question's number.
+        /// Identifier of the request, from [`Action::SendRequest`].
         id: u64,
     },
-    /// The models and services of the settings, for which other domains are asked when the own one
-    /// has no free endpoint.
+    /// The models and services of the settings, whenever they change. Other failure domains are
+    /// queried for those that have no free endpoint in the own failure domain.
     #[serde(rename = "Wanted")]
     Services(Vec<Name>),
-    /// This instance is going to stop.
+    /// This instance has begun to shut down.
     #[serde(rename = "Leaving")]
     ShutdownStarted {
-        /// Time left.
+        /// Time left until it stops.
         left: Millis,
     },
 }
 
-/// What the core's caller has to do, in this order.
+/// Output of the membership core, to be carried out by its caller in the order of emission.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Ask a peer, and report [`Event::PeerReply`] or [`Event::RequestFailed`].
+    /// Send a request to a peer, then report [`Event::PeerReply`] or [`Event::RequestFailed`].
     #[serde(rename = "Ask")]
     SendRequest {
-        /// The question's number.
+        /// Identifier of the request, unique per core.
         id: u64,
-        /// The peer's address.
+        /// Peer address of the receiver, `IP:PORT`.
         peer: Name,
-        /// The question.
+        /// The body of the request.
         sync: MemberSync,
     },
-    /// Answer the peer that asked.
+    /// Reply to the peer whose request this step handles.
     Reply(Box<MemberReply>),
-    /// Answer the endpoint that announced itself.
+    /// Reply to the endpoint whose announcement this step handles.
     #[serde(rename = "Accept")]
     AnnounceReply(AnnounceReply),
-    /// Tell the router about an endpoint, ready or leaving.
+    /// Add an endpoint, ready or leaving, to the router, or update it there.
     #[serde(rename = "Use")]
     UpdateEndpoint {
-        /// The announcement.
+        /// The latest announcement of the endpoint.
         announcement: Announcement,
-        /// How old it is.
+        /// Upper bound of the age of the announcement.
         age: Millis,
     },
-    /// Tell the router that an endpoint must not be used.
+    /// Remove an endpoint from the router; it must not receive requests any more.
     #[serde(rename = "Drop")]
     RemoveEndpoint {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: Name,
-        /// Its life.
+        /// The incarnation to remove.
         incarnation: Incarnation,
     },
-    /// The router may choose until then; a process that was frozen finds this in the past.
+    /// Allow the router to choose endpoints until a point in time. Each tick extends it; after a
+    /// freeze of the process it lies in the past.
     #[serde(rename = "Trust")]
     AllowRouting {
-        /// The end, on this instance's clock.
+        /// End of the permission, on the clock of this instance.
         until: Millis,
     },
-    /// Write to the log.
+    /// Write a report to the log.
     Report(Report),
 }
 
-/// What operators should see in the log.
+/// Changes of the membership that operators see in the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Report {
-    /// A name is claimed by an endpoint with a lower incarnation than the one in use.
+    /// An announcement was refused because another endpoint uses its name, with a higher
+    /// incarnation or with the same one at another address.
     NameClaimedTwice {
-        /// The name.
+        /// The name that both endpoints claim.
         endpoint: Name,
-        /// The life in use.
+        /// The incarnation in use.
         winner: Incarnation,
-        /// The life that was refused.
+        /// The incarnation whose announcement was refused.
         refused: Incarnation,
     },
     /// An endpoint is leaving.
     EndpointLeaving {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: Name,
-        /// The life that ends.
+        /// The incarnation that is leaving.
         incarnation: Incarnation,
     },
-    /// An endpoint was not heard of for a lease.
+    /// The lease of an endpoint expired without a new announcement.
     EndpointLost {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: Name,
     },
-    /// An entry instance was not heard of and counts as dead.
+    /// No heartbeat of an entry instance arrived in time; it counts as dead.
     EntrySuspected {
-        /// The entry instance.
+        /// Name of the entry instance.
         entry: Name,
     },
-    /// An entry instance is back or new.
+    /// An entry instance is new, was restarted, or is no longer suspected.
     EntryJoined {
-        /// The entry instance.
+        /// Name of the entry instance.
         entry: Name,
     },
-    /// This process did not run for a while; it asks its peers before it uses what they told it.
+    /// This process was frozen. It syncs with its peers before it uses endpoints that they relayed.
     Frozen {
-        /// For how long.
+        /// Time between the last step before the freeze and the first one after it.
         span: Millis,
     },
 }
--- a/coordination/member/src/foreign.rs
+++ b/coordination/member/src/foreign.rs
@@ -1,4 +1,4 @@
-//! Other failure domains: their summaries, whom to ask there, and endpoints that they offered.
+//! Other failure domains: their summaries, their contact addresses, and the endpoints they offered.
 
 use std::collections::BTreeMap;
 
@@ -10,56 +10,61 @@
 use crate::digest;
 use crate::event::Action;
 
-/// A held summary must be older than the offered one by this much to be replaced.
-const YOUNGER_BY: Millis = Millis(2000);
+/// A summary is sent to a peer only if the peer's one is older by more than this.
+const MIN_AGE_DIFFERENCE: Millis = Millis(2000);
 
-/// How long a summary counts; a domain that is cut off for longer is asked like an unknown one.
+/// How long a summary is used. A domain that is unreachable for longer is treated as one without a
+/// summary.
 const SUMMARY_LEASE: Millis = Millis(60_000);
 
-/// How long an address that answered for another domain is left alone.
-const PLACED_FOR: Millis = Millis(300_000);
+/// How long an address that belonged to another domain is not probed.
+const ADDRESS_RETENTION: Millis = Millis(300_000);
 
-/// Numbers that spread entry instances over contacts are smaller than this.
-const SPREAD: usize = 1 << 24;
+/// Exclusive upper bound of the hashes that spread entry instances over contacts.
+const SPREAD_LIMIT: usize = 1 << 24;
 
-/// What is known of other failure domains.
+/// The known other failure domains.
 #[derive(Debug, Default)]
-pub struct Foreign {
+pub struct ForeignDomains {
     domains: BTreeMap<Name, Domain>,
+    /// Endpoints of other domains that the router has, by name.
     offers: Map<Name, Offer>,
-    /// Addresses that are known to belong to other domains, and since when. Without them, an
-    /// address of the process settings would be tried every second for good.
-    placed: Map<Name, Millis>,
-    turn: usize,
-    /// Spreads entry instances over the contacts of a domain.
-    spread: usize,
+    /// Peer addresses that belong to other domains, and when they were last in contact. Without
+    /// them, an address of the process settings would be probed every second forever.
+    addresses: Map<Name, Millis>,
+    /// Index of the domain whose contact was returned last.
+    domain_index: usize,
+    /// Hash of the own name, which spreads entry instances over domains and their contacts.
+    spread_hash: usize,
 }
 
 #[derive(Debug, Default)]
 struct Domain {
     summary: Option<DomainSummary>,
+    /// When the summary was made, at the earliest.
     made_at: Millis,
-    /// Addresses that answered for the domain, or were named by it, the best first.
+    /// Peer addresses in the domain: those of its latest summary first, then those it made contact
+    /// with.
     contacts: Vec<Name>,
-    /// Which contact to ask next, moved on by a failure.
-    turn: usize,
+    /// Offset into the contacts; each failure of a contact increments it.
+    contact_offset: usize,
 }
 
 #[derive(Debug)]
 struct Offer {
     announcement: Announcement,
-    until: Millis,
+    expires_at: Millis,
 }
 
-impl Foreign {
-    /// Makes the state of an entry instance that knows no other domain.
+impl ForeignDomains {
+    /// Creates the state of the entry instance with this name, which knows no other domain yet.
     pub fn new(own: &Name) -> Self {
-        let spread = digest::shape(own) as usize % SPREAD;
-        Self { spread, ..Self::default() }
+        let spread_hash = digest::stable_hash(own) as usize % SPREAD_LIMIT;
+        Self { spread_hash, ..Self::default() }
     }
 
-    /// Returns the endpoints of other domains that may be used now.
-    pub fn holds(&self) -> Vec<HeldOffer> {
+    /// Returns the offers of other domains that have not expired, sorted.
+    pub fn held_offers(&self) -> Vec<HeldOffer> {
         let held = self.offers.iter().map(|(name, offer)| HeldOffer {
             name: name.clone(),
             incarnation: offer.announcement.incarnation,
@@ -69,24 +74,26 @@
         held
     }
 
-    /// Notes that an entry instance of another domain answered or asked.
-    pub fn note_contact(&mut self, now: Millis, info: &EntryInfo) {
-        self.placed.insert(info.peer_address.clone(), now);
+    /// Records that an entry instance of another domain sent a request or a reply.
+    pub fn record_contact(&mut self, now: Millis, info: &EntryInfo) {
+        self.addresses.insert(info.peer_address.clone(), now);
         let domain = self.domains.entry(info.domain.clone()).or_default();
         if !domain.contacts.contains(&info.peer_address) {
             domain.contacts.push(info.peer_address.clone());
         }
     }
 
-    /// Notes that an address did not answer.
-    pub fn note_failure(&mut self, address: &Name) {
+    /// Records that a request to an address failed.
+    pub fn record_failure(&mut self, address: &Name) {
         for domain in self.domains.values_mut().filter(|d| d.contacts.contains(address)) {
-            domain.turn += 1;
+            domain.contact_offset += 1;
         }
     }
 
-    /// Takes in a summary. Endpoints in it are offers, which end soon.
-    pub fn take(
+    /// Applies a summary. Its endpoints are offers, which expire after `foreign_lease`.
+    ///
+    /// `is_whole` tells whether the summary covers all models and services of the domain.
+    pub fn apply(
         &mut self,
         now: Millis,
         mut summary: DomainSummary,
@@ -101,16 +108,16 @@
         let age = summary.age + transit;
         for capacity in &mut summary.capacity {
             for announcement in std::mem::take(&mut capacity.endpoints) {
-                self.offer(now, announcement, age, cfg, out);
+                self.add_offer(now, announcement, age, cfg, out);
             }
         }
         for held in std::mem::take(&mut summary.still) {
             let known = self.offers.get_mut(&held.name);
             if let Some(offer) = known.filter(|o| o.announcement.incarnation == held.incarnation) {
-                offer.until = offer.until.max(now + (cfg.foreign_lease - age));
+                offer.expires_at = offer.expires_at.max(now + (cfg.foreign_lease - age));
             }
         }
-        // An answer to a question for some models tells nothing of the others.
+        // A reply to a request for certain models has no information about the others.
         if !is_whole {
             return;
         }
@@ -126,79 +133,84 @@
         domain.summary = Some(summary);
     }
 
-    /// Ends offers that are too old to be sure of.
+    /// Removes expired offers, also from the router, and addresses without recent contact.
     pub fn expire(&mut self, now: Millis, out: &mut Vec<Action>) {
-        self.placed.retain(|_, at| now - *at <= PLACED_FOR);
-        let mut ended: Vec<Name> =
-            self.offers.iter().filter(|(_, o)| o.until < now).map(|(n, _)| n.clone()).collect();
-        ended.sort_unstable();
-        for name in ended {
+        self.addresses.retain(|_, at| now - *at <= ADDRESS_RETENTION);
+        let mut expired: Vec<Name> = self
+            .offers
+            .iter()
+            .filter(|(_, o)| o.expires_at < now)
+            .map(|(n, _)| n.clone())
+            .collect();
+        expired.sort_unstable();
+        for name in expired {
             let Some(offer) = self.offers.remove(&name) else { continue };
             let incarnation = offer.announcement.incarnation;
             out.push(Action::RemoveEndpoint { endpoint: name, incarnation });
         }
     }
 
-    /// Returns an address of the next domain in turn.
+    /// Returns a contact address of the next domain in round-robin order.
     pub fn next_contact(&mut self) -> Option<Name> {
         let count = self.domains.len().max(1);
-        self.turn = (self.turn + 1) % count;
-        self.domains.values().nth(self.turn).and_then(|d| d.contact(self.spread))
+        self.domain_index = (self.domain_index + 1) % count;
+        self.domains.values().nth(self.domain_index).and_then(|d| d.contact(self.spread_hash))
     }
 
-    /// Returns an address of a domain with free slots for the most of these names, or of the next
-    /// domain in turn where no summary tells of any.
+    /// Returns a contact address of a domain with free slots for the most of these models and
+    /// services, or of the next domain in round-robin order if no summary shows any free slots.
     ///
-    /// Entry instances are spread over equal domains, and each keeps to its one: if all chose the
-    /// domain with the most free slots, they would fill it together and then move on together.
-    pub fn contact_with(&mut self, now: Millis, wanted: &[Name]) -> Option<Name> {
-        let served = |domain: &Domain| domain.served(now, wanted);
-        let most = self.domains.values().map(served).max().filter(|most| *most > 0);
+    /// Entry instances are spread over equally good domains, and each stays with its domain: if all
+    /// chose the domain with the most free slots, they would fill it and then move on together.
+    pub fn contact_for(&mut self, now: Millis, services: &[Name]) -> Option<Name> {
+        let available = |domain: &Domain| domain.available_services(now, services);
+        let most = self.domains.values().map(available).max().filter(|most| *most > 0);
         let Some(most) = most else { return self.next_contact() };
-        let best: Vec<&Domain> = self.domains.values().filter(|d| served(d) == most).collect();
-        // Other digits of the hash, or some contacts would be asked by nobody.
-        best[self.spread / 256 % best.len()].contact(self.spread)
+        let best: Vec<&Domain> = self.domains.values().filter(|d| available(d) == most).collect();
+        // Uses other digits of the hash than the choice of the contact; otherwise no entry instance
+        // would choose some of the contacts.
+        best[self.spread_hash / 256 % best.len()].contact(self.spread_hash)
     }
 
-    /// Returns whether an address is known to belong to another domain.
+    /// Returns whether an address belonged to another domain at its last contact.
     pub fn has_address(&self, address: &Name) -> bool {
-        self.placed.contains_key(address)
+        self.addresses.contains_key(address)
     }
 
-    /// Returns an address of a domain.
+    /// Returns a contact address of a domain: the first contact, as long as none has failed.
     pub fn contact_of(&self, domain: &str) -> Option<Name> {
         self.domains.get(domain).and_then(|d| d.contact(0))
     }
 
-    /// Returns the domains that are known.
+    /// Returns the names of the known other domains.
     pub fn domains(&self) -> impl Iterator<Item = &Name> {
         self.domains.keys()
     }
 
-    /// Returns which summaries are held.
-    pub fn held(&self, now: Millis) -> Vec<SummaryAge> {
+    /// Returns the ages of the known summaries.
+    pub fn summary_ages(&self, now: Millis) -> Vec<SummaryAge> {
         let with_summary = self.domains.iter().filter(|(_, d)| d.summary.is_some());
         with_summary
             .map(|(name, d)| SummaryAge { domain: name.clone(), age: now - d.made_at })
             .collect()
     }
 
-    /// Returns the summaries that are clearly younger than those a peer holds.
-    pub fn younger(&self, now: Millis, held: &[SummaryAge]) -> Vec<DomainSummary> {
-        let is_younger = |domain: &Domain, name: &Name| {
-            let theirs = held.iter().find(|h| h.domain == *name);
-            theirs.is_none_or(|theirs| now - domain.made_at + YOUNGER_BY < theirs.age)
+    /// Returns the summaries that are clearly newer than those that a peer has.
+    pub fn newer_summaries(&self, now: Millis, held: &[SummaryAge]) -> Vec<DomainSummary> {
+        let is_newer = |domain: &Domain, name: &Name| {
+            let other = held.iter().find(|h| h.domain == *name);
+            other.is_none_or(|other| now - domain.made_at + MIN_AGE_DIFFERENCE < other.age)
         };
         let fresh = self.domains.iter().filter(|(_, d)| now - d.made_at <= SUMMARY_LEASE);
-        let younger = fresh.filter(|(name, d)| is_younger(d, name));
-        let aged = younger.filter_map(|(_, d)| {
+        let newer = fresh.filter(|(name, d)| is_newer(d, name));
+        let summaries = newer.filter_map(|(_, d)| {
             let age = now - d.made_at;
             d.summary.clone().map(|summary| DomainSummary { age, ..summary })
         });
-        aged.collect()
+        summaries.collect()
     }
 
-    fn offer(
+    fn add_offer(
         &mut self,
         now: Millis,
         announcement: Announcement,
@@ -206,8 +218,8 @@
         cfg: &MemberCfg,
         out: &mut Vec<Action>,
     ) {
-        let until = now + (cfg.foreign_lease - age);
-        if until <= now || announcement.leaving.is_some() {
+        let expires_at = now + (cfg.foreign_lease - age);
+        if expires_at <= now || announcement.leaving.is_some() {
             return;
         }
         let known = self.offers.get(&announcement.name);
@@ -216,20 +228,20 @@
         }
         out.push(Action::UpdateEndpoint { announcement: announcement.clone(), age });
         let name = announcement.name.clone();
-        self.offers.insert(name, Offer { announcement, until });
+        self.offers.insert(name, Offer { announcement, expires_at });
     }
 }
 
 impl Domain {
-    fn contact(&self, spread: usize) -> Option<Name> {
+    fn contact(&self, spread_hash: usize) -> Option<Name> {
         let count = self.contacts.len().max(1);
-        self.contacts.get((self.turn + spread) % count).cloned()
+        self.contacts.get((self.contact_offset + spread_hash) % count).cloned()
     }
 
-    /// Returns for how many of these names the domain has free slots.
-    fn served(&self, now: Millis, wanted: &[Name]) -> usize {
+    /// Returns for how many of these models and services the domain has free slots.
+    fn available_services(&self, now: Millis, services: &[Name]) -> usize {
         let summary = self.summary.as_ref().filter(|_| now - self.made_at <= SUMMARY_LEASE);
         let capacity = summary.into_iter().flat_map(|s| &s.capacity);
-        capacity.filter(|c| c.free_slots > 0 && wanted.contains(&c.serves)).count()
+        capacity.filter(|c| c.free_slots > 0 && services.contains(&c.serves)).count()
     }
 }
--- a/coordination/member/src/lib.rs
+++ b/coordination/member/src/lib.rs
@@ -1,4 +1,4 @@
-//! Membership of entry instances and endpoints: who lives, who is leaving, who was replaced.
+//! Membership of entry instances and endpoints: which are live, leaving or replaced.
 
 pub mod cfg;
 pub mod digest;
--- a/coordination/member/src/members.rs
+++ b/coordination/member/src/members.rs
@@ -1,8 +1,8 @@
 //! The membership core of one entry instance.
 
-mod answering;
-mod asking;
-mod hearing;
+mod replies;
+mod requests;
+mod updates;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,151 +12,165 @@
 use sill_wire::{Announcement, Incarnation};
 
 use crate::cfg::MemberCfg;
-use crate::endpoints::{Confirmation, Endpoints};
-use crate::entries::{Entries, ranked};
+use crate::endpoints::{Confirmation, EndpointTable};
+use crate::entries::{EntryTable, rank};
 use crate::event::{Action, Event};
-use crate::foreign::Foreign;
+use crate::foreign::ForeignDomains;
 
-/// Further peers asked at once when one does not answer, in one interval.
-const RETRIES: u32 = 3;
+/// Maximum number of immediate retries with another peer per sync interval, after failed gossip
+/// requests.
+const MAX_SYNC_RETRIES: u32 = 3;
 
-/// Pushes of one leaving notice to one peer; later it comes by the peer's own questions.
-const PUSHES: u32 = 15;
+/// Maximum number of pushes of a leaving notice to a peer. A peer that acknowledged none of them
+/// gets the notice by its own gossip requests.
+const MAX_PUSHES: u32 = 15;
 
-/// Unknown addresses tried at once while no peer has confirmed what is known here.
-const FIRST_PROBES: usize = 8;
+/// Maximum number of addresses probed at once while no peer has confirmed the facts known here.
+const INITIAL_PROBES: usize = 8;
 
-/// Questions without an end are forgotten after this time.
-const QUESTION_LIMIT: Millis = Millis(60_000);
+/// Time after which a request without a reported outcome is removed.
+const REQUEST_RETENTION: Millis = Millis(60_000);
 
-/// Entry instances named to other domains, over which these spread their questions.
-const NAMED_CONTACTS: usize = 8;
+/// Maximum number of entry instances in a summary, over which other domains spread their requests.
+const MAX_SUMMARY_CONTACTS: usize = 8;
 
-/// Entry instances named to an endpoint.
-const NAMED_ENTRIES: usize = 4;
+/// Maximum number of entry instances in the reply to an endpoint's announcement.
+const MAX_ANNOUNCE_ENTRIES: usize = 4;
 
-/// The lowest time that the core may be given.
+/// The lowest time that a caller may pass to the core.
 ///
-/// Times of facts are kept as points before now. With a clock that starts at zero they would be cut
-/// off at the start, and a fact that is old at the time of a restart would look new.
+/// The core stores the times of facts as points before now. With a clock that starts at zero, they
+/// would saturate at zero after a restart, and an old fact would look new.
 pub const CLOCK_START: Millis = Millis(86_400_000);
 
-/// Who lives, who is leaving and who was replaced, as one entry instance knows it.
+/// The view that one entry instance has of live, leaving and replaced members.
 ///
-/// Its clock must not show less than [`CLOCK_START`].
+/// The times passed to it must not be below [`CLOCK_START`].
 #[derive(Debug)]
 pub struct Members {
     cfg: MemberCfg,
     own: EntryInfo,
     rng: Rng,
-    endpoints: Endpoints,
-    entries: Entries,
-    foreign: Foreign,
+    endpoints: EndpointTable,
+    entries: EntryTable,
+    foreign: ForeignDomains,
     confirmation: Confirmation,
-    questions: BTreeMap<u64, Question>,
+    pending: BTreeMap<u64, PendingRequest>,
     pushes: BTreeMap<(Name, Incarnation), Push>,
-    wanted: Vec<Name>,
-    next_question: u64,
+    /// The models and services of the settings.
+    services: Vec<Name>,
+    next_request_id: u64,
     last_step: Option<Millis>,
-    next_ask: Millis,
+    /// Time of the next gossip request to a peer of the own domain.
+    next_sync: Millis,
     next_push: Millis,
+    /// Time of the next summary request to another domain, if this instance is a gateway.
     next_summary: Millis,
-    next_summary_ask: Millis,
-    next_probe: usize,
-    retries: u32,
-    summaries_made: u64,
+    /// Time of the next gossip request that also asks for summaries.
+    next_summary_sync: Millis,
+    /// Index of the address that was probed last.
+    probe_index: usize,
+    /// Retries left in the current sync interval.
+    retries_left: u32,
+    /// Sequence number of the last summary of the own domain.
+    summary_sequence: u64,
 }
 
-/// A question under way.
+/// A request in flight.
 #[derive(Debug)]
-struct Question {
+struct PendingRequest {
     peer: Name,
-    asked: Millis,
-    kind: Kind,
-    /// Of its digest, by which the answer names facts.
+    sent_at: Millis,
+    kind: RequestKind,
+    /// Salt of its digest, with which the reply hashes facts.
     salt: u64,
-    /// Whether it asked for some models and services only.
-    wanted: bool,
+    /// Whether it asks only for certain models and services.
+    is_filtered: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Kind {
-    /// For news of the own failure domain.
-    News,
-    /// To an address of which it is not known who is there.
+enum RequestKind {
+    /// Gossip with a peer of the own failure domain.
+    Sync,
+    /// Gossip with an unknown or suspected instance behind an address.
     Probe,
-    /// To tell that endpoints are leaving.
+    /// Push of leaving notices.
     Push(Vec<(Name, Incarnation)>),
-    /// For the summary of another failure domain.
+    /// Request for the summary of another failure domain.
     Summary,
 }
 
-/// A leaving notice on its way to all peers.
+/// The state of pushing a leaving notice to all peers.
 #[derive(Debug)]
 struct Push {
-    acknowledged: BTreeSet<Name>,
-    left: u32,
+    /// Peer addresses that acknowledged the notice.
+    acknowledged_by: BTreeSet<Name>,
+    pushes_left: u32,
 }
 
 impl Members {
-    /// Makes a core that knows itself only.
+    /// Creates a core that knows only its own instance.
     pub fn new(cfg: MemberCfg) -> Self {
         Self {
             own: cfg.own.clone(),
             rng: seeded(cfg.seed),
-            endpoints: Endpoints::default(),
-            entries: Entries::default(),
-            foreign: Foreign::new(&cfg.own.name),
-            confirmation: Confirmation { thawed: Millis::ZERO, confirmed: None, is_alone: true },
-            questions: BTreeMap::new(),
+            endpoints: EndpointTable::default(),
+            entries: EntryTable::default(),
+            foreign: ForeignDomains::new(&cfg.own.name),
+            confirmation: Confirmation {
+                resumed_at: Millis::ZERO,
+                confirmed_at: None,
+                is_alone: true,
+            },
+            pending: BTreeMap::new(),
             pushes: BTreeMap::new(),
-            wanted: Vec::new(),
-            next_question: 1,
+            services: Vec::new(),
+            next_request_id: 1,
             last_step: None,
-            next_ask: Millis::ZERO,
+            next_sync: Millis::ZERO,
             next_push: Millis::ZERO,
             next_summary: Millis::ZERO,
-            next_summary_ask: Millis::ZERO,
-            next_probe: 0,
-            retries: 0,
-            summaries_made: 0,
+            next_summary_sync: Millis::ZERO,
+            probe_index: 0,
+            retries_left: 0,
+            summary_sequence: 0,
             cfg,
         }
     }
 
-    /// Returns this instance as peers see it.
+    /// Returns the report that this instance sends to peers about itself.
     pub fn own(&self) -> &EntryInfo {
         &self.own
     }
 
-    /// Returns the live entry instances of the failure domain, without this one.
+    /// Returns the other entry instances of the failure domain that are live and not leaving.
     pub fn peers_of_domain(&self, now: Millis) -> Vec<EntryInfo> {
         self.entries.live(now, &self.cfg).into_iter().cloned().collect()
     }
 
-    /// Returns the entry instance of the domain that keeps what belongs to a key; it may be this
-    /// one. All instances that know the same live ones return the same.
+    /// Returns the home of a key: the entry instance of the domain, possibly this one, that keeps
+    /// the state of the key. Instances that know the same live instances return the same home.
     pub fn home_for(&self, now: Millis, key: &str) -> Option<EntryInfo> {
-        ranked(key, self.domain(now)).first().map(|info| (*info).clone())
+        rank(key, self.live_entries(now)).first().map(|info| (*info).clone())
     }
 
-    /// Returns the peer addresses of the domain's live entry instances in the order of a key, and
-    /// the place of this one among them; that is their number where this one is leaving.
+    /// Returns the peer addresses of the domain's live entry instances, ranked by a key, and the
+    /// index of this instance among them. If this instance is leaving, the index is their number.
     pub fn ranking(&self, now: Millis, key: &str) -> (Vec<Name>, usize) {
-        let ranked = ranked(key, self.domain(now));
-        let place = ranked.iter().position(|info| info.name == self.own.name);
+        let ranked = rank(key, self.live_entries(now));
+        let index = ranked.iter().position(|info| info.name == self.own.name);
         let addresses: Vec<Name> = ranked.iter().map(|info| info.peer_address.clone()).collect();
-        let place = place.unwrap_or(addresses.len());
-        (addresses, place)
+        let index = index.unwrap_or(addresses.len());
+        (addresses, index)
     }
 
-    /// Returns the entry instances of the domain that speak with other domains.
+    /// Returns the entry instances of the domain that exchange summaries with other domains.
     pub fn gateways(&self, now: Millis) -> Vec<EntryInfo> {
-        let ranked = ranked("gateway", self.domain(now));
-        ranked.into_iter().take(self.cfg.gateways).cloned().collect()
+        let ranked = rank("gateway", self.live_entries(now));
+        ranked.into_iter().take(self.cfg.gateway_count).cloned().collect()
     }
 
-    /// Returns the peer address of the entry instance that adds up figures of a failure domain.
+    /// Returns the peer address of the entry instance that aggregates the figures of a domain.
     pub fn aggregator(&self, now: Millis, domain: &str) -> Option<Name> {
         if domain == self.own.domain.as_str() {
             return self.gateways(now).first().map(|info| info.peer_address.clone());
@@ -164,7 +178,7 @@
         self.foreign.contact_of(domain)
     }
 
-    /// Returns the failure domains that are known, with the own one.
+    /// Returns the names of the known failure domains, including the own one, sorted.
     pub fn domains(&self) -> Vec<Name> {
         let mut domains: Vec<Name> = self.foreign.domains().cloned().collect();
         domains.push(self.own.domain.clone());
@@ -173,32 +187,33 @@
         domains
     }
 
-    /// Returns the endpoints of the domain that requests may be sent to.
+    /// Returns the endpoints of the domain that may receive requests.
     pub fn ready(&self) -> Vec<&Announcement> {
         self.endpoints.ready().collect()
     }
 
-    /// Returns the endpoints of the domain that are leaving and not gone.
+    /// Returns the endpoints of the domain that are leaving but not gone yet.
     pub fn leaving(&self) -> Vec<&Announcement> {
         self.endpoints.leaving().collect()
     }
 
-    /// Returns whether a life of an endpoint is known as leaving.
+    /// Returns whether this incarnation of an endpoint, or a later one, is known to be leaving.
     pub fn is_leaving(&self, name: &str, incarnation: Incarnation) -> bool {
         self.endpoints.is_leaving(name, incarnation)
     }
 
-    fn domain(&self, now: Millis) -> Vec<&EntryInfo> {
-        let mut domain = self.entries.live(now, &self.cfg);
+    /// Returns the live entry instances of the domain that are not leaving, including this one.
+    fn live_entries(&self, now: Millis) -> Vec<&EntryInfo> {
+        let mut live = self.entries.live(now, &self.cfg);
         if self.own.leaving.is_none() {
-            domain.push(&self.own);
+            live.push(&self.own);
         }
-        domain
+        live
     }
 
-    fn settle(&mut self, now: Millis, name: &Name, out: &mut Vec<Action>) {
+    fn update_router(&mut self, now: Millis, name: &Name, out: &mut Vec<Action>) {
         let Self { endpoints, confirmation, cfg, .. } = self;
-        endpoints.settle(now, name, confirmation, cfg, out);
+        endpoints.update_router(now, name, confirmation, cfg, out);
     }
 }
 
@@ -207,23 +222,23 @@
     type Event = Event;
 
     fn step(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
-        self.check_frozen(now, out);
+        self.detect_freeze(now, out);
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Announcement(announcement) => self.announced(now, announcement, out),
-            Event::PeerRequest(sync) => self.asked(now, sync, out),
-            Event::PeerReply { id, reply } => self.answered(now, id, *reply, out),
-            Event::RequestFailed { id } => self.failed(now, id, out),
-            Event::Services(wanted) => self.wanted = wanted,
+            Event::Announcement(announcement) => self.handle_announcement(now, announcement, out),
+            Event::PeerRequest(sync) => self.handle_request(now, sync, out),
+            Event::PeerReply { id, reply } => self.handle_reply(now, id, *reply, out),
+            Event::RequestFailed { id } => self.handle_failure(now, id, out),
+            Event::Services(services) => self.services = services,
             Event::ShutdownStarted { left } => {
                 self.own.leaving = Some(left);
                 self.own.sequence += 1;
-                self.next_ask = now;
+                self.next_sync = now;
             }
         }
     }
 }
 
-fn empty(name: &Name) -> DomainCapacity {
+fn empty_capacity(name: &Name) -> DomainCapacity {
     DomainCapacity { serves: name.clone(), free_slots: 0, slots: 0, endpoints: Vec::new() }
 }
