--- a/coordination/member/tests/sim/mod.rs
+++ b/coordination/member/tests/sim/mod.rs
@@ -1,6 +1,6 @@
-//! Entry instances and endpoints in virtual time, with every fault, and what must hold of them.
+//! A simulation of entry instances and endpoints in virtual time, with faults and checks.
 
-#![allow(dead_code, reason = "each test program uses a part of it")]
+#![allow(dead_code, reason = "each test program uses only a part of the simulation")]
 
 use std::collections::BTreeMap;
 
@@ -15,75 +15,85 @@
 const CHECK_EVERY: Millis = Millis(50);
 const CALL_TIMEOUT: Millis = Millis(800);
 
-/// Peers of the own domain, and of others, that a process is started with. One whose peers are all
-/// down when it starts is alone, and can only believe what endpoints tell it.
-const SEEDS: usize = 6;
+/// Maximum number of peers of the own domain, and of other domains, that a process is started with.
+/// A process whose peers are all down at its start has only the announcements of endpoints.
+const MAX_SEEDS: usize = 6;
 
-/// No new work this long after an entry instance took in that an endpoint is leaving.
+/// Time after which an endpoint must not get new requests, from its first accepted announcement
+/// that it is leaving.
 const LEAVING_LIMIT: Millis = Millis(2000);
 
-/// How much goes wrong.
+/// The rates of faults in a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Faults {
-    /// Chance of a fault of each kind a second.
+    /// Probability per second of a fault of each kind.
     pub rate: f64,
-    /// Share of messages that are lost, come twice, or come late by seconds.
+    /// Share of messages that are lost; the same share is duplicated, and delayed by seconds.
     pub loss: f64,
-    /// Whether connections inside a failure domain are cut, too.
-    pub inner_cuts: bool,
+    /// Whether partitions also separate instances of the same failure domain.
+    pub has_inner_cuts: bool,
 }
 
-/// One run.
+/// The state of a run.
 pub struct Sim {
     pub now: Millis,
     pub nodes: Vec<Node>,
     pub endpoints: Vec<Endpoint>,
     rng: Rng,
     queue: BTreeMap<(Millis, u64), Delivery>,
-    next: u64,
+    next_delivery: u64,
+    /// Pairs of a sender and a receiver whose messages are lost.
     cuts: Vec<(usize, usize)>,
     faults: Faults,
     weakening: Weakening,
-    lives: u64,
-    /// When an entry instance first took in that a life is leaving.
-    left: BTreeMap<(Name, Incarnation), Millis>,
+    last_incarnation: u64,
+    /// When an entry instance first accepted an announcement that an incarnation is leaving.
+    left_at: BTreeMap<(Name, Incarnation), Millis>,
 }
 
-/// An entry instance.
+/// An entry instance; it is stopped while it has no core.
 pub struct Node {
     pub info: EntryInfo,
     pub core: Option<Members>,
-    /// The router's view.
+    /// The endpoints that the router has.
     pub router: Map<Name, Announcement>,
-    trust: Millis,
-    frozen: bool,
-    accepted: bool,
-    held: Vec<Delivery>,
-    offset: u64,
-    drift: i64,
+    /// The time on its own clock until which the router may choose endpoints.
+    routing_until: Millis,
+    is_frozen: bool,
+    /// Whether it accepted the last announcement.
+    has_accepted: bool,
+    /// Messages that arrived while it is frozen.
+    buffered: Vec<Delivery>,
+    /// Milliseconds by which its clock is ahead.
+    clock_offset: u64,
+    /// Milliseconds per second by which its clock runs fast.
+    clock_drift: i64,
+    /// The highest incarnation of each endpoint that the router got.
     highest: Map<Name, Incarnation>,
 }
 
-/// An endpoint, and possibly its former process that still announces itself.
+/// An endpoint, and possibly its old process that still announces itself.
 pub struct Endpoint {
     pub announcement: Announcement,
-    pub alive: bool,
+    pub is_alive: bool,
     leaves_at: Option<Millis>,
-    former: Option<Announcement>,
+    /// The announcement of the old process.
+    old_process: Option<Announcement>,
+    /// Number of the entry instance, modulo their count, that gets its announcements.
     entry: usize,
 }
 
 #[derive(Debug, Clone)]
 enum Delivery {
-    Tick { node: usize, life: Incarnation },
-    Call { from: usize, life: Incarnation, to: usize, id: u64, sync: MemberSync },
-    Reply { node: usize, life: Incarnation, id: u64, reply: Box<MemberReply> },
-    Timeout { node: usize, life: Incarnation, id: u64 },
+    Tick { node: usize, incarnation: Incarnation },
+    Call { from: usize, incarnation: Incarnation, to: usize, id: u64, sync: MemberSync },
+    Reply { node: usize, incarnation: Incarnation, id: u64, reply: Box<MemberReply> },
+    Timeout { node: usize, incarnation: Incarnation, id: u64 },
     Announce { node: usize, announcement: Announcement },
-    Turn { endpoint: usize },
-    Thaw { node: usize },
-    Restart { node: usize },
-    Return { endpoint: usize },
+    AnnounceTimer { endpoint: usize },
+    Resume { node: usize },
+    RestartEntry { node: usize },
+    RestartEndpoint { endpoint: usize },
     Heal { pair: (usize, usize) },
     Check,
     Fault,
@@ -103,12 +113,12 @@
             endpoints: Vec::new(),
             rng: seeded(seed),
             queue: BTreeMap::new(),
-            next: 0,
+            next_delivery: 0,
             cuts: Vec::new(),
             faults,
             weakening: Weakening::None,
-            lives: 1,
-            left: BTreeMap::new(),
+            last_incarnation: 1,
+            left_at: BTreeMap::new(),
         };
         for n in 0..entries {
             let node = sim.new_node(n, domains);
@@ -117,15 +127,20 @@
         for n in 0..endpoints {
             let domain: Name = format!("d{}", n % domains).into();
             let announcement = announcement(n, domain, Incarnation(1));
-            let endpoint =
-                Endpoint { announcement, alive: true, leaves_at: None, former: None, entry: n };
+            let endpoint = Endpoint {
+                announcement,
+                is_alive: true,
+                leaves_at: None,
+                old_process: None,
+                entry: n,
+            };
             sim.endpoints.push(endpoint);
-            sim.after(Millis(n as u64 * 37 % 1000), Delivery::Turn { endpoint: n });
+            sim.after(Millis(n as u64 * 37 % 1000), Delivery::AnnounceTimer { endpoint: n });
         }
         sim
     }
 
-    pub fn weakened(mut self, weakening: Weakening) -> Self {
+    pub fn with_weakening(mut self, weakening: Weakening) -> Self {
         self.weakening = weakening;
         self
     }
@@ -144,17 +159,17 @@
             info,
             core: None,
             router: Map::default(),
-            trust: Millis::ZERO,
-            frozen: false,
-            accepted: false,
-            held: Vec::new(),
-            offset: self.rng.random_range(0..1_000_000),
-            drift: self.rng.random_range(-10..=10),
+            routing_until: Millis::ZERO,
+            is_frozen: false,
+            has_accepted: false,
+            buffered: Vec::new(),
+            clock_offset: self.rng.random_range(0..1_000_000),
+            clock_drift: self.rng.random_range(-10..=10),
             highest: Map::default(),
         }
     }
 
-    /// Starts all, lets faults happen for `faulty`, then runs without for `calm`.
+    /// Starts all entry instances, runs with faults for `faulty`, then without for `calm`.
     pub fn run(&mut self, faulty: Millis, calm: Millis) -> Result<(), String> {
         for node in 0..self.nodes.len() {
             self.start(node);
@@ -181,19 +196,20 @@
         Ok(())
     }
 
-    /// Gives an endpoint notice; it tells so at its next turn, which comes at once.
+    /// Gives an endpoint notice that it will be reclaimed. It announces this at once.
     pub fn reclaim(&mut self, endpoint: usize, left: Millis) {
         self.endpoints[endpoint].leaves_at = Some(self.now + left);
-        self.after(Millis::ZERO, Delivery::Turn { endpoint });
+        self.after(Millis::ZERO, Delivery::AnnounceTimer { endpoint });
     }
 
-    /// Stops a process without ending it, for a span.
+    /// Freezes the process of an entry instance for a span.
     pub fn freeze(&mut self, node: usize, span: Millis) {
-        self.nodes[node].frozen = true;
-        self.after(span, Delivery::Thaw { node });
+        self.nodes[node].is_frozen = true;
+        self.after(span, Delivery::Resume { node });
     }
 
-    /// Checks what must be true once everything has been calm for a while.
+    /// Checks that each entry instance knows all peers and endpoints of its domain, as it must
+    /// after a while without faults.
     pub fn check_converged(&self) -> Result<(), String> {
         for node in &self.nodes {
             let Some(core) = &node.core else { continue };
@@ -208,12 +224,15 @@
             let known = core.peers_of_domain(now);
             let known: Vec<&Name> = known.iter().map(|i| &i.name).collect();
             if peers != known {
-                return Err(format!("{} knows peers {known:?}, not {peers:?}", node.info.name));
+                return Err(format!(
+                    "{} knows the peers {known:?}, but live are {peers:?}",
+                    node.info.name
+                ));
             }
             let mut ready: Vec<(&Name, Incarnation)> = self
                 .endpoints
                 .iter()
-                .filter(|e| e.alive && e.leaves_at.is_none())
+                .filter(|e| e.is_alive && e.leaves_at.is_none())
                 .map(|e| (&e.announcement.name, e.announcement.incarnation))
                 .filter(|(name, _)| self.domain_of(name) == node.info.domain)
                 .collect();
@@ -223,7 +242,10 @@
                 used.map(|a| (&a.name, a.incarnation)).collect();
             used.sort();
             if ready != used {
-                return Err(format!("{} uses {used:?}, not {ready:?}", node.info.name));
+                return Err(format!(
+                    "{} uses the endpoints {used:?}, but ready are {ready:?}",
+                    node.info.name
+                ));
             }
         }
         Ok(())
@@ -243,46 +265,46 @@
             Delivery::Call { to, .. } => Some(*to),
             _ => None,
         };
-        // What comes while a process is stopped lies in buffers until it goes on.
-        if let Some(node) = to.filter(|n| self.nodes[*n].frozen) {
-            self.nodes[node].held.push(delivery);
+        // Messages to a frozen process wait in buffers until it resumes.
+        if let Some(node) = to.filter(|n| self.nodes[*n].is_frozen) {
+            self.nodes[node].buffered.push(delivery);
             return Ok(());
         }
         match delivery {
-            Delivery::Tick { node, life } => {
-                if self.step(node, Some(life), Event::Tick)? {
-                    self.after(TICK, Delivery::Tick { node, life });
+            Delivery::Tick { node, incarnation } => {
+                if self.step(node, Some(incarnation), Event::Tick)? {
+                    self.after(TICK, Delivery::Tick { node, incarnation });
                 }
             }
-            Delivery::Call { from, life, to, id, sync } => {
-                let back = (from, life, id);
-                self.step_with(to, None, Event::PeerRequest(sync), Some(back))?;
+            Delivery::Call { from, incarnation, to, id, sync } => {
+                let caller = (from, incarnation, id);
+                self.step_with(to, None, Event::PeerRequest(sync), Some(caller))?;
             }
-            Delivery::Reply { node, life, id, reply } => {
-                self.step(node, Some(life), Event::PeerReply { id, reply })?;
+            Delivery::Reply { node, incarnation, id, reply } => {
+                self.step(node, Some(incarnation), Event::PeerReply { id, reply })?;
             }
-            Delivery::Timeout { node, life, id } => {
-                self.step(node, Some(life), Event::RequestFailed { id })?;
+            Delivery::Timeout { node, incarnation, id } => {
+                self.step(node, Some(incarnation), Event::RequestFailed { id })?;
             }
             Delivery::Announce { node, announcement } => {
                 let key = (announcement.name.clone(), announcement.incarnation);
-                let leaves = announcement.leaving.is_some();
-                let accepted = self.step(node, None, Event::Announcement(announcement))?;
-                if accepted && leaves && self.nodes[node].accepted {
-                    self.left.entry(key).or_insert(self.now);
-                } else if leaves {
-                    self.refused(&key.0, node);
+                let is_leaving = announcement.leaving.is_some();
+                let is_running = self.step(node, None, Event::Announcement(announcement))?;
+                if is_running && is_leaving && self.nodes[node].has_accepted {
+                    self.left_at.entry(key).or_insert(self.now);
+                } else if is_leaving {
+                    self.retry_announcement(&key.0, node);
                 }
             }
-            Delivery::Turn { endpoint } => self.turn(endpoint),
-            Delivery::Thaw { node } => {
-                self.nodes[node].frozen = false;
-                for held in std::mem::take(&mut self.nodes[node].held) {
-                    self.deliver(held)?;
+            Delivery::AnnounceTimer { endpoint } => self.announce(endpoint),
+            Delivery::Resume { node } => {
+                self.nodes[node].is_frozen = false;
+                for buffered in std::mem::take(&mut self.nodes[node].buffered) {
+                    self.deliver(buffered)?;
                 }
             }
-            Delivery::Restart { node } => self.start(node),
-            Delivery::Return { endpoint } => self.restart_endpoint(endpoint),
+            Delivery::RestartEntry { node } => self.start(node),
+            Delivery::RestartEndpoint { endpoint } => self.restart_endpoint(endpoint),
             Delivery::Heal { pair } => self.cuts.retain(|p| *p != pair),
             Delivery::Check => {
                 self.check()?;
@@ -293,22 +315,25 @@
         Ok(())
     }
 
+    /// Checks that no running entry instance sends requests to an endpoint for longer than allowed
+    /// after it began to leave.
     fn check(&self) -> Result<(), String> {
         for node in &self.nodes {
-            let running = node.core.is_some() && !node.frozen;
-            if !running || node.local(self.now) > node.trust {
+            let is_running = node.core.is_some() && !node.is_frozen;
+            if !is_running || node.local(self.now) > node.routing_until {
                 continue;
             }
             for a in node.router.values().filter(|a| a.leaving.is_none()) {
-                let left = self.left.get(&(a.name.clone(), a.incarnation));
+                let left_at = self.left_at.get(&(a.name.clone(), a.incarnation));
                 let limit = self.leaving_limit(node, a);
-                // A dead one gets nothing; it may be believed where all who knew died as well.
+                // A dead endpoint can't run requests. It may still count as ready if all entry
+                // instances that knew of its leaving died as well.
                 if !self.is_alive(&a.name, a.incarnation) {
                     continue;
                 }
-                if left.is_some_and(|at| self.now - *at > limit) {
+                if left_at.is_some_and(|at| self.now - *at > limit) {
                     return Err(format!(
-                        "{} would send to {} {limit} ms after it said it is leaving",
+                        "{} would use {} more than {limit} ms after it reported that it is leaving",
                         node.info.name, a.name
                     ));
                 }
@@ -317,56 +342,58 @@
         Ok(())
     }
 
-    fn is_alive(&self, name: &Name, life: Incarnation) -> bool {
-        let is_it = |e: &Endpoint| {
-            e.alive && e.announcement.name == *name && e.announcement.incarnation == life
+    fn is_alive(&self, name: &Name, incarnation: Incarnation) -> bool {
+        let is_match = |e: &Endpoint| {
+            e.is_alive && e.announcement.name == *name && e.announcement.incarnation == incarnation
         };
-        self.endpoints.iter().any(is_it)
+        self.endpoints.iter().any(is_match)
     }
 
     fn leaving_limit(&self, node: &Node, a: &Announcement) -> Millis {
-        let foreign = a.domain != node.info.domain;
-        // Where peers of a domain are cut from each other, only the lease ends it.
-        let cut = Millis(12_000);
-        match (self.faults.inner_cuts, foreign) {
-            (true, _) => cut,
+        let is_foreign = a.domain != node.info.domain;
+        // With partitions inside a domain, a leaving endpoint is used until its lease expires.
+        let lease_limit = Millis(12_000);
+        match (self.faults.has_inner_cuts, is_foreign) {
+            (true, _) => lease_limit,
             (false, true) => LEAVING_LIMIT + Millis(3000),
             (false, false) => LEAVING_LIMIT,
         }
     }
 
-    fn turn(&mut self, endpoint: usize) {
+    /// Sends the announcements of an endpoint, or stops it if its time has run out.
+    fn announce(&mut self, endpoint: usize) {
         let now = self.now;
         let e = &mut self.endpoints[endpoint];
-        if e.leaves_at.is_some_and(|at| at <= now) && e.alive {
-            e.alive = false;
-            self.after(Millis(4000), Delivery::Return { endpoint });
+        if e.leaves_at.is_some_and(|at| at <= now) && e.is_alive {
+            e.is_alive = false;
+            self.after(Millis(4000), Delivery::RestartEndpoint { endpoint });
             return;
         }
         let e = &mut self.endpoints[endpoint];
-        if !e.alive {
+        if !e.is_alive {
             return;
         }
         e.announcement.sequence += 1;
         e.announcement.leaving = e.leaves_at.map(|at| at - now);
         e.announcement.load.running = (now.0 / 100 % 8) as u32;
-        let (fresh, former) = (e.announcement.clone(), e.former.clone());
-        self.tell(endpoint, fresh);
-        if let Some(former) = former {
-            self.tell(endpoint, former);
+        let (current, old_process) = (e.announcement.clone(), e.old_process.clone());
+        self.send_announcement(endpoint, current);
+        if let Some(old_process) = old_process {
+            self.send_announcement(endpoint, old_process);
         }
-        self.after(Millis(1000), Delivery::Turn { endpoint });
+        self.after(Millis(1000), Delivery::AnnounceTimer { endpoint });
     }
 
-    /// Tells the first entry instance of the domain that runs, as the endpoint's client would.
-    fn tell(&mut self, endpoint: usize, announcement: Announcement) {
+    /// Sends an announcement to the next running entry instance of the domain, as the client of the
+    /// endpoint would; to frozen ones on the way as well, since they accept connections.
+    fn send_announcement(&mut self, endpoint: usize, announcement: Announcement) {
         let domain = &announcement.domain;
         let count = self.nodes.len();
         for _ in 0..count {
             let node = self.endpoints[endpoint].entry % count;
             let n = &self.nodes[node];
             if n.info.domain == *domain && n.core.is_some() {
-                let is_frozen = n.frozen;
+                let is_frozen = n.is_frozen;
                 let delivery = Delivery::Announce { node, announcement: announcement.clone() };
                 self.after(Millis(2), delivery);
                 if !is_frozen {
@@ -377,83 +404,83 @@
         }
     }
 
-    /// Lets an endpoint tell the next entry instance soon.
-    fn refused(&mut self, name: &Name, node: usize) {
+    /// Sends a refused announcement of an endpoint to the next entry instance.
+    fn retry_announcement(&mut self, name: &Name, node: usize) {
         let found = self.endpoints.iter().position(|e| e.announcement.name == *name);
         let Some(endpoint) = found else { return };
         let e = &mut self.endpoints[endpoint];
-        if e.entry % self.nodes.len() == node && e.alive {
+        if e.entry % self.nodes.len() == node && e.is_alive {
             e.entry += 1;
             let announcement = e.announcement.clone();
-            self.tell(endpoint, announcement);
+            self.send_announcement(endpoint, announcement);
         }
     }
 
     fn restart_endpoint(&mut self, endpoint: usize) {
-        let lingers = self.rng.random_bool(0.3);
+        let keeps_old_process = self.rng.random_bool(0.3);
         let e = &mut self.endpoints[endpoint];
-        if e.alive {
+        if e.is_alive {
             return;
         }
-        let former = Announcement { leaving: None, ..e.announcement.clone() };
-        e.former = lingers.then_some(former);
+        let old_process = Announcement { leaving: None, ..e.announcement.clone() };
+        e.old_process = keeps_old_process.then_some(old_process);
         e.announcement.incarnation.0 += 1;
         e.announcement.sequence = 0;
         e.announcement.address = format!("{}x", e.announcement.address).into();
         e.leaves_at = None;
-        e.alive = true;
-        self.after(Millis(5), Delivery::Turn { endpoint });
+        e.is_alive = true;
+        self.after(Millis(5), Delivery::AnnounceTimer { endpoint });
     }
 
     fn start(&mut self, node: usize) {
         if self.nodes[node].core.is_some() {
             return;
         }
-        self.lives += 1;
-        let life = Incarnation(self.lives);
-        let own = EntryInfo { incarnation: life, ..self.nodes[node].info.clone() };
+        self.last_incarnation += 1;
+        let incarnation = Incarnation(self.last_incarnation);
+        let own = EntryInfo { incarnation, ..self.nodes[node].info.clone() };
         let domain = self.nodes[node].info.domain.clone();
-        let (near, far): (Vec<&Node>, Vec<&Node>) =
+        let (local, foreign): (Vec<&Node>, Vec<&Node>) =
             self.nodes.iter().partition(|n| n.info.domain == domain);
-        let seeds = near.into_iter().take(SEEDS).chain(far.into_iter().take(SEEDS));
+        let seeds = local.into_iter().take(MAX_SEEDS).chain(foreign.into_iter().take(MAX_SEEDS));
         let seeds = seeds.map(|n| n.info.peer_address.clone()).collect();
-        let mut cfg = MemberCfg::new(own, seeds, self.lives);
+        let mut cfg = MemberCfg::new(own, seeds, self.last_incarnation);
         cfg.weakening = self.weakening;
         let n = &mut self.nodes[node];
         n.core = Some(Members::new(cfg));
         n.router.clear();
         n.highest.clear();
-        let _ = self.step(node, Some(life), Event::Services(vec!["desk-7b".into()]));
-        self.after(Millis(1), Delivery::Tick { node, life });
+        let _ = self.step(node, Some(incarnation), Event::Services(vec!["desk-7b".into()]));
+        self.after(Millis(1), Delivery::Tick { node, incarnation });
     }
 
     fn step(
         &mut self,
         node: usize,
-        life: Option<Incarnation>,
+        incarnation: Option<Incarnation>,
         event: Event,
     ) -> Result<bool, String> {
-        self.step_with(node, life, event, None)
+        self.step_with(node, incarnation, event, None)
     }
 
     fn step_with(
         &mut self,
         node: usize,
-        life: Option<Incarnation>,
+        incarnation: Option<Incarnation>,
         event: Event,
-        back: Option<(usize, Incarnation, u64)>,
+        caller: Option<(usize, Incarnation, u64)>,
     ) -> Result<bool, String> {
         let n = &mut self.nodes[node];
         let now = n.local(self.now);
         let Some(core) = &mut n.core else { return Ok(false) };
-        if life.is_some_and(|life| life != core.own().incarnation) {
+        if incarnation.is_some_and(|incarnation| incarnation != core.own().incarnation) {
             return Ok(false);
         }
         let mut out = Vec::new();
         core.step(now, event, &mut out);
-        let life = core.own().incarnation;
+        let incarnation = core.own().incarnation;
         for action in out {
-            self.act(node, life, action, back)?;
+            self.act(node, incarnation, action, caller)?;
         }
         Ok(true)
     }
@@ -461,28 +488,31 @@
     fn act(
         &mut self,
         node: usize,
-        life: Incarnation,
+        incarnation: Incarnation,
         action: Action,
-        back: Option<(usize, Incarnation, u64)>,
+        caller: Option<(usize, Incarnation, u64)>,
     ) -> Result<(), String> {
         match action {
             Action::SendRequest { id, peer, sync } => {
                 let to = self.nodes.iter().position(|n| n.info.peer_address == peer);
-                self.after(CALL_TIMEOUT, Delivery::Timeout { node, life, id });
+                self.after(CALL_TIMEOUT, Delivery::Timeout { node, incarnation, id });
                 if let Some(to) = to {
-                    self.send(node, to, Delivery::Call { from: node, life, to, id, sync });
+                    self.send(node, to, Delivery::Call { from: node, incarnation, to, id, sync });
                 }
             }
             Action::Reply(reply) => {
-                if let Some((to, life, id)) = back {
-                    self.send(node, to, Delivery::Reply { node: to, life, id, reply });
+                if let Some((to, incarnation, id)) = caller {
+                    self.send(node, to, Delivery::Reply { node: to, incarnation, id, reply });
                 }
             }
             Action::UpdateEndpoint { announcement, .. } => {
                 let n = &mut self.nodes[node];
                 let highest = n.highest.entry(announcement.name.clone()).or_default();
                 if announcement.incarnation < *highest {
-                    return Err(format!("an old life of {} is used again", announcement.name));
+                    return Err(format!(
+                        "the router got an old incarnation of {} again",
+                        announcement.name
+                    ));
                 }
                 *highest = announcement.incarnation;
                 n.router.insert(announcement.name.clone(), announcement);
@@ -490,8 +520,8 @@
             Action::RemoveEndpoint { endpoint, .. } => {
                 self.nodes[node].router.remove(&endpoint);
             }
-            Action::AllowRouting { until } => self.nodes[node].trust = until,
-            Action::AnnounceReply(reply) => self.nodes[node].accepted = reply.accepted,
+            Action::AllowRouting { until } => self.nodes[node].routing_until = until,
+            Action::AnnounceReply(reply) => self.nodes[node].has_accepted = reply.accepted,
             Action::Report(_) => {}
         }
         Ok(())
@@ -501,11 +531,11 @@
         if self.cuts.contains(&(from, to)) || self.rng.random_bool(self.faults.loss) {
             return;
         }
-        let same = self.nodes[from].info.domain == self.nodes[to].info.domain;
-        let mut delay = Millis(self.rng.random_range(0..if same { 3 } else { 6 }));
+        let is_same_domain = self.nodes[from].info.domain == self.nodes[to].info.domain;
+        let mut delay = Millis(self.rng.random_range(0..if is_same_domain { 3 } else { 6 }));
         if self.rng.random_bool(self.faults.loss) {
-            let later = delay + Millis(self.rng.random_range(0..6000));
-            self.after(later, delivery.clone());
+            let duplicate_delay = delay + Millis(self.rng.random_range(0..6000));
+            self.after(duplicate_delay, delivery.clone());
         }
         if self.rng.random_bool(self.faults.loss) {
             delay = Millis(self.rng.random_range(0..6000));
@@ -513,6 +543,7 @@
         self.after(delay, delivery);
     }
 
+    /// Causes faults at random, and schedules the next ones.
     fn fault(&mut self) {
         if self.faults.rate == 0.0 {
             return;
@@ -523,8 +554,8 @@
         if self.rng.random_bool(chance) {
             let node = self.rng.random_range(0..entries);
             self.nodes[node].core = None;
-            let away = Millis(self.rng.random_range(100..20_000));
-            self.after(away, Delivery::Restart { node });
+            let downtime = Millis(self.rng.random_range(100..20_000));
+            self.after(downtime, Delivery::RestartEntry { node });
         }
         if self.rng.random_bool(chance) {
             let node = self.rng.random_range(0..entries);
@@ -534,74 +565,78 @@
         if self.rng.random_bool((chance * 3.0).min(1.0)) {
             let endpoint = self.rng.random_range(0..endpoints);
             let left = Millis(self.rng.random_range(3000..20_000));
-            if self.endpoints[endpoint].alive && self.endpoints[endpoint].leaves_at.is_none() {
+            if self.endpoints[endpoint].is_alive && self.endpoints[endpoint].leaves_at.is_none() {
                 self.reclaim(endpoint, left);
             }
         }
         if self.rng.random_bool(chance) {
             let endpoint = self.rng.random_range(0..endpoints);
-            self.endpoints[endpoint].alive = false;
-            let away = Millis(self.rng.random_range(500..15_000));
-            self.after(away, Delivery::Return { endpoint });
+            self.endpoints[endpoint].is_alive = false;
+            let downtime = Millis(self.rng.random_range(500..15_000));
+            self.after(downtime, Delivery::RestartEndpoint { endpoint });
         }
         if self.rng.random_bool(chance) {
             self.cut();
         }
         if self.rng.random_bool((chance * 3.0).min(1.0)) {
-            self.lie();
+            self.send_false_ready();
         }
     }
 
+    /// Loses the messages between two entry instances for a while, in one direction or in both.
     fn cut(&mut self) {
         let count = self.nodes.len();
         let (a, b) = (self.rng.random_range(0..count), self.rng.random_range(0..count));
-        let same = self.nodes[a].info.domain == self.nodes[b].info.domain;
-        if a == b || (same && !self.faults.inner_cuts) {
+        let is_same_domain = self.nodes[a].info.domain == self.nodes[b].info.domain;
+        if a == b || (is_same_domain && !self.faults.has_inner_cuts) {
             return;
         }
         let span = Millis(self.rng.random_range(500..25_000));
-        let both = self.rng.random_bool(0.5);
-        for pair in [(a, b), (b, a)].into_iter().take(if both { 2 } else { 1 }) {
+        let is_two_way = self.rng.random_bool(0.5);
+        for pair in [(a, b), (b, a)].into_iter().take(if is_two_way { 2 } else { 1 }) {
             self.cuts.push(pair);
             self.after(span, Delivery::Heal { pair });
         }
     }
 
-    /// Says of an endpoint that is leaving that it is ready, with a later sequence number.
-    fn lie(&mut self) {
+    /// Announces an endpoint that is leaving as ready, with a later sequence number.
+    fn send_false_ready(&mut self) {
         let leaving = self.endpoints.iter().filter(|e| e.leaves_at.is_some());
-        let Some(about) = leaving.map(|e| e.announcement.clone()).next() else { return };
-        let sequence = about.sequence + 1;
-        let lie = Announcement { leaving: None, sequence, ..about };
+        let Some(announcement) = leaving.map(|e| e.announcement.clone()).next() else { return };
+        let sequence = announcement.sequence + 1;
+        let false_ready = Announcement { leaving: None, sequence, ..announcement };
         for node in 0..self.nodes.len() {
-            let is_told = self.left.contains_key(&(lie.name.clone(), lie.incarnation));
-            // One that is cut off from all who know can't tell the lie from the endpoint's word.
+            let has_left =
+                self.left_at.contains_key(&(false_ready.name.clone(), false_ready.incarnation));
+            // An instance that is partitioned from all that have the leaving notice can't recognise
+            // the announcement as false.
             let core = self.nodes[node].core.as_ref();
-            let knows = core.is_some_and(|c| c.is_leaving(&lie.name, lie.incarnation));
-            let hears = knows || !self.faults.inner_cuts;
-            if is_told && hears && self.nodes[node].info.domain == lie.domain {
-                let announcement = lie.clone();
-                let late = Millis(self.rng.random_range(1500..4000));
-                self.after(late, Delivery::Announce { node, announcement });
+            let knows =
+                core.is_some_and(|c| c.is_leaving(&false_ready.name, false_ready.incarnation));
+            let can_recognise = knows || !self.faults.has_inner_cuts;
+            if has_left && can_recognise && self.nodes[node].info.domain == false_ready.domain {
+                let announcement = false_ready.clone();
+                let delay = Millis(self.rng.random_range(1500..4000));
+                self.after(delay, Delivery::Announce { node, announcement });
             }
         }
     }
 
     fn after(&mut self, delay: Millis, delivery: Delivery) {
-        self.next += 1;
-        self.queue.insert((self.now + delay, self.next), delivery);
+        self.next_delivery += 1;
+        self.queue.insert((self.now + delay, self.next_delivery), delivery);
     }
 }
 
 impl Node {
-    /// Returns what this instance's clock shows; clocks differ, and run fast or slow.
+    /// Returns the time on the clock of this instance. Clocks differ, and run fast or slow.
     pub fn local(&self, now: Millis) -> Millis {
-        let drift = (now.0 - CLOCK_START.0) as i64 * self.drift / 1000;
-        Millis((now.0 as i64 + drift) as u64 + self.offset)
+        let drift = (now.0 - CLOCK_START.0) as i64 * self.clock_drift / 1000;
+        Millis((now.0 as i64 + drift) as u64 + self.clock_offset)
     }
 }
 
-/// Makes the announcement of an endpoint.
+/// Returns the first announcement of the endpoint with this number.
 pub fn announcement(n: usize, domain: Name, incarnation: Incarnation) -> Announcement {
     Announcement {
         name: format!("m{n}").into(),
