--- a/coordination/quorum/src/append.rs
+++ b/coordination/quorum/src/append.rs
@@ -68,7 +68,7 @@
         if is_installing && now >= progress.install_due {
             progress.install_due = now + self.cfg.election;
             if let Some(snapshot) = self.log.snapshot().cloned() {
-                self.send(peer.clone(), Body::Install { snapshot, stamp });
+                self.send(peer.clone(), Body::InstallSnapshot { snapshot, stamp });
             }
             return;
         }
@@ -171,7 +171,7 @@
     }
 
     pub(crate) fn on_install(&mut self, now: Millis, msg: Message) {
-        let Body::Install { ref snapshot, stamp } = msg.body else { return };
+        let Body::InstallSnapshot { ref snapshot, stamp } = msg.body else { return };
         if !self.follow(now, &msg) {
             self.refuse(&msg, self.log.last_index(), stamp);
             return;
--- a/coordination/quorum/src/cfg.rs
+++ b/coordination/quorum/src/cfg.rs
@@ -21,7 +21,7 @@
     /// The most entries in one message.
     pub max_entries: usize,
     /// Entries kept behind a snapshot, for replicas that are a little late.
-    pub trailing: u64,
+    pub trailing_entries: u64,
     /// The one rule to break, in tests that show that breaking it is found.
     pub weakening: Option<Weakening>,
 }
@@ -32,7 +32,7 @@
     ///
     /// Callers of a service wait for the leader after each loss: entry instances that restart get
     /// settings from it, and it alone orders endpoints. Half the usual span halves that.
-    pub fn close_by() -> Self {
+    pub fn low_latency() -> Self {
         Self {
             heartbeat: Millis(120),
             election: Millis(500),
@@ -51,7 +51,7 @@
             election_spread: Millis(600),
             lease: Millis(800),
             max_entries: 512,
-            trailing: 500,
+            trailing_entries: 500,
             weakening: None,
         }
     }
--- a/coordination/quorum/src/event.rs
+++ b/coordination/quorum/src/event.rs
@@ -7,7 +7,7 @@
 use crate::log::{Entry, Snapshot};
 use crate::members::{MemberChange, Members, ReplicaId};
 use crate::message::Message;
-use crate::replica::{HardState, Persisted};
+use crate::replica::{HardState, PersistentState};
 
 /// Something that happened.
 #[derive(Debug, Clone, PartialEq)]
@@ -24,7 +24,7 @@
         commands: Vec<Arc<str>>,
     },
     /// All replicas are new and this one was chosen to start the log.
-    Found(Members),
+    Bootstrap(Members),
     /// A replica wants to take part.
     Join {
         /// Its id.
@@ -33,7 +33,7 @@
         as_voter: bool,
     },
     /// An operator changes the members.
-    Change(MemberChange),
+    ChangeMembers(MemberChange),
     /// The application's state after an applied entry, to drop older entries.
     Compact {
         /// The entry.
@@ -60,11 +60,11 @@
         entry: Entry,
     },
     /// Commands were written and will be committed at these places, or never by this leader.
-    Proposed {
+    ProposalAppended {
         /// From the event.
         tag: u64,
         /// The place of the first command.
-        first: u64,
+        first_index: u64,
         /// The term; an entry of another term at that place is not the command.
         term: u64,
     },
@@ -83,7 +83,8 @@
     /// Entries that replace everything from an index on.
     pub entries: Option<NewEntries>,
     /// Everything, to be written anew, after a snapshot was made or taken in.
-    pub whole: Option<Box<Persisted>>,
+    #[serde(rename = "whole")]
+    pub full_state: Option<Box<PersistentState>>,
 }
 
 /// Entries that replace everything from an index on.
--- a/coordination/quorum/src/lib.rs
+++ b/coordination/quorum/src/lib.rs
@@ -21,6 +21,6 @@
 pub use log::{Entry, Payload, Snapshot};
 pub use members::{MemberChange, Members, ReplicaId};
 pub use message::{Body, Message, Stamp};
-pub use replica::{HardState, Persisted, Replica, RoleName};
+pub use replica::{HardState, PersistentState, Replica, RoleName};
 pub use restart::{Restarted, Run};
 pub use weakening::Weakening;
--- a/coordination/quorum/src/members.rs
+++ b/coordination/quorum/src/members.rs
@@ -43,7 +43,7 @@
 
 impl Members {
     /// Makes members of voters only.
-    pub fn of_voters<I>(voters: I) -> Self
+    pub fn from_voters<I>(voters: I) -> Self
     where
         I: IntoIterator<Item = ReplicaId>,
     {
--- a/coordination/quorum/src/message.rs
+++ b/coordination/quorum/src/message.rs
@@ -89,13 +89,14 @@
         stamp: Stamp,
     },
     /// The state up to an entry that the leader no longer has.
-    Install {
+    #[serde(rename = "install")]
+    InstallSnapshot {
         /// The state.
         snapshot: Snapshot,
         /// What the leader wants back in the answer.
         stamp: Stamp,
     },
-    /// Answers [`Body::Append`] and [`Body::Install`].
+    /// Answers [`Body::Append`] and [`Body::InstallSnapshot`].
     AppendReply {
         /// Whether the entries are in the receiver's log, durably.
         accepted: bool,
--- a/coordination/quorum/src/replica.rs
+++ b/coordination/quorum/src/replica.rs
@@ -27,7 +27,7 @@
 
 /// All that a replica must remember.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Persisted {
+pub struct PersistentState {
     /// Term and vote.
     pub hard: HardState,
     /// The newest snapshot.
@@ -114,10 +114,10 @@
     pub(crate) whole: bool,
 }
 
-impl Persisted {
+impl PersistentState {
     /// Takes in a write, as a replay of a disk's records does.
-    pub fn take(&mut self, write: Write) {
-        if let Some(whole) = write.whole {
+    pub fn apply(&mut self, write: Write) {
+        if let Some(whole) = write.full_state {
             *self = *whole;
         }
         if let Some(hard) = write.hard {
@@ -133,8 +133,14 @@
 
 impl Replica {
     /// Makes a replica of what its disk holds; a new disk holds the default.
-    pub fn restore(cfg: Cfg, id: ReplicaId, persisted: Persisted, seed: u64, now: Millis) -> Self {
-        let Persisted { hard, snapshot, base_index, base_term, entries } = persisted;
+    pub fn restore(
+        cfg: Cfg,
+        id: ReplicaId,
+        persisted: PersistentState,
+        seed: u64,
+        now: Millis,
+    ) -> Self {
+        let PersistentState { hard, snapshot, base_index, base_term, entries } = persisted;
         let commit = snapshot.as_ref().map_or(0, |s| s.index);
         let is_new = hard.term == 0;
         let mut rng = seeded(seed);
@@ -230,14 +236,14 @@
     }
 
     /// Returns the number of applied entries that lie in the log, to decide when to compact it.
-    pub fn compactable(&self) -> u64 {
+    pub fn compactable_entries(&self) -> u64 {
         self.applied.saturating_sub(self.log.base().0)
     }
 
     /// Returns all that must be on disk now.
-    pub fn persisted(&self) -> Persisted {
+    pub fn persistent_state(&self) -> PersistentState {
         let (base_index, base_term) = self.log.base();
-        Persisted {
+        PersistentState {
             hard: self.hard.clone(),
             snapshot: self.log.snapshot().cloned(),
             base_index,
@@ -294,7 +300,7 @@
             Body::Restarted { .. } => self.on_restarted(now, &msg),
             Body::RestartedToo { .. } => self.on_restarted_too(now, &msg),
             Body::Append { .. } => self.on_append(now, msg),
-            Body::Install { .. } => self.on_install(now, msg),
+            Body::InstallSnapshot { .. } => self.on_install(now, msg),
             Body::AppendReply { .. } => self.on_append_reply(now, &msg),
         }
     }
@@ -306,12 +312,16 @@
         }
         let first = self.log.last_index() + 1;
         self.append_own(commands.into_iter().map(Payload::Command).collect());
-        self.answers.push(Action::Proposed { tag, first, term: self.hard.term });
+        self.answers.push(Action::ProposalAppended {
+            tag,
+            first_index: first,
+            term: self.hard.term,
+        });
         self.broadcast(now);
         self.advance_commit();
     }
 
-    fn found(&mut self, now: Millis, members: Members) {
+    fn bootstrap(&mut self, now: Millis, members: Members) {
         if !self.is_new() {
             return;
         }
@@ -328,7 +338,7 @@
             return;
         }
         let members = self.log.members_at(index);
-        let trailing = self.cfg.trailing;
+        let trailing = self.cfg.trailing_entries;
         self.log.compact(Snapshot { index, term, members, data }, trailing);
         self.unsaved.whole = true;
     }
@@ -366,8 +376,8 @@
     fn take_write(&mut self) -> Option<Write> {
         let unsaved = mem::take(&mut self.unsaved);
         if unsaved.whole {
-            let whole = Some(Box::new(self.persisted()));
-            return Some(Write { whole, ..Write::default() });
+            let whole = Some(Box::new(self.persistent_state()));
+            return Some(Write { full_state: whole, ..Write::default() });
         }
         let mut hard = unsaved.hard.then(|| self.hard.clone());
         if let Some(hard) = &mut hard
@@ -380,7 +390,7 @@
             NewEntries { first, entries }
         });
         let is_empty = hard.is_none() && entries.is_none();
-        (!is_empty).then_some(Write { hard, entries, whole: None })
+        (!is_empty).then_some(Write { hard, entries, full_state: None })
     }
 }
 
@@ -396,9 +406,9 @@
             Event::Tick => {}
             Event::Receive(msg) => self.receive(now, msg),
             Event::Propose { tag, commands } => self.propose(now, tag, commands),
-            Event::Found(members) => self.found(now, members),
+            Event::Bootstrap(members) => self.bootstrap(now, members),
             Event::Join { id, as_voter } => self.join(now, &id, as_voter),
-            Event::Change(change) => self.change_members(now, &change),
+            Event::ChangeMembers(change) => self.change_members(now, &change),
             Event::Compact { index, data } => self.compact(index, data),
         }
         self.on_time(now);
--- a/coordination/quorum/src/standby.rs
+++ b/coordination/quorum/src/standby.rs
@@ -7,7 +7,7 @@
 /// A voter that was not heard of for this long is replaced. A platform that replaces an instance
 /// counts the new one as a full member after a few seconds, four on the smallest deployments, and may
 /// lose the next voter then. What is merely restarted is back sooner.
-pub const LOST: Millis = Millis(2000);
+pub const VOTER_LOSS_TIMEOUT: Millis = Millis(2000);
 
 /// One that stands by must have been heard of within this time to take a voter's place.
 pub const PRESENT: Millis = Millis(1000);
@@ -20,16 +20,16 @@
     /// Its failure domain.
     pub domain: Name,
     /// When.
-    pub at: Millis,
+    pub last_seen: Millis,
 }
 
 /// A voter that goes, and the replica that takes its place.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Replacement {
     /// The voter.
-    pub lost: ReplicaId,
+    pub voter: ReplicaId,
     /// The replica that stands by.
-    pub by: ReplicaId,
+    pub standby: ReplicaId,
 }
 
 /// Returns the replacement that is due, as the leader sees it.
@@ -44,21 +44,21 @@
     ready: &[ReplicaId],
 ) -> Option<Replacement> {
     let heard_within = |id: &ReplicaId, span: Millis| {
-        presences.iter().any(|presence| presence.id == *id && now - presence.at <= span)
+        presences.iter().any(|presence| presence.id == *id && now - presence.last_seen <= span)
     };
-    let lost = voters.iter().find(|id| *id != own && !heard_within(id, LOST))?;
+    let lost = voters.iter().find(|id| *id != own && !heard_within(id, VOTER_LOSS_TIMEOUT))?;
     let stays: Vec<Name> =
         voters.iter().filter(|id| *id != lost).filter_map(|id| domain_of(presences, id)).collect();
     let present = ready.iter().filter(|id| heard_within(id, PRESENT));
     let by = present.min_by_key(|id| domain_of(presences, id).map(|d| count(&stays, &d)))?;
-    Some(Replacement { lost: lost.clone(), by: by.clone() })
+    Some(Replacement { voter: lost.clone(), standby: by.clone() })
 }
 
 /// Returns whether a replica may become a voter, or another that stands by is to go first.
 ///
 /// A failure domain is lost as a whole. Voters that stand together in one, while others have none, would
 /// all be lost with it, and with them the quorum.
-pub fn is_next(
+pub fn may_become_voter(
     id: &ReplicaId,
     own_domain: &Name,
     voters: &[ReplicaId],
--- a/coordination/quorum/tests/sim/losses.rs
+++ b/coordination/quorum/tests/sim/losses.rs
@@ -169,7 +169,7 @@
     let end = world.now + PATIENCE;
     while world.history.members.voters.contains(&lost) && world.now < end {
         for leader in world.leaders() {
-            world.event(leader, Event::Change(MemberChange::Remove(lost.clone())));
+            world.event(leader, Event::ChangeMembers(MemberChange::Remove(lost.clone())));
         }
         world.pass(20);
     }
--- a/coordination/quorum/tests/sim/node.rs
+++ b/coordination/quorum/tests/sim/node.rs
@@ -6,7 +6,7 @@
 use sill_base::random::Rng;
 use sill_base::{Machine, Millis};
 use sill_quorum::{
-    Action, Cfg, Event, Members, Message, Payload, Persisted, Replica, ReplicaId, Write,
+    Action, Cfg, Event, Members, Message, Payload, PersistentState, Replica, ReplicaId, Write,
 };
 
 use crate::history::{AppState, History};
@@ -17,7 +17,7 @@
     pub name: String,
     pub incarnation: u64,
     /// What is synced.
-    pub disk: Persisted,
+    pub disk: PersistentState,
     /// What is written and not yet synced.
     unsynced: Vec<Write>,
     pub syncs: Syncs,
@@ -61,7 +61,7 @@
         Self {
             name,
             incarnation: 1,
-            disk: Persisted::default(),
+            disk: PersistentState::default(),
             unsynced: Vec::new(),
             syncs: Syncs::AtOnce,
             replica: None,
@@ -110,7 +110,7 @@
     /// Makes durable what was written.
     pub fn sync(&mut self) {
         for write in self.unsynced.drain(..) {
-            self.disk.take(write);
+            self.disk.apply(write);
         }
     }
 
@@ -132,7 +132,7 @@
 
     pub fn lose_disk(&mut self) {
         self.kill();
-        self.disk = Persisted::default();
+        self.disk = PersistentState::default();
         self.incarnation += 1;
     }
 
@@ -209,7 +209,7 @@
                 self.app = AppState::parse(&snapshot.data);
                 history.restore(self.app);
             }
-            Action::Proposed { tag, first, term } => {
+            Action::ProposalAppended { tag, first_index: first, term } => {
                 let seen_at_start = self.seen_at_start.remove(&tag).unwrap_or(0);
                 self.waiting.insert(first, Waiting { term, seen_at_start });
             }
--- a/coordination/quorum/tests/sim/rules.rs
+++ b/coordination/quorum/tests/sim/rules.rs
@@ -3,8 +3,8 @@
 use proptest::test_runner::{TestCaseError, TestError};
 use sill_base::{Machine, Millis};
 use sill_quorum::{
-    Action, Body, Cfg, Entry, Event, HardState, Members, Message, Payload, Persisted, Replica,
-    ReplicaId, Restarted, Run, Stamp, Weakening,
+    Action, Body, Cfg, Entry, Event, HardState, Members, Message, Payload, PersistentState,
+    Replica, ReplicaId, Restarted, Run, Stamp, Weakening,
 };
 
 use crate::runs::{finding, runner};
@@ -167,8 +167,11 @@
     // term comes in. A second vote could give the term two leaders, and operators two orderers.
     for (weakening, is_granted) in [(None, false), (Some(Weakening::ForgetVote), true)] {
         let cfg = Cfg { weakening, ..world::cfg() };
-        let mut disk =
-            Persisted { hard: term(3), entries: vec![members(1)], ..Persisted::default() };
+        let mut disk = PersistentState {
+            hard: term(3),
+            entries: vec![members(1)],
+            ..PersistentState::default()
+        };
         let mut voter = Replica::restore(cfg.clone(), id("c0"), disk.clone(), 1, Millis(0));
         let vote = |from: &str| {
             message(from, 4, Body::Vote { last_index: 1, last_term: 1, runs: Vec::new() })
@@ -222,8 +225,11 @@
     ];
     for Case { name, weakening, between, is_restarted, is_granted } in cases {
         let cfg = Cfg { weakening, ..world::cfg() };
-        let mut disk =
-            Persisted { hard: term(3), entries: vec![members(1)], ..Persisted::default() };
+        let mut disk = PersistentState {
+            hard: term(3),
+            entries: vec![members(1)],
+            ..PersistentState::default()
+        };
         let mut voter = Replica::restore(cfg.clone(), id("c0"), disk.clone(), 1, Millis(0));
         let own = Restarted { run: 7, last_term: 1, last_index: 1 };
         let asked = step(&mut voter, 10, message("c1", 3, Body::Restarted { own, runs: vec![] }));
@@ -253,8 +259,11 @@
     for (weakening, committed) in [(None, 0), (Some(Weakening::CommitOlderTerm), 2)] {
         let cfg = Cfg { weakening, ..world::cfg() };
         let older = Entry { term: 2, payload: Payload::Noop };
-        let disk =
-            Persisted { hard: term(3), entries: vec![members(1), older], ..Persisted::default() };
+        let disk = PersistentState {
+            hard: term(3),
+            entries: vec![members(1), older],
+            ..PersistentState::default()
+        };
         let mut leader = Replica::restore(cfg, id("c0"), disk, 1, Millis(0));
         step(&mut leader, 5000, Event::Tick);
         step(&mut leader, 5001, message("c1", 4, Body::PreVoteReply { granted: true }));
@@ -277,7 +286,7 @@
 }
 
 fn members(term: u64) -> Entry {
-    let members = Members::of_voters(["c0", "c1", "c2"].map(id));
+    let members = Members::from_voters(["c0", "c1", "c2"].map(id));
     Entry { term, payload: Payload::Members(members) }
 }
 
@@ -292,11 +301,11 @@
 }
 
 /// Carries writes out, and returns whether a vote was given.
-fn grants(actions: &[Action], disk: &mut Persisted) -> bool {
+fn grants(actions: &[Action], disk: &mut PersistentState) -> bool {
     let mut is_granted = false;
     for action in actions {
         match action {
-            Action::Persist(write) => disk.take(write.clone()),
+            Action::Persist(write) => disk.apply(write.clone()),
             Action::Send(msg) => is_granted |= msg.body == Body::VoteReply { granted: true },
             _ => {}
         }
--- a/coordination/quorum/tests/sim/world.rs
+++ b/coordination/quorum/tests/sim/world.rs
@@ -119,7 +119,7 @@
             Node::new(format!("c{i}"), clock, rng.random_range(0..5000))
         });
         let nodes: Vec<Node> = nodes.collect();
-        let members = Members::of_voters(nodes.iter().take(voters).map(Node::id));
+        let members = Members::from_voters(nodes.iter().take(voters).map(Node::id));
         let mut world = Self {
             cfg,
             rng,
@@ -139,7 +139,7 @@
             history: History::of(members.clone()),
         };
         (0..world.nodes.len()).for_each(|i| world.start(i));
-        world.event(0, Event::Found(members));
+        world.event(0, Event::Bootstrap(members));
         world
     }
 
@@ -255,7 +255,7 @@
         let node = &self.nodes[i];
         let Some(replica) = &node.replica else { return };
         // A node that stopped between two actions has not applied all that its replica gave out.
-        if replica.compactable() > 40 && node.app.index == replica.applied_index() {
+        if replica.compactable_entries() > 40 && node.app.index == replica.applied_index() {
             let (index, data) = (node.app.index, Arc::from(node.app.text()));
             self.event(i, Event::Compact { index, data });
         }
@@ -355,7 +355,7 @@
             return;
         }
         for leader in self.leaders() {
-            self.event(leader, Event::Change(MemberChange::Remove(id.clone())));
+            self.event(leader, Event::ChangeMembers(MemberChange::Remove(id.clone())));
         }
     }
 
@@ -438,5 +438,5 @@
 
 /// The spans that the daemon uses, with a log that is compacted often.
 pub fn cfg() -> Cfg {
-    Cfg { max_entries: 16, trailing: 10, heartbeat: Millis(100), ..Cfg::default() }
+    Cfg { max_entries: 16, trailing_entries: 10, heartbeat: Millis(100), ..Cfg::default() }
 }
--- a/coordination/quorum/tests/standby.rs
+++ b/coordination/quorum/tests/standby.rs
@@ -2,7 +2,7 @@
 
 use sill_base::Millis;
 use sill_quorum::ReplicaId;
-use sill_quorum::standby::{Presence, Replacement, is_next, replacement};
+use sill_quorum::standby::{Presence, Replacement, may_become_voter, replacement};
 
 struct Case {
     name: &'static str,
@@ -18,7 +18,7 @@
 }
 
 fn presence(name: &str, domain: &str, at: u64) -> Presence {
-    Presence { id: id(name), domain: domain.into(), at: Millis(at) }
+    Presence { id: id(name), domain: domain.into(), last_seen: Millis(at) }
 }
 
 /// Nine instances in three failure domains, and five of them are to vote. With three voters in one domain
@@ -77,7 +77,7 @@
         let voters: Vec<ReplicaId> = case.voters.iter().map(|name| id(name)).collect();
         let candidate = id(case.candidate);
         let ready: Vec<ReplicaId> = case.ready.iter().map(|name| id(name)).collect();
-        let decided = is_next(&candidate, &"a".into(), &voters, &presences, &ready);
+        let decided = may_become_voter(&candidate, &"a".into(), &voters, &presences, &ready);
         assert_eq!(decided, case.expected, "{}", case.name);
     }
 }
@@ -130,7 +130,8 @@
             case.heard.iter().map(|(name, at)| presence(name, "x", *at)).collect();
         let ready: Vec<ReplicaId> = case.ready.iter().map(|name| id(name)).collect();
         let decided = replacement(Millis(case.now), &id("a"), &voters, &presences, &ready);
-        let expected = case.expected.map(|(lost, by)| Replacement { lost: id(lost), by: id(by) });
+        let expected =
+            case.expected.map(|(lost, by)| Replacement { voter: id(lost), standby: id(by) });
         assert_eq!(decided, expected, "{}", case.name);
     }
 }
--- a/daemons/control/src/directory.rs
+++ b/daemons/control/src/directory.rs
@@ -113,7 +113,8 @@
         let name = place.name.clone();
         self.learn(place);
         if let Some(peer) = self.get(&name) {
-            *peer.heard.lock() = Some(Presence { id, domain: peer.place.domain.clone(), at: now });
+            *peer.heard.lock() =
+                Some(Presence { id, domain: peer.place.domain.clone(), last_seen: now });
         }
     }
 
--- a/daemons/control/src/log/disk.rs
+++ b/daemons/control/src/log/disk.rs
@@ -6,7 +6,7 @@
 use eyre::{Result, WrapErr, bail};
 use serde::{Deserialize, Serialize};
 use sill_base::{Millis, Name, event};
-use sill_quorum::{Persisted, ReplicaId, Write};
+use sill_quorum::{PersistentState, ReplicaId, Write};
 use sill_store::{AnyDisk, FolderDisk, Recovered, Store, WriteError};
 
 /// Opens the disk under a data folder; tests give one that fails.
@@ -32,7 +32,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct Whole {
     id: ReplicaId,
-    persisted: Persisted,
+    persisted: PersistentState,
 }
 
 /// The open data folder of a replica.
@@ -48,7 +48,11 @@
     /// # Errors
     ///
     /// Fails when the folder is in use, damaged, or another instance's.
-    pub fn open(open_disk: &OpenDisk, folder: &Path, name: &Name) -> Result<(Self, Persisted)> {
+    pub fn open(
+        open_disk: &OpenDisk,
+        folder: &Path,
+        name: &Name,
+    ) -> Result<(Self, PersistentState)> {
         let place = || folder.display().to_string();
         let disk = open_disk(folder).map_err(sill_store::OpenError::from);
         let (mut store, recovered) = disk.and_then(Store::open).wrap_err_with(place)?;
@@ -91,7 +95,7 @@
     ///
     /// Fails when the disk is full or broken; the replica must not go on then.
     pub fn write(&mut self, write: Write) -> Result<(), WriteError> {
-        if let Some(persisted) = write.whole {
+        if let Some(persisted) = write.full_state {
             return self.write_anew(*persisted);
         }
         let record = serde_json::to_vec(&Record::Write(write)).map_err(io::Error::from)?;
@@ -103,7 +107,7 @@
     /// # Errors
     ///
     /// Fails when the disk is full or broken.
-    pub fn write_anew(&mut self, mut persisted: Persisted) -> Result<(), WriteError> {
+    pub fn write_anew(&mut self, mut persisted: PersistentState) -> Result<(), WriteError> {
         let data = persisted.snapshot.as_mut().map(|snapshot| std::mem::take(&mut snapshot.data));
         let whole = Whole { id: self.id.clone(), persisted };
         let mut buf = serde_json::to_vec(&whole).map_err(io::Error::from)?;
@@ -129,8 +133,8 @@
     }
 }
 
-fn replay(recovered: Recovered) -> Result<(Option<ReplicaId>, Persisted)> {
-    let (mut id, mut persisted) = (None, Persisted::default());
+fn replay(recovered: Recovered) -> Result<(Option<ReplicaId>, PersistentState)> {
+    let (mut id, mut persisted) = (None, PersistentState::default());
     if let Some(snapshot) = recovered.snapshot {
         let text = String::from_utf8(snapshot).wrap_err("the snapshot")?;
         let (head, data) = text.split_once('\n').unwrap_or((&text, ""));
@@ -144,7 +148,7 @@
         let record = serde_json::from_slice(&record).wrap_err_with(|| format!("record {i}"))?;
         match record {
             Record::Id(found) => id = Some(found),
-            Record::Write(write) => persisted.take(write),
+            Record::Write(write) => persisted.apply(write),
         }
     }
     Ok((id, persisted))
--- a/daemons/control/src/log/driver.rs
+++ b/daemons/control/src/log/driver.rs
@@ -11,7 +11,7 @@
 use eyre::Result;
 use parking_lot::RwLock;
 use sill_base::{Clock, Machine, Map, Millis, Name, event};
-use sill_quorum::{Action, Cfg, Entry, Event, Persisted, Replica, RoleName, Snapshot};
+use sill_quorum::{Action, Cfg, Entry, Event, PersistentState, Replica, RoleName, Snapshot};
 use sill_store::WriteError;
 use tokio::sync::oneshot;
 
@@ -86,7 +86,7 @@
         let (input, inputs) = mpsc::channel();
         Self {
             clock,
-            cfg: Cfg { trailing: TRAILING, ..cfg.spans.clone() },
+            cfg: Cfg { trailing_entries: TRAILING, ..cfg.spans.clone() },
             folder: cfg.data.clone(),
             open_disk,
             name: cfg.name.clone(),
@@ -162,7 +162,8 @@
         match disk.begin_life(known + 1) {
             Ok(()) => {
                 let (cfg, id, seed) = (self.cfg.clone(), disk.id().clone(), rand::random());
-                self.replica = Some(Replica::restore(cfg, id, Persisted::default(), seed, now));
+                self.replica =
+                    Some(Replica::restore(cfg, id, PersistentState::default(), seed, now));
             }
             Err(err) => self.stop_taking_part(now, &err),
         }
@@ -262,7 +263,7 @@
                 }
             }
             Action::Apply { index, entry } => self.apply(vec![(index, entry)]),
-            Action::Proposed { tag, first, term } => {
+            Action::ProposalAppended { tag, first_index: first, term } => {
                 let waiters = self.proposed.remove(&tag).unwrap_or_default();
                 for (index, done) in (first..).zip(waiters) {
                     self.waiting.insert(index, Waiting { term, done });
@@ -331,8 +332,8 @@
     fn compact(&mut self) {
         let (Some(replica), Some(disk)) = (&self.replica, &self.disk) else { return };
         let is_large = disk.log_size() > COMPACT_SIZE.max(disk.size() / 2);
-        let is_worth_it = replica.compactable() >= COMPACT_ENTRIES
-            || disk.log_size() > COMPACT_ALWAYS && replica.compactable() > TRAILING;
+        let is_worth_it = replica.compactable_entries() >= COMPACT_ENTRIES
+            || disk.log_size() > COMPACT_ALWAYS && replica.compactable_entries() > TRAILING;
         if self.is_compacting || !is_large || !is_worth_it {
             return;
         }
@@ -392,7 +393,7 @@
     /// What was read after a failed sync may be lost in a crash, so it is written to new files.
     fn write_anew(&mut self) -> Result<()> {
         if let (Some(disk), Some(replica)) = (&mut self.disk, &self.replica) {
-            disk.write_anew(replica.persisted())?;
+            disk.write_anew(replica.persistent_state())?;
         }
         Ok(())
     }
--- a/daemons/control/src/log/hello.rs
+++ b/daemons/control/src/log/hello.rs
@@ -114,7 +114,7 @@
     let ids: Vec<ReplicaId> = others.into_iter().chain([shared.id()]).collect();
     if is_first && ids.len() == founders {
         event!(Info, "log_started", voters = ids.len());
-        shared.log.event(Event::Found(Members::of_voters(ids)));
+        shared.log.event(Event::Bootstrap(Members::from_voters(ids)));
     }
 }
 
@@ -124,15 +124,15 @@
 /// well. Between the two steps all voters left are needed, so the second follows at once.
 async fn replace_lost(shared: &Shared, seeds: &Seeds, since: Millis) {
     let (now, status) = (shared.clock.now(), shared.log.status());
-    if status.voters.len() < seeds.voters || now - since < standby::LOST {
+    if status.voters.len() < seeds.voters || now - since < standby::VOTER_LOSS_TIMEOUT {
         return;
     }
     let presences = shared.directory.presences();
     let due =
         standby::replacement(now, &shared.id(), &status.voters, &presences, &status.ready_learners);
-    let Some(Replacement { lost, by }) = due else { return };
+    let Some(Replacement { voter: lost, standby: by }) = due else { return };
     event!(Warn, "voter_replaced", lost = lost.name, by = by.name);
-    shared.log.event(Event::Change(MemberChange::Remove(lost)));
+    shared.log.event(Event::ChangeMembers(MemberChange::Remove(lost)));
     for _ in 0..TRIES {
         tokio::time::sleep(AT_ONCE.into()).await;
         let voters = shared.log.status().voters;
@@ -173,7 +173,8 @@
         Some(seeds) => {
             let others = voters.iter().filter(|voter| voter.name != id.name).count();
             let (own, presences) = (&shared.cfg.domain, shared.directory.presences());
-            others < seeds.voters && standby::is_next(id, own, voters, &presences, ready_learners)
+            others < seeds.voters
+                && standby::may_become_voter(id, own, voters, &presences, ready_learners)
         }
         None => shared.cfg.voters.iter().any(|voter| voter.name == id.name),
     }
--- a/daemons/control/src/log/peers.rs
+++ b/daemons/control/src/log/peers.rs
@@ -53,7 +53,7 @@
         let queues = self.queues.read();
         let Some(queues) = queues.get(&msg.to.name) else { return };
         let queue = match msg.body {
-            Body::Install { .. } => &queues.snapshots,
+            Body::InstallSnapshot { .. } => &queues.snapshots,
             _ => &queues.messages,
         };
         let _ = queue.try_send(msg);
