--- a/coordination/quorum/src/append.rs
+++ b/coordination/quorum/src/append.rs
@@ -1,125 +1,134 @@
-//! How entries get from the leader to the others and are committed.
+//! Replication of entries from the leader to the other replicas, and their commit.
 
 use sill_base::{Millis, Promise, keep};
 
 use crate::log::{Entry, Payload};
 use crate::members::ReplicaId;
-use crate::message::{Body, Message, Stamp};
+use crate::message::{Body, Message, RequestStamp};
 use crate::replica::{Progress, Replica, Role};
 use crate::weakening::Weakening;
 
-/// How soon others are told of a new commit index when nothing else is sent.
-const COMMIT_NOTICE: Millis = Millis(20);
+/// Delay before a new commit index is sent to the other replicas if nothing else is sent to them.
+const COMMIT_NOTICE_DELAY: Millis = Millis(20);
 
-/// Full messages that may be on their way to a replica without an answer.
-const WINDOW: usize = 8;
+/// Maximum number of full messages in flight to a replica without a reply.
+const MAX_IN_FLIGHT_MESSAGES: usize = 8;
 
 impl Replica {
-    pub(crate) fn append_own(&mut self, payloads: Vec<Payload>) {
-        self.note_unsaved_from(self.log.last_index() + 1);
+    /// Appends entries of the current term to the own log.
+    pub(crate) fn append_payloads(&mut self, payloads: Vec<Payload>) {
+        self.mark_unpersisted_from(self.log.last_index() + 1);
         for payload in payloads {
-            self.log.push(Entry { term: self.hard.term, payload });
+            self.log.push(Entry { term: self.hard_state.term, payload });
         }
     }
 
-    /// Brings the list of those it sends to in line with the members.
-    pub(crate) fn follow_members(&mut self) {
-        let next = self.log.last_index() + 1;
+    /// Starts to track replicas that became members, and drops those that no longer are.
+    pub(crate) fn update_progress_members(&mut self) {
+        let next_index = self.log.last_index() + 1;
         let members = self.log.members();
-        let Role::Leader(leading) = &mut self.role else { return };
-        leading.progress.retain(|id, _| members.contains(id));
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.progress.retain(|id, _| members.contains(id));
         for id in members.iter().filter(|id| **id != self.id) {
-            let fresh = Progress {
-                next,
-                matched: 0,
-                answered: None,
-                install_due: Millis::ZERO,
+            let initial = Progress {
+                next_index,
+                match_index: 0,
+                ack_time: None,
+                snapshot_retry_at: Millis::ZERO,
                 round: 0,
                 is_probing: true,
             };
-            leading.progress.entry(id.clone()).or_insert(fresh);
+            leader.progress.entry(id.clone()).or_insert(initial);
         }
     }
 
-    pub(crate) fn lead(&mut self, now: Millis) {
-        let Role::Leader(leading) = &self.role else { return };
-        if now >= leading.heartbeat_due {
+    pub(crate) fn send_due_heartbeat(&mut self, now: Millis) {
+        let Role::Leader(leader) = &self.role else { return };
+        if now >= leader.next_heartbeat {
             self.broadcast(now);
         }
     }
 
     pub(crate) fn broadcast(&mut self, now: Millis) {
-        let Role::Leader(leading) = &mut self.role else { return };
-        leading.heartbeat_due = now + self.cfg.heartbeat;
-        let peers: Vec<ReplicaId> = leading.progress.keys().cloned().collect();
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.next_heartbeat = now + self.cfg.heartbeat_interval;
+        let peers: Vec<ReplicaId> = leader.progress.keys().cloned().collect();
         for peer in peers {
             self.send_append(now, &peer);
         }
     }
 
-    /// Sends what the other lacks, or a heartbeat.
+    /// Sends the entries or the snapshot that the peer lacks, or a heartbeat.
     fn send_append(&mut self, now: Millis, peer: &ReplicaId) {
         let (base_index, _) = self.log.base();
-        let max_entries = self.cfg.max_entries;
-        let Role::Leader(leading) = &mut self.role else { return };
-        let Some(progress) = leading.progress.get_mut(peer) else { return };
-        let stamp = Stamp { sent_at: now, round: progress.round };
-        let is_installing = progress.next <= base_index;
-        if is_installing && now >= progress.install_due {
-            progress.install_due = now + self.cfg.election;
+        let max_append_entries = self.cfg.max_append_entries;
+        let Role::Leader(leader) = &mut self.role else { return };
+        let Some(progress) = leader.progress.get_mut(peer) else { return };
+        let stamp = RequestStamp { sent_at: now, round: progress.round };
+        let is_installing = progress.next_index <= base_index;
+        if is_installing && now >= progress.snapshot_retry_at {
+            progress.snapshot_retry_at = now + self.cfg.election_timeout;
             if let Some(snapshot) = self.log.snapshot().cloned() {
                 self.send(peer.clone(), Body::InstallSnapshot { snapshot, stamp });
             }
             return;
         }
-        // While a snapshot is on its way this is a heartbeat which the other refuses, and its
-        // refusal still counts as an answer to the leader.
-        let prev_index = if is_installing { base_index } else { progress.next - 1 };
-        let in_flight = progress.next - 1 - progress.matched.min(progress.next - 1);
-        let is_full = !progress.is_probing && in_flight >= (WINDOW * max_entries) as u64;
+        // While a snapshot is in flight this is a heartbeat. The peer rejects it, but the rejection
+        // still counts as a reply for the lease.
+        let prev_index = if is_installing { base_index } else { progress.next_index - 1 };
+        let in_flight = progress.next_index - 1 - progress.match_index.min(progress.next_index - 1);
+        let is_full = !progress.is_probing
+            && in_flight >= (MAX_IN_FLIGHT_MESSAGES * max_append_entries) as u64;
         let entries = match is_installing || is_full {
             true => Vec::new(),
-            false => self.log.range(progress.next, max_entries),
+            false => self.log.range(progress.next_index, max_append_entries),
         };
         if !progress.is_probing {
-            progress.next += entries.len() as u64;
+            progress.next_index += entries.len() as u64;
         }
-        let prev_term = self.log.term_at(prev_index).expect("entries from the base on are kept");
-        let commit = self.commit;
+        let prev_term = self
+            .log
+            .term_at(prev_index)
+            .expect("the log keeps the term of its base entry and all entries after it");
+        let commit = self.commit_index;
         self.send(peer.clone(), Body::Append { prev_index, prev_term, entries, commit, stamp });
     }
 
     pub(crate) fn advance_commit(&mut self) {
-        let Role::Leader(leading) = &self.role else { return };
+        let Role::Leader(leader) = &self.role else { return };
         let members = self.log.members();
         let last = self.log.last_index();
-        // An own entry counts as stored: whatever follows from it comes after the write.
-        let matched = members.voters.iter().map(|id| match leading.progress.get(id) {
+        // The leader counts its own entries as stored: actions that result from a commit come after
+        // the action that persists them.
+        let match_indexes = members.voters.iter().map(|id| match leader.progress.get(id) {
             _ if *id == self.id => last,
-            Some(progress) => progress.matched,
+            Some(progress) => progress.match_index,
             None => 0,
         });
-        let mut matched: Vec<u64> = matched.collect();
-        matched.sort_unstable();
-        matched.reverse();
-        let needed = match self.weak(Weakening::CommitWithoutQuorum) {
+        let mut match_indexes: Vec<u64> = match_indexes.collect();
+        match_indexes.sort_unstable();
+        match_indexes.reverse();
+        let needed = match self.is_weakened(Weakening::CommitWithoutQuorum) {
             true => members.quorum().saturating_sub(1).max(1),
             false => members.quorum(),
         };
-        let index = matched.get(needed - 1).copied().unwrap_or(0);
-        // A quorum may hold an entry of an older term and yet elect someone without it; only an
-        // entry of the own term on top keeps that from happening.
-        let is_own = self.log.term_at(index) == Some(self.hard.term);
-        if index > self.commit && (is_own || self.weak(Weakening::CommitOlderTerm)) {
-            self.commit_to(index);
-            self.after_commit();
+        let index = match_indexes.get(needed - 1).copied().unwrap_or(0);
+        // A replica without an entry of an older term may still be elected although a quorum stores
+        // that entry. Only a later entry of the current term, stored by a quorum, rules this out.
+        let is_current_term = self.log.term_at(index) == Some(self.hard_state.term);
+        if index > self.commit_index
+            && (is_current_term || self.is_weakened(Weakening::CommitOlderTerm))
+        {
+            self.set_commit_index(index);
+            self.step_down_if_removed();
         }
     }
 
-    fn after_commit(&mut self) {
+    fn step_down_if_removed(&mut self) {
         let members = self.log.members();
-        let is_out = !members.voters.contains(&self.id) && self.log.members_index() <= self.commit;
-        if is_out {
+        let is_removed =
+            !members.voters.contains(&self.id) && self.log.members_index() <= self.commit_index;
+        if is_removed {
             self.role = Role::Follower;
             self.leader = None;
         }
@@ -129,148 +138,152 @@
         let Body::Append { prev_index, prev_term, ref entries, commit, stamp } = msg.body else {
             return;
         };
-        if !self.follow(now, &msg) {
-            self.refuse(&msg, self.log.last_index(), stamp);
+        if !self.accept_leader(now, &msg) {
+            self.send_reject_reply(&msg, self.log.last_index(), stamp);
             return;
         }
         let (base_index, _) = self.log.base();
-        let is_known = prev_index < base_index || self.log.term_at(prev_index) == Some(prev_term);
-        if !is_known && !self.weak(Weakening::AppendWithoutCheck) {
+        let has_prev = prev_index < base_index || self.log.term_at(prev_index) == Some(prev_term);
+        if !has_prev && !self.is_weakened(Weakening::AppendWithoutCheck) {
             let hint = self.log.last_index().min(prev_index.saturating_sub(1));
-            self.refuse(&msg, hint.max(self.commit), stamp);
+            self.send_reject_reply(&msg, hint.max(self.commit_index), stamp);
             return;
         }
-        let matched = prev_index + entries.len() as u64;
-        self.take_entries(prev_index, entries.clone());
-        let committed = commit.min(matched);
-        if committed > self.commit {
-            self.commit_to(committed);
+        let match_index = prev_index + entries.len() as u64;
+        self.merge_entries(prev_index, entries.clone());
+        let new_commit_index = commit.min(match_index);
+        if new_commit_index > self.commit_index {
+            self.set_commit_index(new_commit_index);
         }
-        self.accept(&msg, matched, stamp);
+        self.send_accept_reply(&msg, match_index, stamp);
     }
 
-    fn take_entries(&mut self, prev_index: u64, entries: Vec<Entry>) {
-        let first_kept = self.log.first_index();
+    /// Appends entries that the log lacks and replaces those that conflict.
+    fn merge_entries(&mut self, prev_index: u64, entries: Vec<Entry>) {
+        let first_index = self.log.first_index();
         for (index, entry) in (prev_index + 1..).zip(entries) {
-            // What lies before the log's start is committed, hence the same.
-            let is_there = index < first_kept || self.log.term_at(index) == Some(entry.term);
-            if is_there {
+            // Entries before the start of the log are committed and hence identical.
+            let is_present = index < first_index || self.log.term_at(index) == Some(entry.term);
+            if is_present {
                 continue;
             }
             if index <= self.log.last_index() {
                 keep!(
                     Promise::AcceptedChangeStays,
-                    index > self.commit,
-                    "entry {index} is committed and would be replaced"
+                    index > self.commit_index,
+                    "leader would replace committed entry {index}"
                 );
                 self.log.truncate_from(index);
             }
-            self.note_unsaved_from(index);
+            self.mark_unpersisted_from(index);
             self.log.push(entry);
         }
     }
 
-    pub(crate) fn on_install(&mut self, now: Millis, msg: Message) {
+    pub(crate) fn on_install_snapshot(&mut self, now: Millis, msg: Message) {
         let Body::InstallSnapshot { ref snapshot, stamp } = msg.body else { return };
-        if !self.follow(now, &msg) {
-            self.refuse(&msg, self.log.last_index(), stamp);
+        if !self.accept_leader(now, &msg) {
+            self.send_reject_reply(&msg, self.log.last_index(), stamp);
             return;
         }
         let index = snapshot.index;
-        if index > self.commit || self.weak(Weakening::InstallOlderSnapshot) {
+        if index > self.commit_index || self.is_weakened(Weakening::InstallOlderSnapshot) {
             self.log.install(snapshot.clone());
-            self.unsaved.whole = true;
+            self.pending_write.is_full = true;
             keep!(
                 Promise::AcceptedChangeStays,
-                index >= self.commit,
-                "a snapshot of {index} over {}",
-                self.commit
+                index >= self.commit_index,
+                "snapshot at index {index} is older than commit index {}",
+                self.commit_index
             );
-            self.commit = index;
-            self.applied = index;
-            self.restored = Some(snapshot.clone());
+            self.commit_index = index;
+            self.applied_index = index;
+            self.pending_restore = Some(snapshot.clone());
         }
-        self.accept(&msg, index, stamp);
+        self.send_accept_reply(&msg, index, stamp);
     }
 
-    /// Follows the sender, unless it is of an older term.
-    fn follow(&mut self, now: Millis, msg: &Message) -> bool {
-        if msg.term < self.hard.term {
+    /// Follows the sender as the leader and returns true, unless its term is older.
+    fn accept_leader(&mut self, now: Millis, msg: &Message) -> bool {
+        if msg.term < self.hard_state.term {
             return false;
         }
-        let leads = matches!(self.role, Role::Leader(_)) && msg.term == self.hard.term;
-        keep!(Promise::OneOrderer, !leads, "two leaders in term {}", msg.term);
+        let is_leader = matches!(self.role, Role::Leader(_)) && msg.term == self.hard_state.term;
+        keep!(Promise::OneOrderer, !is_leader, "two leaders in term {}", msg.term);
         self.become_follower(now, msg.term);
         self.leader = Some(msg.from.clone());
-        self.quiet_until = now + self.cfg.election;
-        self.restart = None;
+        self.no_vote_until = now + self.cfg.election_timeout;
+        self.restart_poll = None;
         true
     }
 
-    fn accept(&mut self, msg: &Message, index: u64, stamp: Stamp) {
-        let term = self.hard.term;
+    fn send_accept_reply(&mut self, msg: &Message, index: u64, stamp: RequestStamp) {
+        let term = self.hard_state.term;
         self.reply(msg, term, Body::AppendReply { accepted: true, index, stamp });
     }
 
-    fn refuse(&mut self, msg: &Message, index: u64, stamp: Stamp) {
-        let term = self.hard.term;
+    fn send_reject_reply(&mut self, msg: &Message, index: u64, stamp: RequestStamp) {
+        let term = self.hard_state.term;
         self.reply(msg, term, Body::AppendReply { accepted: false, index, stamp });
     }
 
     pub(crate) fn on_append_reply(&mut self, now: Millis, msg: &Message) {
         let Body::AppendReply { accepted, index, stamp } = msg.body else { return };
-        if msg.term > self.hard.term {
+        if msg.term > self.hard_state.term {
             self.become_follower(now, msg.term);
             return;
         }
-        if msg.term < self.hard.term {
+        if msg.term < self.hard_state.term {
             return;
         }
-        let answered = if self.weak(Weakening::LeaseFromAnswer) { now } else { stamp.sent_at };
-        let last = self.log.last_index();
+        let ack_time =
+            if self.is_weakened(Weakening::LeaseFromAnswer) { now } else { stamp.sent_at };
+        let last_index = self.log.last_index();
         let (base_index, _) = self.log.base();
-        let Role::Leader(leading) = &mut self.role else { return };
-        let Some(progress) = leading.progress.get_mut(&msg.from) else { return };
-        progress.answered = progress.answered.max(Some(answered));
-        let is_news = if accepted {
-            progress.take_accepted(index, stamp)
+        let Role::Leader(leader) = &mut self.role else { return };
+        let Some(progress) = leader.progress.get_mut(&msg.from) else { return };
+        progress.ack_time = progress.ack_time.max(Some(ack_time));
+        let has_progressed = if accepted {
+            progress.record_acceptance(index, stamp)
         } else {
-            progress.take_refused(index, stamp)
+            progress.record_rejection(index, stamp)
         };
-        // An answer that brings no news must not make it send anything. With messages doubled on
-        // the way each answer would otherwise lead to more than one other, without end.
-        let is_installing = progress.next <= base_index && now < progress.install_due;
-        let is_behind = is_news && !is_installing && progress.next <= last;
-        let before = self.commit;
+        // A reply that changes nothing must not trigger a message. With messages duplicated in
+        // transit, each reply would otherwise trigger more than one other, without end.
+        let is_installing = progress.next_index <= base_index && now < progress.snapshot_retry_at;
+        let is_behind = has_progressed && !is_installing && progress.next_index <= last_index;
+        let before = self.commit_index;
         self.advance_commit();
         if is_behind {
             self.send_append(now, &msg.from);
         }
-        if self.commit > before
-            && let Role::Leader(leading) = &mut self.role
+        if self.commit_index > before
+            && let Role::Leader(leader) = &mut self.role
         {
-            leading.heartbeat_due = leading.heartbeat_due.min(now + COMMIT_NOTICE);
+            leader.next_heartbeat = leader.next_heartbeat.min(now + COMMIT_NOTICE_DELAY);
         }
     }
 }
 
 impl Progress {
-    fn take_accepted(&mut self, index: u64, stamp: Stamp) -> bool {
+    /// Records an accepted append; returns whether it changed the progress.
+    fn record_acceptance(&mut self, index: u64, stamp: RequestStamp) -> bool {
         let ends_probe = self.is_probing && stamp.round == self.round;
-        let is_news = index > self.matched || ends_probe;
-        self.matched = self.matched.max(index);
-        self.next = self.next.max(self.matched + 1);
+        let has_progressed = index > self.match_index || ends_probe;
+        self.match_index = self.match_index.max(index);
+        self.next_index = self.next_index.max(self.match_index + 1);
         self.is_probing &= !ends_probe;
-        is_news
+        has_progressed
     }
 
-    fn take_refused(&mut self, index: u64, stamp: Stamp) -> bool {
+    /// Records a rejected append; returns whether it changed the progress.
+    fn record_rejection(&mut self, index: u64, stamp: RequestStamp) -> bool {
         if stamp.round != self.round {
             return false;
         }
         self.round += 1;
         self.is_probing = true;
-        self.next = self.next.min(index + 1).max(self.matched + 1);
+        self.next_index = self.next_index.min(index + 1).max(self.match_index + 1);
         true
     }
 }
--- a/coordination/quorum/src/cfg.rs
+++ b/coordination/quorum/src/cfg.rs
@@ -1,43 +1,47 @@
-//! Time spans and sizes of a replica.
+//! Timeouts and size limits of a replica.
 
 use sill_base::Millis;
 
 use crate::weakening::Weakening;
 
-/// Time spans and sizes of a replica; all replicas of a log must use the same.
+/// Timeouts and size limits of a replica; all replicas of a log must use the same.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cfg {
-    /// How often a leader makes itself heard.
-    pub heartbeat: Millis,
-    /// How long a replica that heard its leader helps nobody else to lead.
-    pub election: Millis,
-    /// Up to this much is added at random before a replica tries to lead.
-    pub election_spread: Millis,
-    /// How long a leader relies on a heartbeat that a quorum answered, from when it was sent.
+    /// Longest interval between two messages from a leader to each other replica.
+    pub heartbeat_interval: Millis,
+    /// How long a follower grants no votes after a message from its leader. It also waits at least
+    /// this long before it starts an election.
+    pub election_timeout: Millis,
+    /// Upper bound of the random time added to `election_timeout` before a replica starts an
+    /// election.
+    pub election_jitter: Millis,
+    /// How long a leader relies on a heartbeat that a quorum acknowledged, from when it was sent.
     ///
-    /// Shorter than `election` by the drift margin: clocks may run apart by this share before two
-    /// replicas could hold a lease at once.
-    pub lease: Millis,
-    /// The most entries in one message.
-    pub max_entries: usize,
-    /// Entries kept behind a snapshot, for replicas that are a little late.
+    /// Shorter than `election_timeout` by a margin for clock drift: two replicas could hold a lease
+    /// at once only if their clocks run apart by more than this share.
+    pub lease_duration: Millis,
+    /// Maximum number of entries in one message.
+    pub max_append_entries: usize,
+    /// Number of entries kept before the snapshot index, so that a replica slightly behind needs no
+    /// snapshot.
     pub trailing_entries: u64,
-    /// The one rule to break, in tests that show that breaking it is found.
+    /// The rule that this replica breaks, in tests which show that the checks detect it.
     pub weakening: Option<Weakening>,
 }
 
 impl Cfg {
-    /// Makes spans for control instances that are close to each other: a few milliseconds apart, with
-    /// disks that sync in a few.
+    /// Returns timeouts for control instances with a network latency and a disk sync time of a few
+    /// milliseconds each.
     ///
-    /// Callers of a service wait for the leader after each loss: entry instances that restart get
-    /// settings from it, and it alone orders endpoints. Half the usual span halves that.
+    /// After each loss of a leader, callers of a service wait for the next one: restarted entry
+    /// instances get their settings from it, and only the leader gives orders to endpoints. Half
+    /// the default timeouts halve that wait.
     pub fn low_latency() -> Self {
         Self {
-            heartbeat: Millis(120),
-            election: Millis(500),
-            election_spread: Millis(300),
-            lease: Millis(400),
+            heartbeat_interval: Millis(120),
+            election_timeout: Millis(500),
+            election_jitter: Millis(300),
+            lease_duration: Millis(400),
             ..Self::default()
         }
     }
@@ -46,11 +50,11 @@
 impl Default for Cfg {
     fn default() -> Self {
         Self {
-            heartbeat: Millis(250),
-            election: Millis(1000),
-            election_spread: Millis(600),
-            lease: Millis(800),
-            max_entries: 512,
+            heartbeat_interval: Millis(250),
+            election_timeout: Millis(1000),
+            election_jitter: Millis(600),
+            lease_duration: Millis(800),
+            max_append_entries: 512,
             trailing_entries: 500,
             weakening: None,
         }
--- a/coordination/quorum/src/event.rs
+++ b/coordination/quorum/src/event.rs
@@ -1,4 +1,4 @@
-//! What a replica takes in and what it asks its caller to do.
+//! Input events and output actions of a replica.
 
 use std::sync::Arc;
 
@@ -9,80 +9,81 @@
 use crate::message::Message;
 use crate::replica::{HardState, PersistentState};
 
-/// Something that happened.
+/// An input of a replica.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// Time went by.
+    /// The clock advanced.
     Tick,
-    /// A message came.
+    /// A message arrived from another replica.
     Receive(Message),
-    /// Commands to write, if this replica leads.
+    /// Commands to append, if this replica is the leader.
     Propose {
-        /// Given back in the answer.
+        /// Returned in the resulting action.
         tag: u64,
-        /// The commands.
+        /// The commands, in log order.
         commands: Vec<Arc<str>>,
     },
-    /// All replicas are new and this one was chosen to start the log.
+    /// Starts the log with these members. Sent to one chosen replica while all replicas are new.
     Bootstrap(Members),
-    /// A replica wants to take part.
+    /// A replica asks to become a member.
     Join {
-        /// Its id.
+        /// The replica to add.
         id: ReplicaId,
-        /// Whether it shall become a voter.
+        /// Whether it becomes a voter once it has caught up.
         as_voter: bool,
     },
     /// An operator changes the members.
     ChangeMembers(MemberChange),
-    /// The application's state after an applied entry, to drop older entries.
+    /// Replaces old entries by a snapshot of the application's state.
     Compact {
-        /// The entry.
+        /// Index of the last entry that the state includes.
         index: u64,
-        /// The state.
+        /// The serialized state.
         data: Arc<str>,
     },
 }
 
-/// Something to do, in order.
+/// An output of a replica; the caller carries out actions in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Make this durable before going on.
+    /// Make this durable before starting any later action.
     Persist(Write),
     /// Send a message; it may get lost.
     Send(Message),
-    /// Put a snapshot in place of the application's state.
+    /// Replace the application's state by a snapshot.
     Restore(Snapshot),
     /// Apply a committed entry.
     Apply {
-        /// Its index.
+        /// Index of the entry in the log.
         index: u64,
-        /// The entry.
+        /// The committed entry.
         entry: Entry,
     },
-    /// Commands were written and will be committed at these places, or never by this leader.
+    /// Commands were appended. Each is committed at its index, or never by this leader.
     ProposalAppended {
-        /// From the event.
+        /// The tag of [`Event::Propose`].
         tag: u64,
-        /// The place of the first command.
+        /// Index of the first command.
         first_index: u64,
-        /// The term; an entry of another term at that place is not the command.
+        /// Term of the commands; an entry of another term at such an index is not the command.
         term: u64,
     },
-    /// Commands were not written, since this replica does not lead.
+    /// Commands were not appended because this replica is not the leader.
     NotLeader {
-        /// From the event.
+        /// The tag of [`Event::Propose`].
         tag: u64,
     },
 }
 
-/// What must become durable at once.
+/// A change of the durable state; all of it must become durable at once.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Write {
     /// Term and vote, if they changed.
-    pub hard: Option<HardState>,
-    /// Entries that replace everything from an index on.
+    #[serde(rename = "hard")]
+    pub hard_state: Option<HardState>,
+    /// Entries that replace the end of the log.
     pub entries: Option<NewEntries>,
-    /// Everything, to be written anew, after a snapshot was made or taken in.
+    /// The complete state, after a snapshot was made or installed; replaces all earlier writes.
     #[serde(rename = "whole")]
     pub full_state: Option<Box<PersistentState>>,
 }
@@ -90,8 +91,9 @@
 /// Entries that replace everything from an index on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NewEntries {
-    /// The index of the first one.
-    pub first: u64,
-    /// The entries.
+    /// Index of the first entry.
+    #[serde(rename = "first")]
+    pub first_index: u64,
+    /// The entries in log order.
     pub entries: Vec<Entry>,
 }
--- a/coordination/quorum/src/lib.rs
+++ b/coordination/quorum/src/lib.rs
@@ -1,7 +1,8 @@
-//! A replicated log: terms, leader lease, snapshots, learners, change of one voter at a time.
+//! A Raft-style replicated log with leader leases, snapshots, learners and changes of one voter at
+//! a time.
 //!
-//! [`Replica`] is a pure state machine. Its caller carries out the actions in their order; what a
-//! [`Action::Persist`] holds must be durable before any later action is begun.
+//! [`Replica`] is a pure state machine. The caller carries out its actions in order. The content of
+//! an [`Action::Persist`] must be durable before the caller starts any later action.
 
 mod append;
 mod cfg;
@@ -20,7 +21,7 @@
 pub use event::{Action, Event, NewEntries, Write};
 pub use log::{Entry, Payload, Snapshot};
 pub use members::{MemberChange, Members, ReplicaId};
-pub use message::{Body, Message, Stamp};
+pub use message::{Body, Message, RequestStamp};
 pub use replica::{HardState, PersistentState, Replica, RoleName};
-pub use restart::{Restarted, Run};
+pub use restart::{RestartStatus, RunId};
 pub use weakening::Weakening;
--- a/coordination/quorum/src/log.rs
+++ b/coordination/quorum/src/log.rs
@@ -1,4 +1,4 @@
-//! The log as a replica holds it in memory.
+//! The log in the memory of a replica.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,38 +10,38 @@
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term of the leader that wrote it.
+    /// The term of the leader that appended it.
     pub term: u64,
-    /// What it says.
+    /// The content.
     pub payload: Payload,
 }
 
-/// What an entry says.
+/// The content of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", content = "value", rename_all = "snake_case")]
 pub enum Payload {
-    /// Nothing; a new leader writes one to commit what is before it.
+    /// Nothing; a new leader appends one to commit the entries before it.
     Noop,
-    /// New members, in use as soon as the entry is in the log.
+    /// New members, in effect as soon as the entry is in the log, committed or not.
     Members(Members),
     /// A command of the application.
     Command(Arc<str>),
 }
 
-/// The state of the application and of the log after some entry.
+/// The state of the application and of the log after an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that it contains.
+    /// Index of the last entry that it includes.
     pub index: u64,
-    /// That entry's term.
+    /// Term of that entry.
     pub term: u64,
     /// The members after that entry.
     pub members: Members,
-    /// The application's state.
+    /// The serialized state of the application.
     pub data: Arc<str>,
 }
 
-/// Entries from an index on, and the snapshot that stands for all before.
+/// Entries after a base index, and the snapshot that replaces all up to its index.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Log {
     base_index: u64,
@@ -70,15 +70,16 @@
         entries: Vec<Entry>,
     ) -> Self {
         let mut log = Self { base_index, base_term, ..Self::default() };
-        let after = snapshot.as_ref().map_or(0, |s| s.index);
+        let snapshot_index = snapshot.as_ref().map_or(0, |s| s.index);
         if let Some(snapshot) = &snapshot {
-            log.members.push(MembersAt { index: after, members: snapshot.members.clone() });
+            log.members
+                .push(MembersAt { index: snapshot_index, members: snapshot.members.clone() });
         }
         log.snapshot = snapshot;
         for entry in entries {
             log.push(entry);
         }
-        log.members.retain(|at| at.index >= after);
+        log.members.retain(|at| at.index >= snapshot_index);
         log
     }
 
@@ -123,33 +124,35 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entry at an index and all after it.
+    /// Drops the entry at an index and all entries after it.
     pub(crate) fn truncate_from(&mut self, index: u64) {
         let kept = index.saturating_sub(self.first_index()) as usize;
         self.entries.truncate(kept);
         self.members.retain(|at| at.index < index);
     }
 
-    /// Returns the newest members.
+    /// Returns the newest members, whether committed or not.
     pub(crate) fn members(&self) -> &Members {
         self.members.last().map_or(&NO_MEMBERS, |at| &at.members)
     }
 
-    /// Returns the entry that set the newest members.
+    /// Returns the index of the entry or snapshot that set the newest members.
     pub(crate) fn members_index(&self) -> u64 {
         self.members.last().map_or(0, |at| at.index)
     }
 
+    /// Returns the members that were in effect at an index.
     pub(crate) fn members_at(&self, index: u64) -> Members {
-        let set = self.members.iter().rev().find(|at| at.index <= index);
-        set.map(|at| at.members.clone()).unwrap_or_default()
+        let entry = self.members.iter().rev().find(|at| at.index <= index);
+        entry.map(|at| at.members.clone()).unwrap_or_default()
     }
 
     pub(crate) fn snapshot(&self) -> Option<&Snapshot> {
         self.snapshot.as_ref()
     }
 
-    /// Puts a snapshot of another replica in place of everything up to its index.
+    /// Replaces everything up to its index by a snapshot of the leader. Entries after that index
+    /// stay only if the log matches the snapshot there.
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         let later = if self.term_at(snapshot.index) == Some(snapshot.term) {
             self.range(snapshot.index + 1, usize::MAX)
@@ -160,9 +163,9 @@
         *self = Self::restore(Some(snapshot), index, term, later);
     }
 
-    /// Puts an own snapshot in place of old entries, but for the last `trailing` of them.
-    pub(crate) fn compact(&mut self, snapshot: Snapshot, trailing: u64) {
-        let base_index = snapshot.index.saturating_sub(trailing).max(self.base_index);
+    /// Replaces old entries by an own snapshot, but keeps `trailing_entries` before its index.
+    pub(crate) fn compact(&mut self, snapshot: Snapshot, trailing_entries: u64) {
+        let base_index = snapshot.index.saturating_sub(trailing_entries).max(self.base_index);
         let base_term = self.term_at(base_index).unwrap_or(snapshot.term);
         let kept = self.range(base_index + 1, usize::MAX);
         *self = Self::restore(Some(snapshot), base_index, base_term, kept);
--- a/coordination/quorum/src/members.rs
+++ b/coordination/quorum/src/members.rs
@@ -1,4 +1,4 @@
-//! Who takes part in a replicated log.
+//! Members of a replicated log and changes to them.
 
 use std::collections::BTreeSet;
 
@@ -9,40 +9,42 @@
 use crate::replica::{Replica, Role};
 use crate::weakening::Weakening;
 
-/// One life of a replica's disk. A replica that lost its disk is another one.
+/// Identifies a replica with the incarnation of its disk; after the loss of its disk it has a new
+/// id.
 ///
-/// Votes and acknowledgements count for this id only. A replica that comes back empty under its
-/// old name would otherwise help to elect a leader that lacks what it acknowledged and forgot.
+/// Votes and acknowledgements count for this id only. A replica that restarts with an empty disk
+/// under its old name would otherwise help to elect a leader without the entries that it
+/// acknowledged and lost.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
-    /// The instance.
+    /// The name of the instance.
     pub name: Name,
-    /// Grows with each disk of the instance.
+    /// Grows with each new disk of the instance.
     pub incarnation: u64,
 }
 
 /// The replicas of a log.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// Those whose copies count.
+    /// Replicas that vote and whose copies count towards a commit.
     pub voters: BTreeSet<ReplicaId>,
-    /// Those that only get copies.
+    /// Replicas that receive entries but neither vote nor count towards a commit.
     pub learners: BTreeSet<ReplicaId>,
 }
 
-/// A change by one replica.
+/// A change of the members by one replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MemberChange {
-    /// Sends copies to a replica.
+    /// Adds a replica that receives entries without a vote.
     AddLearner(ReplicaId),
     /// Makes a learner a voter.
     Promote(ReplicaId),
-    /// Takes a voter or learner out.
+    /// Removes a voter or learner.
     Remove(ReplicaId),
 }
 
 impl Members {
-    /// Makes members of voters only.
+    /// Creates members from voters, without learners.
     pub fn from_voters<I>(voters: I) -> Self
     where
         I: IntoIterator<Item = ReplicaId>,
@@ -50,22 +52,22 @@
         Self { voters: voters.into_iter().collect(), learners: BTreeSet::new() }
     }
 
-    /// Returns how many voters make a quorum.
+    /// Returns the number of voters in a quorum, a majority of them.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Returns whether a replica takes part.
+    /// Returns whether a replica is a voter or a learner.
     pub fn contains(&self, id: &ReplicaId) -> bool {
         self.voters.contains(id) || self.learners.contains(id)
     }
 
-    /// Iterates over all replicas.
+    /// Iterates over the voters, then the learners.
     pub fn iter(&self) -> impl Iterator<Item = &ReplicaId> {
         self.voters.iter().chain(&self.learners)
     }
 
-    fn with(&self, change: &MemberChange) -> Self {
+    fn with_change(&self, change: &MemberChange) -> Self {
         let mut members = self.clone();
         match change {
             MemberChange::AddLearner(id) => {
@@ -85,10 +87,11 @@
 }
 
 impl Replica {
-    /// Takes in that a replica wants to take part, and does the next step towards it.
+    /// Handles the request of a replica to join by making the next change towards it, if one is
+    /// due.
     ///
-    /// A voter that lost its disk goes through learner, removal of its older life, and promotion;
-    /// each step is a change of at most one voter and waits for the one before.
+    /// A voter that lost its disk is added as a learner, its older incarnation is removed, and then
+    /// it is promoted. Each step changes at most one voter and waits for the one before.
     pub(crate) fn join(&mut self, now: Millis, id: &ReplicaId, as_voter: bool) {
         if let Some(change) = self.next_change_for(id, as_voter) {
             self.change_members(now, &change);
@@ -97,12 +100,12 @@
 
     fn next_change_for(&self, id: &ReplicaId, as_voter: bool) -> Option<MemberChange> {
         let members = self.log.members();
-        let is_other_life = |other: &&ReplicaId| other.name == id.name && *other != id;
-        let other_lives: Vec<&ReplicaId> = members.iter().filter(is_other_life).collect();
-        if other_lives.iter().any(|other| other.incarnation > id.incarnation) {
+        let is_other_incarnation = |other: &&ReplicaId| other.name == id.name && *other != id;
+        let others: Vec<&ReplicaId> = members.iter().filter(is_other_incarnation).collect();
+        if others.iter().any(|other| other.incarnation > id.incarnation) {
             return None;
         }
-        let old_learner = other_lives.iter().find(|other| members.learners.contains(**other));
+        let old_learner = others.iter().find(|other| members.learners.contains(**other));
         if let Some(older) = old_learner {
             return Some(MemberChange::Remove((*older).clone()));
         }
@@ -112,52 +115,59 @@
         if !as_voter || members.voters.contains(id) || !self.is_caught_up(id) {
             return None;
         }
-        match other_lives.first() {
+        match others.first() {
             Some(older) => Some(MemberChange::Remove((*older).clone())),
             None => Some(MemberChange::Promote(id.clone())),
         }
     }
 
-    /// Returns whether it may try to lead: as a voter, or as one whose removal is still open.
+    /// Returns whether it may start an election: as a voter, or as one whose removal is
+    /// uncommitted.
     ///
-    /// Only the removed voter may have the entry that removes it. If it stood back, the others
-    /// would need its vote, and it could not give it to those with the shorter log.
+    /// The removed voter may be the only one that stores the entry which removes it. If it started
+    /// no election, the others would need its vote, and it could not grant it to their shorter
+    /// logs.
     pub(crate) fn may_lead(&self) -> bool {
-        let open = self.log.members_index() > self.commit;
+        let is_uncommitted = self.log.members_index() > self.commit_index;
         let before = self.log.members_at(self.log.members_index().saturating_sub(1));
-        self.log.members().voters.contains(&self.id) || open && before.voters.contains(&self.id)
+        self.log.members().voters.contains(&self.id)
+            || is_uncommitted && before.voters.contains(&self.id)
     }
 
-    /// Returns the learners that have everything, as far as this replica knows as the leader.
+    /// Returns the learners that store all committed entries; none if this replica is not the
+    /// leader.
     pub fn caught_up_learners(&self) -> Vec<ReplicaId> {
         let learners = self.log.members().learners.iter();
         learners.filter(|id| self.is_caught_up(id)).cloned().collect()
     }
 
     fn is_caught_up(&self, id: &ReplicaId) -> bool {
-        let Role::Leader(leading) = &self.role else { return false };
-        leading.progress.get(id).is_some_and(|progress| progress.matched >= self.commit)
+        let Role::Leader(leader) = &self.role else { return false };
+        leader.progress.get(id).is_some_and(|progress| progress.match_index >= self.commit_index)
     }
 
-    /// Begins a change, if this replica leads and no other change is open.
+    /// Appends a change, if this replica leads, no other change is uncommitted, and a quorum of the
+    /// new members is active.
     pub(crate) fn change_members(&mut self, now: Millis, change: &MemberChange) {
         if !self.has_committed_own_term() {
             return;
         }
-        // Quorums before and after two changes at once need not share a replica, so two leaders
-        // could be elected in one term.
-        if self.log.members_index() > self.commit && !self.weak(Weakening::TwoChangesAtOnce) {
+        // A quorum from before two concurrent changes and one from after them need not share a
+        // replica, so two leaders could be elected in one term.
+        if self.log.members_index() > self.commit_index
+            && !self.is_weakened(Weakening::TwoChangesAtOnce)
+        {
             return;
         }
         let before = self.log.members();
-        let after = before.with(change);
-        if after == *before || !self.has_quorum_of(now, &after) {
+        let after = before.with_change(change);
+        if after == *before || !self.has_active_quorum(now, &after) {
             return;
         }
         let changed = before.voters.symmetric_difference(&after.voters).count();
-        keep!(Promise::OneOrderer, changed <= 1, "a change of {changed} voters at once");
-        self.append_own(vec![Payload::Members(after)]);
-        self.follow_members();
+        keep!(Promise::OneOrderer, changed <= 1, "change of {changed} voters at once");
+        self.append_payloads(vec![Payload::Members(after)]);
+        self.update_progress_members();
         self.broadcast(now);
         self.advance_commit();
     }
--- a/coordination/quorum/src/message.rs
+++ b/coordination/quorum/src/message.rs
@@ -1,31 +1,32 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use serde::{Deserialize, Serialize};
 use sill_base::Millis;
 
 use crate::log::{Entry, Snapshot};
 use crate::members::ReplicaId;
-use crate::restart::{Restarted, Run};
+use crate::restart::{RestartStatus, RunId};
 
-/// One message. It may be lost, late, doubled or overtaken.
+/// A message between two replicas. It may be lost, delayed, duplicated or reordered.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     /// The sender.
     pub from: ReplicaId,
-    /// The life of the replica that is meant.
+    /// The receiver; another incarnation of it ignores the message.
     pub to: ReplicaId,
-    /// The sender's term, or the one it would like to lead.
+    /// The sender's term. In a pre-vote, and in the reply that grants it, the term that the
+    /// candidate would start.
     pub term: u64,
     /// The content.
     pub body: Body,
 }
 
-/// Tells a leader which of its messages is answered.
+/// Identifies to a leader which of its messages a reply answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct RequestStamp {
     /// The leader's clock when it sent the message.
     pub sent_at: Millis,
-    /// Grows with each refusal that the leader acted on.
+    /// Number of rejections by the receiver that the leader had acted on when it sent the message.
     pub round: u64,
 }
 
@@ -33,76 +34,79 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Body {
-    /// Asks whether a vote would be given; changes nothing at the receiver.
+    /// Asks whether a vote would be granted; changes nothing at the receiver.
     PreVote {
-        /// The candidate's last entry.
+        /// Index of the candidate's last entry.
         last_index: u64,
-        /// That entry's term.
+        /// Term of the candidate's last entry.
         last_term: u64,
     },
     /// Answers a [`Body::PreVote`].
     PreVoteReply {
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
-        /// The candidate's last entry.
+        /// Index of the candidate's last entry.
         last_index: u64,
-        /// That entry's term.
+        /// Term of the candidate's last entry.
         last_term: u64,
-        /// Where all replicas were restarted, their runs. Voters in these runs that have promised
-        /// nothing since need not wait for a leader.
+        /// The runs of all replicas, if all were restarted. A voter that is still fresh in its
+        /// listed run need not wait out the election timeout.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        runs: Vec<Run>,
+        runs: Vec<RunId>,
     },
     /// Answers a [`Body::Vote`].
     VoteReply {
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Says that the sender has promised nothing since its start, and asks the same.
-    Restarted {
-        /// The sender.
-        own: Restarted,
-        /// The runs of all, to be confirmed, once all have answered.
-        runs: Vec<Run>,
+    /// Reports that the sender is fresh, that is, has made no promise since its start, and asks
+    /// whether the receiver is too.
+    #[serde(rename = "restarted")]
+    RestartQuery {
+        /// Run and last entry of the sender.
+        own: RestartStatus,
+        /// The runs of all replicas for the receiver to confirm, or none until all have reported.
+        runs: Vec<RunId>,
     },
-    /// Answers a [`Body::Restarted`]; only a replica that has promised nothing since its start does.
-    RestartedToo {
-        /// The sender.
-        own: Restarted,
-        /// The runs that were asked about, if the sender is in the run that they name.
-        confirms: Vec<Run>,
+    /// Answers a [`Body::RestartQuery`]; sent only by a fresh replica.
+    #[serde(rename = "restarted_too")]
+    RestartReply {
+        /// Run and last entry of the sender.
+        own: RestartStatus,
+        /// The runs of the query, if they include the sender's current run; otherwise none.
+        confirms: Vec<RunId>,
     },
-    /// Entries, or none as a heartbeat.
+    /// Entries to append, or none as a heartbeat.
     Append {
-        /// The entry before the first.
+        /// Index of the entry before the first.
         prev_index: u64,
-        /// That entry's term.
+        /// Term of the entry at `prev_index`.
         prev_term: u64,
-        /// The entries.
+        /// The entries in log order.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: u64,
-        /// What the leader wants back in the answer.
-        stamp: Stamp,
+        /// Returned unchanged in the reply.
+        stamp: RequestStamp,
     },
-    /// The state up to an entry that the leader no longer has.
+    /// A snapshot, for a replica that needs entries which the leader has dropped.
     #[serde(rename = "install")]
     InstallSnapshot {
-        /// The state.
+        /// The leader's newest snapshot.
         snapshot: Snapshot,
-        /// What the leader wants back in the answer.
-        stamp: Stamp,
+        /// Returned unchanged in the reply.
+        stamp: RequestStamp,
     },
     /// Answers [`Body::Append`] and [`Body::InstallSnapshot`].
     AppendReply {
-        /// Whether the entries are in the receiver's log, durably.
+        /// Whether the entries are durable in the receiver's log.
         accepted: bool,
-        /// Up to where both logs are the same, or on a refusal where to try.
+        /// Last index up to which both logs match; on a rejection, the index to try next.
         index: u64,
-        /// From the message that is answered.
-        stamp: Stamp,
+        /// The stamp of the message that is answered.
+        stamp: RequestStamp,
     },
 }
--- a/coordination/quorum/src/replica.rs
+++ b/coordination/quorum/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica: its state, and how events are taken in.
+//! State of a replica and its handling of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem;
@@ -13,41 +13,42 @@
 use crate::log::{Entry, Log, Payload, Snapshot};
 use crate::members::{Members, ReplicaId};
 use crate::message::{Body, Message};
-use crate::restart::Restart;
+use crate::restart::RestartPoll;
 use crate::weakening::Weakening;
 
-/// What a replica must remember of elections.
+/// Durable election state of a replica.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The newest term it knows.
+    /// The highest term that it has seen.
     pub term: u64,
-    /// Whom it voted for in that term.
+    /// The candidate that it voted for in that term.
     pub vote: Option<ReplicaId>,
 }
 
-/// All that a replica must remember.
+/// Complete durable state of a replica.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistentState {
     /// Term and vote.
-    pub hard: HardState,
-    /// The newest snapshot.
+    #[serde(rename = "hard")]
+    pub hard_state: HardState,
+    /// The newest snapshot, if the log was ever compacted or a snapshot installed.
     pub snapshot: Option<Snapshot>,
-    /// The index before the first kept entry.
+    /// Index before the first entry that is kept.
     pub base_index: u64,
-    /// The term of the entry there.
+    /// Term of the entry at `base_index`.
     pub base_term: u64,
-    /// The kept entries.
+    /// The entries after `base_index`.
     pub entries: Vec<Entry>,
 }
 
-/// What a replica does at present, for logs and metrics.
+/// The current role of a replica, for logs and metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoleName {
-    /// It takes entries from a leader.
+    /// It receives entries from a leader, or waits for one.
     Follower,
-    /// It tries to become the leader.
+    /// It holds a pre-vote or an election.
     Candidate,
-    /// It writes entries.
+    /// It appends entries and replicates them.
     Leader,
 }
 
@@ -57,74 +58,79 @@
     pub(crate) cfg: Cfg,
     pub(crate) id: ReplicaId,
     pub(crate) rng: Rng,
-    pub(crate) hard: HardState,
+    pub(crate) hard_state: HardState,
     pub(crate) log: Log,
-    pub(crate) commit: u64,
-    pub(crate) applied: u64,
+    pub(crate) commit_index: u64,
+    pub(crate) applied_index: u64,
     pub(crate) role: Role,
     pub(crate) leader: Option<ReplicaId>,
-    /// Until when it has promised a leader to vote for nobody.
-    pub(crate) quiet_until: Millis,
-    pub(crate) election_due: Millis,
-    /// Stands for this run of the process.
-    pub(crate) run: u64,
-    /// Set while it has promised nothing to any leader or candidate since its start.
-    pub(crate) restart: Option<Restart>,
-    pub(crate) unsaved: Unsaved,
+    /// Until when it has promised a leader to grant no votes.
+    pub(crate) no_vote_until: Millis,
+    pub(crate) election_deadline: Millis,
+    /// Identifies this run of the process.
+    pub(crate) run_number: u64,
+    /// Set while it is fresh: it has promised nothing to any leader or candidate since its start.
+    pub(crate) restart_poll: Option<RestartPoll>,
+    pub(crate) pending_write: PendingWrite,
     pub(crate) outbox: Vec<Message>,
-    pub(crate) restored: Option<Snapshot>,
-    pub(crate) answers: Vec<Action>,
+    /// An installed snapshot that the caller has yet to restore.
+    pub(crate) pending_restore: Option<Snapshot>,
+    pub(crate) proposal_replies: Vec<Action>,
 }
 
 #[derive(Debug)]
 pub(crate) enum Role {
     Follower,
-    PreCandidate { granted: BTreeSet<ReplicaId> },
-    Candidate { granted: BTreeSet<ReplicaId> },
-    Leader(Leading),
+    PreCandidate { votes: BTreeSet<ReplicaId> },
+    Candidate { votes: BTreeSet<ReplicaId> },
+    Leader(LeaderState),
 }
 
-/// What a leader keeps.
+/// State that only a leader has.
 #[derive(Debug)]
-pub(crate) struct Leading {
-    pub(crate) since: Millis,
-    pub(crate) heartbeat_due: Millis,
+pub(crate) struct LeaderState {
+    pub(crate) elected_at: Millis,
+    pub(crate) next_heartbeat: Millis,
     pub(crate) progress: BTreeMap<ReplicaId, Progress>,
 }
 
-/// What a leader knows of another replica.
+/// Replication state of another replica, as its leader tracks it.
 #[derive(Debug, Clone)]
 pub(crate) struct Progress {
-    pub(crate) next: u64,
-    pub(crate) matched: u64,
-    /// When the newest message that it answered was sent.
-    pub(crate) answered: Option<Millis>,
-    pub(crate) install_due: Millis,
-    /// Grows with each refusal that was acted on.
+    /// Index of the next entry to send.
+    pub(crate) next_index: u64,
+    /// Last index up to which its log is known to match.
+    pub(crate) match_index: u64,
+    /// When the newest message that it has answered was sent.
+    pub(crate) ack_time: Option<Millis>,
+    pub(crate) snapshot_retry_at: Millis,
+    /// Number of rejections that were acted on; replies of an earlier round are outdated.
     pub(crate) round: u64,
-    /// Whether it is unknown where the other's log begins to differ.
+    /// Whether it is unknown where its log starts to differ; only one batch is sent at a time then.
     pub(crate) is_probing: bool,
 }
 
-/// What changed since the last write.
+/// Which changes the next write must make durable.
 #[derive(Debug, Default)]
-pub(crate) struct Unsaved {
-    pub(crate) hard: bool,
-    pub(crate) from: Option<u64>,
-    pub(crate) whole: bool,
+pub(crate) struct PendingWrite {
+    pub(crate) has_hard_state: bool,
+    /// Index of the first entry to write.
+    pub(crate) first_index: Option<u64>,
+    /// Whether to write the complete state, after a change of the snapshot.
+    pub(crate) is_full: bool,
 }
 
 impl PersistentState {
-    /// Takes in a write, as a replay of a disk's records does.
+    /// Applies a write, for example when the records on a disk are replayed.
     pub fn apply(&mut self, write: Write) {
-        if let Some(whole) = write.full_state {
-            *self = *whole;
+        if let Some(full_state) = write.full_state {
+            *self = *full_state;
         }
-        if let Some(hard) = write.hard {
-            self.hard = hard;
+        if let Some(hard_state) = write.hard_state {
+            self.hard_state = hard_state;
         }
         if let Some(new) = write.entries {
-            let kept = new.first.saturating_sub(self.base_index + 1) as usize;
+            let kept = new.first_index.saturating_sub(self.base_index + 1) as usize;
             self.entries.truncate(kept);
             self.entries.extend(new.entries);
         }
@@ -132,67 +138,70 @@
 }
 
 impl Replica {
-    /// Makes a replica of what its disk holds; a new disk holds the default.
+    /// Creates a replica from the state on its disk; an empty disk has the default state.
+    ///
+    /// `seed` must differ from that of each earlier run of the replica, since the number that
+    /// identifies this run is drawn from it.
     pub fn restore(
         cfg: Cfg,
         id: ReplicaId,
-        persisted: PersistentState,
+        state: PersistentState,
         seed: u64,
         now: Millis,
     ) -> Self {
-        let PersistentState { hard, snapshot, base_index, base_term, entries } = persisted;
-        let commit = snapshot.as_ref().map_or(0, |s| s.index);
-        let is_new = hard.term == 0;
+        let PersistentState { hard_state, snapshot, base_index, base_term, entries } = state;
+        let commit_index = snapshot.as_ref().map_or(0, |s| s.index);
+        let is_new = hard_state.term == 0;
         let mut rng = seeded(seed);
-        let run = rng.random();
+        let run_number = rng.random();
         let mut replica = Self {
             log: Log::restore(snapshot, base_index, base_term, entries),
             cfg,
             id,
             rng,
-            hard,
-            commit,
-            applied: commit,
+            hard_state,
+            commit_index,
+            applied_index: commit_index,
             role: Role::Follower,
             leader: None,
-            quiet_until: Millis::ZERO,
-            election_due: Millis::ZERO,
-            run,
-            restart: Some(Restart::default()),
-            unsaved: Unsaved::default(),
+            no_vote_until: Millis::ZERO,
+            election_deadline: Millis::ZERO,
+            run_number,
+            restart_poll: Some(RestartPoll::default()),
+            pending_write: PendingWrite::default(),
             outbox: Vec::new(),
-            restored: None,
-            answers: Vec::new(),
+            pending_restore: None,
+            proposal_replies: Vec::new(),
         };
-        // A promise to a leader is not on disk. A replica that votes right after a restart could
-        // help a second leader up while the first still relies on that promise, and an operator
-        // would read an old value from the first.
-        if !is_new && !replica.weak(Weakening::VoteRightAfterRestart) {
-            replica.quiet_until = now + replica.cfg.election;
+        // A promise to a leader is not on disk. A vote right after a restart could help to elect a
+        // second leader while the first still relies on that promise, and an operator would read a
+        // stale value from the first.
+        if !is_new && !replica.is_weakened(Weakening::VoteRightAfterRestart) {
+            replica.no_vote_until = now + replica.cfg.election_timeout;
         }
-        replica.wait_for_leader(now);
+        replica.reset_election_deadline(now);
         if replica.is_only_voter() {
-            replica.election_due = now;
+            replica.election_deadline = now;
         }
         replica
     }
 
-    /// Returns its id.
+    /// Returns its id, which names the instance and the incarnation of its disk.
     pub fn id(&self) -> &ReplicaId {
         &self.id
     }
 
-    /// Returns whether it has never taken part in anything.
+    /// Returns whether it has never taken part in a log: it has seen no term and stores no entry.
     pub fn is_new(&self) -> bool {
-        self.hard.term == 0 && self.log.last_index() == 0
+        self.hard_state.term == 0 && self.log.last_index() == 0
     }
 
-    /// Returns its term.
+    /// Returns the highest term that it has seen.
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
-    /// Returns its role.
+    /// Returns its current role; a pre-candidate counts as a candidate.
     pub fn role(&self) -> RoleName {
         match self.role {
             Role::Follower => RoleName::Follower,
@@ -201,50 +210,50 @@
         }
     }
 
-    /// Returns the leader it knows of, which may be itself.
+    /// Returns the current leader as far as it knows, which may be itself.
     pub fn leader(&self) -> Option<&ReplicaId> {
         self.leader.as_ref()
     }
 
-    /// Returns the newest members.
+    /// Returns the members of the newest entry that set them, committed or not.
     pub fn members(&self) -> &Members {
         self.log.members()
     }
 
-    /// Returns the last entry that is known to be committed.
+    /// Returns the index of the last entry that is known to be committed.
     pub fn commit_index(&self) -> u64 {
-        self.commit
+        self.commit_index
     }
 
-    /// Returns the last entry that was given out to be applied.
+    /// Returns the index of the last entry that was passed to the caller to apply or restore.
     pub fn applied_index(&self) -> u64 {
-        self.applied
+        self.applied_index
     }
 
-    /// Returns the last entry.
+    /// Returns the index of the last entry in the log.
     pub fn last_index(&self) -> u64 {
         self.log.last_index()
     }
 
-    /// Returns when it has something to do if nothing happens before.
+    /// Returns when it needs the next tick if no other event comes before.
     pub fn wake_at(&self) -> Millis {
         match &self.role {
-            Role::Leader(leading) => leading.heartbeat_due,
-            _ if self.may_lead() => self.election_due.min(self.ask_due()),
+            Role::Leader(leader) => leader.next_heartbeat,
+            _ if self.may_lead() => self.election_deadline.min(self.next_restart_query()),
             _ => Millis::MAX,
         }
     }
 
-    /// Returns the number of applied entries that lie in the log, to decide when to compact it.
+    /// Returns the number of applied entries still in the log, to decide when to compact it.
     pub fn compactable_entries(&self) -> u64 {
-        self.applied.saturating_sub(self.log.base().0)
+        self.applied_index.saturating_sub(self.log.base().0)
     }
 
-    /// Returns all that must be on disk now.
+    /// Returns the complete state that must be durable now.
     pub fn persistent_state(&self) -> PersistentState {
         let (base_index, base_term) = self.log.base();
         PersistentState {
-            hard: self.hard.clone(),
+            hard_state: self.hard_state.clone(),
             snapshot: self.log.snapshot().cloned(),
             base_index,
             base_term,
@@ -252,7 +261,7 @@
         }
     }
 
-    pub(crate) fn weak(&self, weakening: Weakening) -> bool {
+    pub(crate) fn is_weakened(&self, weakening: Weakening) -> bool {
         self.cfg.weakening == Some(weakening)
     }
 
@@ -262,7 +271,7 @@
     }
 
     pub(crate) fn send(&mut self, to: ReplicaId, body: Body) {
-        let (from, term) = (self.id.clone(), self.hard.term);
+        let (from, term) = (self.id.clone(), self.hard_state.term);
         self.outbox.push(Message { from, to, term, body });
     }
 
@@ -271,25 +280,27 @@
         self.outbox.push(Message { from, to, term, body });
     }
 
-    pub(crate) fn note_unsaved_from(&mut self, index: u64) {
-        let from = self.unsaved.from.map_or(index, |from| from.min(index));
-        self.unsaved.from = Some(from);
+    /// Notes that entries from this index on must be persisted.
+    pub(crate) fn mark_unpersisted_from(&mut self, index: u64) {
+        let first = self.pending_write.first_index.map_or(index, |first| first.min(index));
+        self.pending_write.first_index = Some(first);
     }
 
-    pub(crate) fn commit_to(&mut self, index: u64) {
+    pub(crate) fn set_commit_index(&mut self, index: u64) {
         keep!(
             Promise::AcceptedChangeStays,
-            index >= self.commit && index <= self.log.last_index(),
-            "commit index {} to {index}, last entry {}",
-            self.commit,
+            index >= self.commit_index && index <= self.log.last_index(),
+            "commit index set from {} to {index}, last entry {}",
+            self.commit_index,
             self.log.last_index()
         );
-        self.commit = index;
+        self.commit_index = index;
     }
 
     fn receive(&mut self, now: Millis, msg: Message) {
-        let for_old_life = self.weak(Weakening::AnswerForOldLife) && msg.to.name == self.id.name;
-        if msg.to != self.id && !for_old_life {
+        let accepts_any_incarnation =
+            self.is_weakened(Weakening::AnswerForOldLife) && msg.to.name == self.id.name;
+        if msg.to != self.id && !accepts_any_incarnation {
             return;
         }
         match &msg.body {
@@ -297,25 +308,25 @@
             Body::PreVoteReply { granted } => self.on_pre_vote_reply(now, &msg, *granted),
             Body::Vote { .. } => self.on_vote(now, &msg),
             Body::VoteReply { granted } => self.on_vote_reply(now, &msg, *granted),
-            Body::Restarted { .. } => self.on_restarted(now, &msg),
-            Body::RestartedToo { .. } => self.on_restarted_too(now, &msg),
+            Body::RestartQuery { .. } => self.on_restart_query(now, &msg),
+            Body::RestartReply { .. } => self.on_restart_reply(now, &msg),
             Body::Append { .. } => self.on_append(now, msg),
-            Body::InstallSnapshot { .. } => self.on_install(now, msg),
+            Body::InstallSnapshot { .. } => self.on_install_snapshot(now, msg),
             Body::AppendReply { .. } => self.on_append_reply(now, &msg),
         }
     }
 
     fn propose(&mut self, now: Millis, tag: u64, commands: Vec<std::sync::Arc<str>>) {
         if !matches!(self.role, Role::Leader(_)) {
-            self.answers.push(Action::NotLeader { tag });
+            self.proposal_replies.push(Action::NotLeader { tag });
             return;
         }
-        let first = self.log.last_index() + 1;
-        self.append_own(commands.into_iter().map(Payload::Command).collect());
-        self.answers.push(Action::ProposalAppended {
+        let first_index = self.log.last_index() + 1;
+        self.append_payloads(commands.into_iter().map(Payload::Command).collect());
+        self.proposal_replies.push(Action::ProposalAppended {
             tag,
-            first_index: first,
-            term: self.hard.term,
+            first_index,
+            term: self.hard_state.term,
         });
         self.broadcast(now);
         self.advance_commit();
@@ -325,72 +336,76 @@
         if !self.is_new() {
             return;
         }
-        self.hard = HardState { term: 1, vote: Some(self.id.clone()) };
-        self.unsaved.hard = true;
-        self.append_own(vec![Payload::Members(members)]);
-        self.election_due = now;
+        self.hard_state = HardState { term: 1, vote: Some(self.id.clone()) };
+        self.pending_write.has_hard_state = true;
+        self.append_payloads(vec![Payload::Members(members)]);
+        self.election_deadline = now;
     }
 
     fn compact(&mut self, index: u64, data: std::sync::Arc<str>) {
         let is_newer = self.log.snapshot().is_none_or(|s| s.index < index);
         let Some(term) = self.log.term_at(index) else { return };
-        if index > self.applied || !is_newer {
+        if index > self.applied_index || !is_newer {
             return;
         }
         let members = self.log.members_at(index);
-        let trailing = self.cfg.trailing_entries;
-        self.log.compact(Snapshot { index, term, members, data }, trailing);
-        self.unsaved.whole = true;
+        let trailing_entries = self.cfg.trailing_entries;
+        self.log.compact(Snapshot { index, term, members, data }, trailing_entries);
+        self.pending_write.is_full = true;
     }
 
-    fn on_time(&mut self, now: Millis) {
+    fn run_timers(&mut self, now: Millis) {
         if matches!(self.role, Role::Leader(_)) {
-            self.lead(now);
-        } else if now >= self.election_due && self.may_lead() {
+            self.send_due_heartbeat(now);
+        } else if now >= self.election_deadline && self.may_lead() {
             self.start_pre_vote(now);
         } else if self.may_lead() {
-            self.ask_restarted(now);
+            self.query_restarts(now);
         }
     }
 
-    fn flush(&mut self, out: &mut Vec<Action>) {
+    fn emit_actions(&mut self, out: &mut Vec<Action>) {
         let sends = mem::take(&mut self.outbox).into_iter().map(Action::Send);
-        let early = self.weak(Weakening::SendBeforePersist);
+        let sends_early = self.is_weakened(Weakening::SendBeforePersist);
         let mut sends = Some(sends);
-        if early {
+        if sends_early {
             out.extend(sends.take().into_iter().flatten());
         }
-        if let Some(write) = self.take_write() {
+        if let Some(write) = self.take_pending_write() {
             out.push(Action::Persist(write));
         }
         out.extend(sends.into_iter().flatten());
-        out.extend(self.restored.take().map(Action::Restore));
-        out.append(&mut self.answers);
-        while self.applied < self.commit {
-            self.applied += 1;
-            let entry = self.log.get(self.applied).expect("committed entries are kept").clone();
-            out.push(Action::Apply { index: self.applied, entry });
+        out.extend(self.pending_restore.take().map(Action::Restore));
+        out.append(&mut self.proposal_replies);
+        while self.applied_index < self.commit_index {
+            self.applied_index += 1;
+            let entry = self
+                .log
+                .get(self.applied_index)
+                .expect("the log keeps committed entries that are not applied")
+                .clone();
+            out.push(Action::Apply { index: self.applied_index, entry });
         }
     }
 
-    fn take_write(&mut self) -> Option<Write> {
-        let unsaved = mem::take(&mut self.unsaved);
-        if unsaved.whole {
-            let whole = Some(Box::new(self.persistent_state()));
-            return Some(Write { full_state: whole, ..Write::default() });
+    fn take_pending_write(&mut self) -> Option<Write> {
+        let pending_write = mem::take(&mut self.pending_write);
+        if pending_write.is_full {
+            let full_state = Some(Box::new(self.persistent_state()));
+            return Some(Write { full_state, ..Write::default() });
         }
-        let mut hard = unsaved.hard.then(|| self.hard.clone());
-        if let Some(hard) = &mut hard
-            && self.weak(Weakening::ForgetVote)
+        let mut hard_state = pending_write.has_hard_state.then(|| self.hard_state.clone());
+        if let Some(hard_state) = &mut hard_state
+            && self.is_weakened(Weakening::ForgetVote)
         {
-            hard.vote = None;
+            hard_state.vote = None;
         }
-        let entries = unsaved.from.map(|first| {
-            let entries = self.log.range(first, usize::MAX);
-            NewEntries { first, entries }
+        let entries = pending_write.first_index.map(|first_index| {
+            let entries = self.log.range(first_index, usize::MAX);
+            NewEntries { first_index, entries }
         });
-        let is_empty = hard.is_none() && entries.is_none();
-        (!is_empty).then_some(Write { hard, entries, full_state: None })
+        let is_empty = hard_state.is_none() && entries.is_none();
+        (!is_empty).then_some(Write { hard_state, entries, full_state: None })
     }
 }
 
@@ -399,9 +414,10 @@
     type Event = Event;
 
     fn step(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
-        let (term, commit) = (self.hard.term, self.commit);
-        // A leader that was frozen finds out here, before it takes in what waited for it.
-        self.check_quorum(now);
+        let (term, commit_index) = (self.hard_state.term, self.commit_index);
+        // A leader whose process was frozen steps down here, before it handles the messages that
+        // waited.
+        self.step_down_without_quorum(now);
         match event {
             Event::Tick => {}
             Event::Receive(msg) => self.receive(now, msg),
@@ -411,15 +427,20 @@
             Event::ChangeMembers(change) => self.change_members(now, &change),
             Event::Compact { index, data } => self.compact(index, data),
         }
-        self.on_time(now);
-        self.flush(out);
-        keep!(Promise::OneOrderer, self.hard.term >= term, "term went back from {term}");
+        self.run_timers(now);
+        self.emit_actions(out);
+        keep!(
+            Promise::OneOrderer,
+            self.hard_state.term >= term,
+            "term decreased from {term} to {}",
+            self.hard_state.term
+        );
         keep!(
             Promise::AcceptedChangeStays,
-            self.commit >= commit && self.applied == self.commit,
-            "commit index went back from {commit} to {}, applied {}",
-            self.commit,
-            self.applied
+            self.commit_index >= commit_index && self.applied_index == self.commit_index,
+            "commit index went from {commit_index} to {}, applied index {}",
+            self.commit_index,
+            self.applied_index
         );
     }
 }
--- a/coordination/quorum/src/standby.rs
+++ b/coordination/quorum/src/standby.rs
@@ -1,41 +1,41 @@
-//! Which voter is replaced by a replica that stands by.
+//! Which standby replaces a lost voter, and which becomes a voter next.
 
 use sill_base::{Millis, Name};
 
 use crate::members::ReplicaId;
 
-/// A voter that was not heard of for this long is replaced. A platform that replaces an instance
-/// counts the new one as a full member after a few seconds, four on the smallest deployments, and may
-/// lose the next voter then. What is merely restarted is back sooner.
+/// A voter that has not been seen for this long is replaced. A platform that replaces an instance
+/// counts the new one as a full member after a few seconds, four on the smallest deployments, and
+/// may take down the next voter then. An instance that only restarts is back sooner.
 pub const VOTER_LOSS_TIMEOUT: Millis = Millis(2000);
 
-/// One that stands by must have been heard of within this time to take a voter's place.
-pub const PRESENT: Millis = Millis(1000);
+/// A standby must have been seen within this time to replace a voter.
+pub const STANDBY_PRESENCE_TIMEOUT: Millis = Millis(1000);
 
-/// When a replica was last heard of.
+/// When a replica was last seen.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Presence {
     /// The replica.
     pub id: ReplicaId,
-    /// Its failure domain.
+    /// The failure domain of its instance.
     pub domain: Name,
-    /// When.
+    /// When it was last heard from, by the clock of the instance that decides.
     pub last_seen: Millis,
 }
 
-/// A voter that goes, and the replica that takes its place.
+/// A lost voter and the standby that takes its place.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Replacement {
-    /// The voter.
+    /// The voter to remove.
     pub voter: ReplicaId,
-    /// The replica that stands by.
+    /// The learner to promote.
     pub standby: ReplicaId,
 }
 
 /// Returns the replacement that is due, as the leader sees it.
 ///
-/// `ready` are the learners that have everything. Without one of them nobody is taken out: the voters
-/// left would all be needed for every entry, and one more loss would end the log for good.
+/// `ready` are the learners that have caught up. Without one of them no voter is removed: all
+/// remaining voters would be needed for every entry, and one more loss would end the log for good.
 pub fn replacement(
     now: Millis,
     own: &ReplicaId,
@@ -43,21 +43,22 @@
     presences: &[Presence],
     ready: &[ReplicaId],
 ) -> Option<Replacement> {
-    let heard_within = |id: &ReplicaId, span: Millis| {
-        presences.iter().any(|presence| presence.id == *id && now - presence.last_seen <= span)
+    let is_present = |id: &ReplicaId, timeout: Millis| {
+        presences.iter().any(|presence| presence.id == *id && now - presence.last_seen <= timeout)
     };
-    let lost = voters.iter().find(|id| *id != own && !heard_within(id, VOTER_LOSS_TIMEOUT))?;
-    let stays: Vec<Name> =
-        voters.iter().filter(|id| *id != lost).filter_map(|id| domain_of(presences, id)).collect();
-    let present = ready.iter().filter(|id| heard_within(id, PRESENT));
-    let by = present.min_by_key(|id| domain_of(presences, id).map(|d| count(&stays, &d)))?;
-    Some(Replacement { voter: lost.clone(), standby: by.clone() })
+    let voter = voters.iter().find(|id| *id != own && !is_present(id, VOTER_LOSS_TIMEOUT))?;
+    let voter_domains: Vec<Name> =
+        voters.iter().filter(|id| *id != voter).filter_map(|id| domain_of(presences, id)).collect();
+    let present = ready.iter().filter(|id| is_present(id, STANDBY_PRESENCE_TIMEOUT));
+    let standby =
+        present.min_by_key(|id| domain_of(presences, id).map(|d| count(&voter_domains, &d)))?;
+    Some(Replacement { voter: voter.clone(), standby: standby.clone() })
 }
 
-/// Returns whether a replica may become a voter, or another that stands by is to go first.
+/// Returns whether a replica may become a voter now, or another standby comes before it.
 ///
-/// A failure domain is lost as a whole. Voters that stand together in one, while others have none, would
-/// all be lost with it, and with them the quorum.
+/// A failure domain is lost as a whole. Several voters in one domain, while other domains have
+/// none, would all be lost with it, and the quorum with them.
 pub fn may_become_voter(
     id: &ReplicaId,
     own_domain: &Name,
@@ -69,9 +70,10 @@
     let domains = others.map(|voter| domain_of(presences, voter));
     let domains: Vec<Name> = domains.map(|domain| domain.unwrap_or(own_domain.clone())).collect();
     let Some(domain) = domain_of(presences, id) else { return true };
-    // One that never gets everything, as on a full disk, must not hold up the others.
-    let stands_by = ready.iter().filter_map(|id| domain_of(presences, id));
-    let fewest = stands_by.map(|domain| count(&domains, &domain)).min();
+    // Only learners that have caught up count: one that never does, for example because its disk is
+    // full, must not block the others.
+    let ready_domains = ready.iter().filter_map(|id| domain_of(presences, id));
+    let fewest = ready_domains.map(|domain| count(&domains, &domain)).min();
     fewest.is_none_or(|fewest| count(&domains, &domain) <= fewest)
 }
 
--- a/coordination/quorum/src/weakening.rs
+++ b/coordination/quorum/src/weakening.rs
@@ -1,46 +1,46 @@
-//! Rules that tests break on purpose, one at a time.
+//! Protocol rules that tests break on purpose, one at a time.
 
-/// A rule that a replica then doesn't follow. Only tests set one.
+/// A protocol rule that a replica then breaks. Only tests set one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Weakening {
-    /// Votes for each candidate that asks.
+    /// Grants a vote to every candidate that asks, also in the same term.
     VoteTwice,
     /// Votes for candidates whose log lacks entries.
     VoteForShorterLog,
-    /// Votes at once after a restart, though it may have promised a leader not to.
+    /// Votes right after a restart, although it may have promised a leader not to.
     VoteRightAfterRestart,
-    /// Takes a quorum of restarted replicas for all of them.
+    /// Treats the restart of a quorum as the restart of all replicas.
     ReleaseByQuorum,
-    /// Counts as just restarted, though it has promised something since.
+    /// Counts as fresh although it has made a promise since its restart.
     ReleaseAfterPromise,
-    /// Votes while it hears a leader.
+    /// Votes while it receives messages from a leader.
     VoteInsideLease,
-    /// Relies on a heartbeat from when its answer came, not from when it was sent.
+    /// Starts the lease when a heartbeat is acknowledged instead of when it was sent.
     LeaseFromAnswer,
-    /// Relies on its lease for longer than others keep their promise.
+    /// Relies on its lease for longer than followers keep their promise.
     LeaseWithoutEnd,
     /// Serves reads before an entry of its own term is committed.
     ReadBeforeOwnTerm,
-    /// Counts copies of entries of older terms as committed.
+    /// Commits entries of older terms by counting their replicas.
     CommitOlderTerm,
-    /// Commits what fewer than a quorum hold.
+    /// Commits entries that fewer than a quorum hold.
     CommitWithoutQuorum,
-    /// Takes entries without checking what stands before them.
+    /// Appends entries without checking the entry before them.
     AppendWithoutCheck,
-    /// Tells others of what it has not yet persisted.
+    /// Sends messages before it has persisted the state that they report.
     SendBeforePersist,
     /// Doesn't persist its vote.
     ForgetVote,
-    /// Begins a change of voters while another one is open.
+    /// Starts a change of voters while another one is uncommitted.
     TwoChangesAtOnce,
-    /// Takes messages that were meant for another life of itself.
+    /// Accepts messages addressed to another incarnation of itself.
     AnswerForOldLife,
-    /// Takes in a snapshot that is older than what it has applied.
+    /// Installs a snapshot that is older than the entries it has applied.
     InstallOlderSnapshot,
 }
 
 impl Weakening {
-    /// All of them.
+    /// Every weakening, in order of declaration.
     pub const ALL: [Self; 17] = [
         Self::VoteTwice,
         Self::VoteForShorterLog,
--- a/coordination/quorum/tests/sim/main.rs
+++ b/coordination/quorum/tests/sim/main.rs
@@ -1,4 +1,4 @@
-//! Replicas under random faults in virtual time.
+//! Simulation of replicas with random faults in virtual time.
 
 mod history;
 mod losses;
--- a/coordination/quorum/tests/sim/node.rs
+++ b/coordination/quorum/tests/sim/node.rs
@@ -1,4 +1,4 @@
-//! A node: a replica, its disk, its clock, and what it has still to do.
+//! A node: a replica with its disk, its clock and its outstanding actions.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,34 +16,38 @@
 pub struct Node {
     pub name: String,
     pub incarnation: u64,
-    /// What is synced.
+    /// State that is synced.
     pub disk: PersistentState,
-    /// What is written and not yet synced.
+    /// Writes that are not yet synced, oldest first.
     unsynced: Vec<Write>,
-    pub syncs: Syncs,
+    pub sync_mode: SyncMode,
     pub replica: Option<Replica>,
     pub app: AppState,
     pub is_frozen: bool,
-    /// What to do after so many more actions.
+    /// Fault to inject after this many more actions.
     pub fault: Option<(usize, Fault)>,
+    /// Messages received while the node is frozen.
     inbox: Vec<Message>,
     actions: VecDeque<Action>,
-    waiting: BTreeMap<u64, Waiting>,
+    /// Appended changes of clients by index.
+    pending_changes: BTreeMap<u64, PendingChange>,
+    /// Newest entry that any client had seen when a change was proposed, by tag.
     seen_at_start: BTreeMap<u64, u64>,
     clock_percent: u64,
     clock_offset: u64,
 }
 
-/// When a node syncs what it has written.
+/// When a node syncs its writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Syncs {
-    /// Before it carries out the next action.
-    AtOnce,
-    /// At its next tick, after it has told others. A weakening of the caller of the replica.
-    Later,
+pub enum SyncMode {
+    /// Before its next action.
+    Immediate,
+    /// At its next tick, after it has sent messages. Violates the contract of the
+    /// replica's caller.
+    Deferred,
 }
 
-/// What befalls a node between two actions.
+/// A fault that stops a node between two actions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     Kill,
@@ -51,7 +55,7 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingChange {
     term: u64,
     seen_at_start: u64,
 }
@@ -63,14 +67,14 @@
             incarnation: 1,
             disk: PersistentState::default(),
             unsynced: Vec::new(),
-            syncs: Syncs::AtOnce,
+            sync_mode: SyncMode::Immediate,
             replica: None,
             app: AppState::default(),
             is_frozen: false,
             fault: None,
             inbox: Vec::new(),
             actions: VecDeque::new(),
-            waiting: BTreeMap::new(),
+            pending_changes: BTreeMap::new(),
             seen_at_start: BTreeMap::new(),
             clock_percent,
             clock_offset,
@@ -81,7 +85,7 @@
         ReplicaId { name: self.name.as_str().into(), incarnation: self.incarnation }
     }
 
-    /// The node's own clock, which runs a little fast or slow.
+    /// Returns the time on the node's own clock, which runs slightly fast or slow.
     pub fn clock(&self, now: u64) -> Millis {
         Millis(now * self.clock_percent / 100 + self.clock_offset)
     }
@@ -89,13 +93,13 @@
     pub fn start(&mut self, now: u64, cfg: &Cfg, seed: u64, history: &History) {
         let snapshot = self.disk.snapshot.as_ref();
         self.app = snapshot.map_or(AppState::default(), |s| AppState::parse(&s.data));
-        history.restore(self.app);
+        history.check_snapshot(self.app);
         let (id, disk, clock) = (self.id(), self.disk.clone(), self.clock(now));
         self.replica = Some(Replica::restore(cfg.clone(), id, disk, seed, clock));
         self.is_frozen = false;
     }
 
-    /// Kills the process. The machine goes on, and what was written gets to its disk.
+    /// Kills the process. The machine keeps running and syncs what the process has written.
     pub fn kill(&mut self) {
         self.sync();
         self.replica = None;
@@ -103,19 +107,20 @@
         self.fault = None;
         self.actions.clear();
         self.inbox.clear();
-        self.waiting.clear();
+        self.pending_changes.clear();
         self.seen_at_start.clear();
     }
 
-    /// Makes durable what was written.
+    /// Makes all writes durable.
     pub fn sync(&mut self) {
         for write in self.unsynced.drain(..) {
             self.disk.apply(write);
         }
     }
 
-    /// Loses power. Of what was not synced, the disk has any number of writes from the oldest on; a torn
-    /// one is cut off at the next start. The write that the node was stopped in may be there as well.
+    /// Simulates a power loss. A random number of the oldest unsynced writes reach the disk, since
+    /// a torn write is cut off at the next start. They may include the write during which the node
+    /// was stopped.
     pub fn lose_power(&mut self, rng: &mut Rng) {
         if let Some(Action::Persist(write)) = self.actions.front() {
             self.unsynced.push(write.clone());
@@ -125,7 +130,7 @@
         self.kill();
     }
 
-    /// Returns whether its disk has an entry.
+    /// Returns whether its disk holds the entry at an index.
     pub fn has_on_disk(&self, index: u64) -> bool {
         index <= self.disk.base_index + self.disk.entries.len() as u64
     }
@@ -136,7 +141,7 @@
         self.incarnation += 1;
     }
 
-    /// Returns all members that its disk or its memory knows of.
+    /// Returns all members in the entries on its disk, and the newest in its memory.
     pub fn possible_members(&self) -> Vec<Members> {
         let on_disk = self.disk.entries.iter().filter_map(|entry| match &entry.payload {
             Payload::Members(members) => Some(members.clone()),
@@ -146,8 +151,8 @@
         on_disk.chain(in_memory).collect()
     }
 
-    /// Takes in an event and carries out what follows; returns the messages that were sent.
-    pub fn run(&mut self, now: u64, event: Event, history: &mut History) -> Vec<Message> {
+    /// Handles an event and executes the resulting actions; returns the messages that were sent.
+    pub fn handle(&mut self, now: u64, event: Event, history: &mut History) -> Vec<Message> {
         if self.is_frozen {
             if let Event::Receive(msg) = event {
                 self.inbox.push(msg);
@@ -162,19 +167,19 @@
         let mut actions = Vec::new();
         replica.step(clock, event, &mut actions);
         self.actions.extend(actions);
-        self.carry_out(history)
+        self.execute_actions(history)
     }
 
     pub fn thaw(&mut self, now: u64, history: &mut History) -> Vec<Message> {
         self.is_frozen = false;
-        let mut sent = self.carry_out(history);
+        let mut sent = self.execute_actions(history);
         for msg in std::mem::take(&mut self.inbox) {
-            sent.extend(self.run(now, Event::Receive(msg), history));
+            sent.extend(self.handle(now, Event::Receive(msg), history));
         }
         sent
     }
 
-    fn carry_out(&mut self, history: &mut History) -> Vec<Message> {
+    fn execute_actions(&mut self, history: &mut History) -> Vec<Message> {
         let mut sent = Vec::new();
         while !self.actions.is_empty() {
             match &mut self.fault {
@@ -187,41 +192,41 @@
                     }
                     break;
                 }
-                Some((left, _)) => *left -= 1,
+                Some((remaining, _)) => *remaining -= 1,
                 None => {}
             }
             let Some(action) = self.actions.pop_front() else { break };
-            self.carry_out_one(action, history, &mut sent);
+            self.execute(action, history, &mut sent);
         }
         sent
     }
 
-    fn carry_out_one(&mut self, action: Action, history: &mut History, sent: &mut Vec<Message>) {
+    fn execute(&mut self, action: Action, history: &mut History, sent: &mut Vec<Message>) {
         match action {
             Action::Persist(write) => {
                 self.unsynced.push(write);
-                if self.syncs == Syncs::AtOnce {
+                if self.sync_mode == SyncMode::Immediate {
                     self.sync();
                 }
             }
             Action::Send(msg) => sent.push(msg),
             Action::Restore(snapshot) => {
                 self.app = AppState::parse(&snapshot.data);
-                history.restore(self.app);
+                history.check_snapshot(self.app);
             }
             Action::ProposalAppended { tag, first_index: first, term } => {
                 let seen_at_start = self.seen_at_start.remove(&tag).unwrap_or(0);
-                self.waiting.insert(first, Waiting { term, seen_at_start });
+                self.pending_changes.insert(first, PendingChange { term, seen_at_start });
             }
             Action::NotLeader { tag } => {
                 self.seen_at_start.remove(&tag);
             }
             Action::Apply { index, entry } => {
-                self.app = history.apply(self.app, index, &entry);
-                if let Some(waiting) = self.waiting.remove(&index)
-                    && waiting.term == entry.term
+                self.app = history.record_apply(self.app, index, &entry);
+                if let Some(pending) = self.pending_changes.remove(&index)
+                    && pending.term == entry.term
                 {
-                    history.answer(waiting.seen_at_start, index);
+                    history.record_answer(pending.seen_at_start, index);
                 }
             }
         }
--- a/coordination/quorum/tests/sim/rules.rs
+++ b/coordination/quorum/tests/sim/rules.rs
@@ -1,20 +1,20 @@
-//! Each rule of the protocol, broken in one line, is found by the checks.
+//! The checks detect each protocol rule that is broken on purpose.
 
 use proptest::test_runner::{TestCaseError, TestError};
 use sill_base::{Machine, Millis};
 use sill_quorum::{
     Action, Body, Cfg, Entry, Event, HardState, Members, Message, Payload, PersistentState,
-    Replica, ReplicaId, Restarted, Run, Stamp, Weakening,
+    Replica, ReplicaId, RequestStamp, RestartStatus, RunId, Weakening,
 };
 
-use crate::runs::{finding, runner};
+use crate::runs::{find_violation, runner};
 use crate::schedule::{Op, Schedule, Step, Target, schedules};
 use crate::world;
 
-/// Random runs that are tried at most.
-const TRIES: u32 = 2_000;
+/// Maximum number of random runs per rule.
+const MAX_RUNS: u32 = 2_000;
 
-/// Seeds that a directed schedule is tried with.
+/// Number of seeds for each directed schedule.
 const SEEDS: u64 = 40;
 
 fn weakened(weakening: Weakening) -> Cfg {
@@ -23,8 +23,8 @@
 
 #[test]
 fn random_runs_find_a_broken_rule() {
-    // A rule of the protocol is left out in one line. If random runs don't notice, the checks
-    // prove nothing about that rule.
+    // Each case breaks one rule of the protocol. If random runs don't detect it, the checks prove
+    // nothing about that rule.
     let rules = [
         Weakening::VoteTwice,
         Weakening::VoteForShorterLog,
@@ -37,22 +37,22 @@
     ];
     for rule in rules {
         let cfg = weakened(rule);
-        let mut runner = runner(TRIES, 1, 0);
-        let result = runner.run(&schedules(60), |schedule| match finding(&schedule, &cfg) {
+        let mut runner = runner(MAX_RUNS, 1, 0);
+        let result = runner.run(&schedules(60), |schedule| match find_violation(&schedule, &cfg) {
             Some(text) => Err(TestCaseError::fail(text)),
             None => Ok(()),
         });
         match result {
             Err(TestError::Fail(reason, _)) => println!("{rule:?}: {}", reason.message()),
-            other => panic!("{rule:?} was not found: {other:?}"),
+            other => panic!("{rule:?} was not detected in {MAX_RUNS} runs: {other:?}"),
         }
     }
 }
 
 #[test]
 fn directed_runs_find_a_broken_rule() {
-    // These faults need a certain order of events within a second. Each schedule brings it about;
-    // it holds while the rule is kept. Node 0 leads at first.
+    // These faults need a certain order of events within a second, which each schedule produces.
+    // The invariants hold on the same schedule while the rule is kept. Node 0 is the first leader.
     struct Case {
         rule: Weakening,
         voters: usize,
@@ -65,7 +65,7 @@
     };
     let cases = [
         Case {
-            // Node 2 doesn't hear the leader and asks node 1, which hears it well.
+            // Node 2 receives nothing from the leader and asks node 1, which does, for a vote.
             rule: Weakening::VoteInsideLease,
             voters: 3,
             steps: [
@@ -75,7 +75,7 @@
             .concat(),
         },
         Case {
-            // As before, but node 1 is restarted and forgets that it heard the leader.
+            // As before, but node 1 is restarted and forgets its promise to the leader.
             rule: Weakening::VoteRightAfterRestart,
             voters: 3,
             steps: [
@@ -91,8 +91,8 @@
             .concat(),
         },
         Case {
-            // Nodes 1 and 2 are restarted behind a cut and know of each other that they were. The
-            // leader on the other side was not, and still answers reads.
+            // Nodes 1 and 2 are restarted in one partition and know that both were. The leader in
+            // the other partition was not restarted, and still answers reads.
             rule: Weakening::ReleaseByQuorum,
             voters: 3,
             steps: [
@@ -109,18 +109,18 @@
             .concat(),
         },
         Case {
-            // Answers of node 1 reach the leader late, when its promise is nearly over.
+            // Replies of node 1 reach the leader late, when its promise is about to expire.
             rule: Weakening::LeaseFromAnswer,
             voters: 3,
             steps: [
-                vec![step(0, Op::Slow(1, 0, 900))],
+                vec![step(0, Op::DelayLink(1, 0, 900))],
                 cut_off_from_leader(),
                 vec![step(1200, Op::CutOneWay(0, 1)), step(2500, Op::Heal)],
             ]
             .concat(),
         },
         Case {
-            // Node 1 is killed after it answered the leader and before it wrote. It restarts
+            // Node 1 is killed after it replied to the leader and before it wrote. It restarts
             // without the entry, and elects a leader with node 2, which was cut off.
             rule: Weakening::SendBeforePersist,
             voters: 3,
@@ -138,11 +138,11 @@
             .concat(),
         },
         Case {
-            // Two nodes of five take two of the others out and then are a quorum of three.
+            // Two nodes of five remove two of the others, and are then a quorum of three.
             rule: Weakening::TwoChangesAtOnce,
             voters: 5,
             steps: vec![
-                step(500, Op::Split(2)),
+                step(500, Op::Partition(2)),
                 step(0, Op::Remove(2)),
                 step(0, Op::Remove(3)),
                 step(3000, Op::Heal),
@@ -152,23 +152,24 @@
     for case in cases {
         let schedule = |seed| Schedule { seed, voters: case.voters, steps: case.steps.clone() };
         for seed in 0..SEEDS {
-            let found = finding(&schedule(seed), &world::cfg());
-            assert_eq!(found, None, "{:?} kept, seed {seed}", case.rule);
+            let violation = find_violation(&schedule(seed), &world::cfg());
+            assert_eq!(violation, None, "violation without {:?}, seed {seed}", case.rule);
         }
-        let found = (0..SEEDS).find_map(|seed| finding(&schedule(seed), &weakened(case.rule)));
-        println!("{:?}: {}", case.rule, found.as_deref().unwrap_or("not found"));
-        assert!(found.is_some(), "{:?} was not found", case.rule);
+        let violation =
+            (0..SEEDS).find_map(|seed| find_violation(&schedule(seed), &weakened(case.rule)));
+        println!("{:?}: {}", case.rule, violation.as_deref().unwrap_or("not detected"));
+        assert!(violation.is_some(), "{:?} was not detected with {SEEDS} seeds", case.rule);
     }
 }
 
 #[test]
-fn a_vote_outlives_a_restart() {
-    // A voter is restarted after it voted, and a late request of another candidate of the same
-    // term comes in. A second vote could give the term two leaders, and operators two orderers.
+fn a_vote_survives_a_restart() {
+    // A voter is restarted after it voted, and a delayed request of another candidate of the same
+    // term arrives. A second vote could elect two leaders in the term, which both give orders.
     for (weakening, is_granted) in [(None, false), (Some(Weakening::ForgetVote), true)] {
         let cfg = Cfg { weakening, ..world::cfg() };
         let mut disk = PersistentState {
-            hard: term(3),
+            hard_state: term(3),
             entries: vec![members(1)],
             ..PersistentState::default()
         };
@@ -176,29 +177,33 @@
         let vote = |from: &str| {
             message(from, 4, Body::Vote { last_index: 1, last_term: 1, runs: Vec::new() })
         };
-        assert!(grants(&step(&mut voter, 5000, vote("c1")), &mut disk), "the first vote");
+        assert!(
+            grants(&step(&mut voter, 5000, vote("c1")), &mut disk),
+            "first vote was not granted"
+        );
         let mut voter = Replica::restore(cfg, id("c0"), disk.clone(), 1, Millis(6000));
         let second = grants(&step(&mut voter, 8000, vote("c2")), &mut disk);
-        assert_eq!(second, is_granted, "{weakening:?}");
+        assert_eq!(second, is_granted, "second vote with {weakening:?}");
     }
 }
 
 #[test]
-fn a_restarted_voter_is_released_only_in_the_run_that_promised_nothing() {
-    // All instances lose power, and one collects that all were restarted. Before its request for a
-    // vote arrives, the voter has followed another leader, or was restarted once more and forgot it. A
-    // vote now would help a second leader up, and an operator could read an old value from the first.
+fn a_restarted_voter_votes_early_only_in_a_run_without_promises() {
+    // All instances lose power, and one collects reports that all were restarted. Before its vote
+    // request arrives, the voter has followed another leader, or was restarted once more and forgot
+    // that leader. A vote now would help to elect a second leader, and an operator could read a
+    // stale value from the first.
     struct Case {
         name: &'static str,
         weakening: Option<Weakening>,
-        /// What the voter takes in between.
+        /// Events that the voter handles between its report and the vote request.
         between: Vec<Event>,
-        /// Whether it is restarted in between.
+        /// Whether the voter is restarted between its report and the vote request.
         is_restarted: bool,
         is_granted: bool,
     }
     let heartbeat = || {
-        let stamp = Stamp { sent_at: Millis(50), round: 0 };
+        let stamp = RequestStamp { sent_at: Millis(50), round: 0 };
         let (prev_index, prev_term, commit) = (1, 1, 1);
         message("c2", 3, Body::Append { prev_index, prev_term, entries: vec![], commit, stamp })
     };
@@ -211,7 +216,7 @@
     };
     let after_promise = Some(Weakening::ReleaseAfterPromise);
     let cases = [
-        case("nothing happened", None, vec![], false, true),
+        case("no event", None, vec![], false, true),
         case("it followed a leader", None, vec![heartbeat()], false, false),
         case(
             "it followed a leader and counts as fresh",
@@ -226,25 +231,26 @@
     for Case { name, weakening, between, is_restarted, is_granted } in cases {
         let cfg = Cfg { weakening, ..world::cfg() };
         let mut disk = PersistentState {
-            hard: term(3),
+            hard_state: term(3),
             entries: vec![members(1)],
             ..PersistentState::default()
         };
         let mut voter = Replica::restore(cfg.clone(), id("c0"), disk.clone(), 1, Millis(0));
-        let own = Restarted { run: 7, last_term: 1, last_index: 1 };
-        let asked = step(&mut voter, 10, message("c1", 3, Body::Restarted { own, runs: vec![] }));
-        let run = asked.iter().find_map(|action| match action {
-            Action::Send(Message { body: Body::RestartedToo { own, .. }, .. }) => Some(own.run),
+        let own = RestartStatus { run: 7, last_term: 1, last_index: 1 };
+        let actions =
+            step(&mut voter, 10, message("c1", 3, Body::RestartQuery { own, runs: vec![] }));
+        let run = actions.iter().find_map(|action| match action {
+            Action::Send(Message { body: Body::RestartReply { own, .. }, .. }) => Some(own.run),
             _ => None,
         });
-        let number = run.expect("a voter that has just started says so");
+        let number = run.expect("a restarted voter did not report its run");
         for event in between {
             step(&mut voter, 20, event);
         }
         if is_restarted {
             voter = Replica::restore(cfg, id("c0"), disk.clone(), 2, Millis(30));
         }
-        let runs = vec![Run { replica: id("c0"), number }];
+        let runs = vec![RunId { replica: id("c0"), number }];
         let vote = Body::Vote { last_index: 1, last_term: 1, runs };
         let actions = step(&mut voter, 40, message("c1", 4, vote));
         assert_eq!(grants(&actions, &mut disk), is_granted, "{name}");
@@ -252,15 +258,16 @@
 }
 
 #[test]
-fn an_entry_of_an_older_term_is_not_committed_by_its_copies() {
-    // A new leader finds an entry of an older term on a quorum. A voter that lacks it but has one
-    // of a later term could still be elected and replace it, so that a change that was answered
-    // would be lost. It counts only once an entry of the leader's own term lies on top.
+fn an_entry_of_an_older_term_is_not_committed_by_counting_replicas() {
+    // A new leader finds an entry of an older term on a quorum. A voter that lacks it, but has an
+    // entry of a later term, could still be elected and replace it, which would lose an
+    // acknowledged change. The entry is committed only once a quorum stores a later entry of the
+    // leader's own term.
     for (weakening, committed) in [(None, 0), (Some(Weakening::CommitOlderTerm), 2)] {
         let cfg = Cfg { weakening, ..world::cfg() };
         let older = Entry { term: 2, payload: Payload::Noop };
         let disk = PersistentState {
-            hard: term(3),
+            hard_state: term(3),
             entries: vec![members(1), older],
             ..PersistentState::default()
         };
@@ -268,12 +275,12 @@
         step(&mut leader, 5000, Event::Tick);
         step(&mut leader, 5001, message("c1", 4, Body::PreVoteReply { granted: true }));
         step(&mut leader, 5002, message("c1", 4, Body::VoteReply { granted: true }));
-        let stamp = Stamp { sent_at: Millis(5002), round: 0 };
+        let stamp = RequestStamp { sent_at: Millis(5002), round: 0 };
         let stored = |index| Body::AppendReply { accepted: true, index, stamp };
         step(&mut leader, 5003, message("c1", 4, stored(2)));
-        assert_eq!(leader.commit_index(), committed, "{weakening:?}");
+        assert_eq!(leader.commit_index(), committed, "older term, {weakening:?}");
         step(&mut leader, 5004, message("c1", 4, stored(3)));
-        assert_eq!(leader.commit_index(), 3, "{weakening:?}");
+        assert_eq!(leader.commit_index(), 3, "own term, {weakening:?}");
     }
 }
 
@@ -300,7 +307,7 @@
     actions
 }
 
-/// Carries writes out, and returns whether a vote was given.
+/// Applies the writes to the disk, and returns whether a vote was granted.
 fn grants(actions: &[Action], disk: &mut PersistentState) -> bool {
     let mut is_granted = false;
     for action in actions {
--- a/coordination/quorum/tests/sim/runs.rs
+++ b/coordination/quorum/tests/sim/runs.rs
@@ -1,4 +1,4 @@
-//! Random runs, and runs that once showed a fault.
+//! Random runs, and runs that guard against particular faults.
 
 use std::cell::Cell;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -12,9 +12,9 @@
 
 #[test]
 fn no_fault_loses_a_committed_change_or_makes_two_leaders() {
-    // Instances are killed, frozen, cut off, lose their disks and come back, in any order and
-    // several at once. No operator may see an accepted change vanish or read an old value, and
-    // no two instances may hold a lease at once.
+    // Instances are killed, frozen, cut off, lose their disks and restart, in any order and several
+    // at once. No operator may see an accepted change vanish or read a stale value, and no two
+    // instances may hold a lease at once.
     let total = Cell::new(Stats::default());
     let mut runner = runner(cases(60), 0, 300);
     let result = runner.run(&schedules(60), |schedule| {
@@ -22,15 +22,15 @@
         Ok(())
     });
     println!("{:?}", total.get());
-    result.expect("all runs hold");
+    result.expect("a run violated an invariant");
 }
 
 #[test]
-fn a_voter_whose_removal_only_it_has_gives_the_others_a_leader() {
-    // An operator takes the leader out, and the leader is cut off before anyone else has the
-    // entry. It no longer counts itself as a voter, and the other one can't win without its vote:
-    // with both waiting for each other operators would get no change through for ever. Found by
-    // the random runs, SILL_CASES=6000 with the default seed.
+fn a_voter_that_alone_stores_its_removal_can_still_lead() {
+    // An operator removes the leader, which is cut off before another voter stores the entry. If it
+    // started no election because it is no longer a voter, the other voter would need its vote and
+    // not get it for its shorter log: operators could make no change ever again. Found by the
+    // random runs with SILL_CASES=6000 and the default seed.
     let ops = [
         Op::Kill(Target::Node(2), None),
         Op::Remove(2),
@@ -44,14 +44,14 @@
 }
 
 #[test]
-fn doubled_and_late_messages_do_not_multiply() {
-    // A link that loses and doubles messages, and a replica that needs a snapshot. While the
-    // snapshot is lost, each refused heartbeat led to another one, two to four, and after a second
-    // the instances did nothing else and ran out of memory; operators saw all changes hang. Found
-    // by a long random run that took 12 GB (SILL_CASES=25000 SILL_SEED=99).
+fn duplicated_and_delayed_messages_do_not_multiply() {
+    // The network loses and duplicates messages, and a replica needs a snapshot that is lost. If
+    // each rejected heartbeat triggers another one and duplicates do too, one becomes two and two
+    // become four: after a second the instances do nothing else, run out of memory, and all changes
+    // hang. A random run with SILL_CASES=25000 SILL_SEED=99 used 12 GB this way.
     let ops = [
         Op::Kill(Target::Node(1), None),
-        Op::Network { loss: 15, doubled: 39, delay: 5 },
+        Op::Network { loss_percent: 15, duplicate_percent: 39, max_delay: 5 },
         Op::Restart(1),
         Op::Heal,
     ];
@@ -63,26 +63,29 @@
 }
 
 #[test]
-fn after_a_loss_of_power_a_leader_is_there_at_once() {
-    // All instances lose power and come back one after the other. Entry instances come back without
-    // settings and get them once there is a leader; callers were refused for the whole election time
-    // that each restarted voter waited, though nobody could lead any more.
-    const FOUND_AND_VOTED: u64 = 250;
+fn a_leader_is_elected_without_delay_after_a_power_loss() {
+    // All instances lose power and restart one after the other. Entry instances restart without
+    // settings and get them only once there is a leader. If each restarted voter waits out the
+    // election timeout, callers are refused for that long, although no earlier leader can exist.
+    const MAX_ELECTION_MS: u64 = 250;
     for voters in [3, 5] {
         for seed in 0..20 {
-            let span = world::time_to_lead(voters, seed, &world::cfg());
-            assert!(span <= FOUND_AND_VOTED, "{voters} voters, seed {seed}: {span} ms");
+            let span = world::election_time_after_power_loss(voters, seed, &world::cfg());
+            assert!(
+                span <= MAX_ELECTION_MS,
+                "{voters} voters, seed {seed}: elected after {span} ms"
+            );
         }
     }
 }
 
-/// Runs a schedule and returns what was found, if anything.
-pub fn finding(schedule: &Schedule, cfg: &Cfg) -> Option<String> {
-    caught(|| world::run(schedule, cfg)).err()
+/// Runs a schedule and returns the first line of its panic, if an invariant was violated.
+pub fn find_violation(schedule: &Schedule, cfg: &Cfg) -> Option<String> {
+    catch_panic(|| world::run(schedule, cfg)).err()
 }
 
-/// Runs something and returns what it came to, or the first line of its panic.
-pub fn caught<F, T>(run: F) -> Result<T, String>
+/// Calls a function and returns its result, or the first line of its panic.
+pub fn catch_panic<F, T>(run: F) -> Result<T, String>
 where
     F: FnOnce() -> T,
 {
@@ -93,7 +96,7 @@
     })
 }
 
-/// Makes a runner with a fixed seed.
+/// Returns a runner with a fixed seed that differs per `stream`.
 pub fn runner(cases: u32, stream: u64, max_shrink_iters: u32) -> TestRunner {
     let config = Config { cases, max_shrink_iters, failure_persistence: None, ..Config::default() };
     let mut bytes = [0; 32];
--- a/coordination/quorum/tests/standby.rs
+++ b/coordination/quorum/tests/standby.rs
@@ -1,4 +1,4 @@
-//! Which voter is replaced, and by whom.
+//! Choice of the voter to replace and of its standby.
 
 use sill_base::Millis;
 use sill_quorum::ReplicaId;
@@ -6,10 +6,12 @@
 
 struct Case {
     name: &'static str,
-    /// When each replica was last heard of, in milliseconds; the leader is `a`.
-    heard: &'static [(&'static str, u64)],
+    /// When each replica was last seen, in milliseconds; the leader is `a`.
+    last_seen: &'static [(&'static str, u64)],
+    /// Learners that have caught up.
     ready: &'static [&'static str],
     now: u64,
+    /// The lost voter and its standby.
     expected: Option<(&'static str, &'static str)>,
 }
 
@@ -21,15 +23,15 @@
     Presence { id: id(name), domain: domain.into(), last_seen: Millis(at) }
 }
 
-/// Nine instances in three failure domains, and five of them are to vote. With three voters in one domain
-/// its loss would end the quorum, although six instances are left.
+/// Nine instances in three failure domains, of which five become voters. With three voters in one
+/// domain, the loss of the domain would end the quorum although six instances are left.
 #[test]
 fn voters_are_spread_over_failure_domains() {
     struct Case {
         name: &'static str,
         voters: &'static [&'static str],
         candidate: &'static str,
-        /// Those that stand by and have everything.
+        /// Learners that have caught up.
         ready: &'static [&'static str],
         expected: bool,
     }
@@ -38,35 +40,35 @@
         names.iter().skip(1).map(|name| presence(name, &name[..1], 4000)).collect();
     let cases = [
         Case {
-            name: "a second one",
+            name: "second voter in a domain",
             voters: &["a1", "b1", "c1"],
             candidate: "a2",
             ready: &["a2", "b2"],
             expected: true,
         },
         Case {
-            name: "a third one while others have one",
+            name: "third voter in a domain while others have one",
             voters: &["a1", "a2", "b1", "c1"],
             candidate: "a3",
             ready: &["a3", "b2"],
             expected: false,
         },
         Case {
-            name: "a second one elsewhere",
+            name: "second voter in another domain",
             voters: &["a1", "a2", "b1", "c1"],
             candidate: "c2",
             ready: &["a3", "c2"],
             expected: true,
         },
         Case {
-            name: "a third one, as nobody else has everything",
+            name: "third voter in a domain, as no other learner has caught up",
             voters: &["a1", "a2", "b1", "c1"],
             candidate: "a3",
             ready: &["a3"],
             expected: true,
         },
         Case {
-            name: "one that lost its disk and votes again",
+            name: "new incarnation of a voter that lost its disk",
             voters: &["a1", "b1", "c1"],
             candidate: "c1",
             ready: &["c1"],
@@ -82,43 +84,44 @@
     }
 }
 
-/// An instance that holds a vote goes for good and an empty one comes at another address. The platform
-/// counts the new one four seconds later, and takes the next disk. Was the old vote still in force, the
-/// one voter left has no quorum: operators can change nothing any more, and nobody is told why.
+/// A voter is lost for good and an empty instance starts at another address. The platform counts
+/// the new instance as a full member four seconds later, and takes the next disk. If the lost voter
+/// is still a member then, the one voter left has no quorum: operators can make no change any more,
+/// and nothing tells them why.
 #[test]
-fn a_successor_votes_before_the_next_disk_may_be_lost() {
+fn a_lost_voter_is_replaced_before_the_next_disk_may_be_lost() {
     let cases = [
         Case {
-            name: "gone for 3 s while its successor has everything",
-            heard: &[("b", 1000), ("c", 3900), ("d", 3900)],
+            name: "voter not seen for 3 s, standby has caught up",
+            last_seen: &[("b", 1000), ("c", 3900), ("d", 3900)],
             ready: &["d"],
             now: 4000,
             expected: Some(("b", "d")),
         },
         Case {
-            name: "a restart of a second",
-            heard: &[("b", 3000), ("c", 3900), ("d", 3900)],
+            name: "voter not seen for 1 s, as in a restart",
+            last_seen: &[("b", 3000), ("c", 3900), ("d", 3900)],
             ready: &["d"],
             now: 4000,
             expected: None,
         },
         Case {
-            name: "the one that stands by lacks entries",
-            heard: &[("b", 0), ("c", 3900), ("d", 3900)],
+            name: "standby lacks entries",
+            last_seen: &[("b", 0), ("c", 3900), ("d", 3900)],
             ready: &[],
             now: 4000,
             expected: None,
         },
         Case {
-            name: "the one that stands by is gone too",
-            heard: &[("b", 0), ("c", 3900), ("d", 2000)],
+            name: "standby not seen for 2 s either",
+            last_seen: &[("b", 0), ("c", 3900), ("d", 2000)],
             ready: &["d"],
             now: 4000,
             expected: None,
         },
         Case {
-            name: "never heard of",
-            heard: &[("c", 3900), ("d", 3900)],
+            name: "voter never seen",
+            last_seen: &[("c", 3900), ("d", 3900)],
             ready: &["d"],
             now: 4000,
             expected: Some(("b", "d")),
@@ -127,11 +130,12 @@
     let voters = [id("a"), id("b"), id("c")];
     for case in cases {
         let presences: Vec<Presence> =
-            case.heard.iter().map(|(name, at)| presence(name, "x", *at)).collect();
+            case.last_seen.iter().map(|(name, at)| presence(name, "x", *at)).collect();
         let ready: Vec<ReplicaId> = case.ready.iter().map(|name| id(name)).collect();
         let decided = replacement(Millis(case.now), &id("a"), &voters, &presences, &ready);
-        let expected =
-            case.expected.map(|(lost, by)| Replacement { voter: id(lost), standby: id(by) });
+        let expected = case
+            .expected
+            .map(|(voter, standby)| Replacement { voter: id(voter), standby: id(standby) });
         assert_eq!(decided, expected, "{}", case.name);
     }
 }
