--- a/coordination/quorum/src/log.rs
+++ b/coordination/quorum/src/log.rs
@@ -12,7 +12,7 @@
 pub struct Entry {
     /// The term of the leader that appended it.
     pub term: u64,
-    /// The content.
+    /// A command, new members, or nothing.
     pub payload: Payload,
 }
 
--- a/coordination/quorum/src/message.rs
+++ b/coordination/quorum/src/message.rs
@@ -17,7 +17,7 @@
     /// The sender's term. In a pre-vote, and in the reply that grants it, the term that the
     /// candidate would start.
     pub term: u64,
-    /// The content.
+    /// A request, a report, or the answer to one.
     pub body: Body,
 }
 
--- a/coordination/quorum/src/replica.rs
+++ b/coordination/quorum/src/replica.rs
@@ -290,7 +290,7 @@
         keep!(
             Promise::AcceptedChangeStays,
             index >= self.commit_index && index <= self.log.last_index(),
-            "commit index set from {} to {index}, last entry {}",
+            "commit index {} can't become {index}, last entry is {}",
             self.commit_index,
             self.log.last_index()
         );
--- a/coordination/quorum/src/restart.rs
+++ b/coordination/quorum/src/restart.rs
@@ -31,7 +31,7 @@
 /// Identifies one run of a replica's process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunId {
-    /// The replica that runs.
+    /// The replica, by instance and incarnation of its disk.
     pub replica: ReplicaId,
     /// Drawn at random when the process starts.
     pub number: u64,
--- a/coordination/quorum/src/standby.rs
+++ b/coordination/quorum/src/standby.rs
@@ -15,7 +15,7 @@
 /// When a replica was last seen.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Presence {
-    /// The replica.
+    /// The replica that was seen, by instance and incarnation of its disk.
     pub id: ReplicaId,
     /// The failure domain of its instance.
     pub domain: Name,
