--- a/coordination/dispatch/src/attempt.rs
+++ b/coordination/dispatch/src/attempt.rs
@@ -27,24 +27,24 @@
 
 /// What became of a call so far.
 #[derive(Debug, Clone, Copy)]
-pub struct Progress {
+pub struct CallProgress {
     /// What may be repeated.
     pub kind: RouteKind,
     /// Endpoints that may run the call.
     pub max_attempts: u32,
     /// Endpoints that may have run it.
-    pub ran: u32,
+    pub possible_runs: u32,
     /// Endpoints that refused it.
     pub rejected: u32,
     /// Endpoints that could not be reached.
     pub unsent: u32,
     /// Time until the answer is due.
-    pub left: Millis,
+    pub time_left: Millis,
 }
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Send it to another endpoint, if the retry budget has room.
     Retry,
     /// Tell the caller that it did not run.
@@ -65,64 +65,64 @@
 /// nothing but time; a failure domain that is cut off has more than one.
 const MAX_UNSENT: u32 = 4;
 
-impl Progress {
+impl CallProgress {
     /// Makes the progress of a call that was not sent yet.
-    pub const fn new(kind: RouteKind, max_attempts: u32, left: Millis) -> Self {
-        Self { kind, max_attempts, ran: 0, rejected: 0, unsent: 0, left }
+    pub const fn new(kind: RouteKind, max_attempts: u32, time_left: Millis) -> Self {
+        Self { kind, max_attempts, possible_runs: 0, rejected: 0, unsent: 0, time_left }
     }
 
     /// Returns how often the call was sent, or would have been.
-    pub const fn sends(&self) -> u32 {
-        self.ran + self.rejected + self.unsent
+    pub const fn attempts(&self) -> u32 {
+        self.possible_runs + self.rejected + self.unsent
     }
 
     /// Decides what follows from an outcome, which is not yet counted in.
-    pub fn after(&self, outcome: AttemptOutcome) -> Next {
-        let has_time = self.left > LEAST_TIME;
+    pub fn next_step(&self, outcome: AttemptOutcome) -> NextStep {
+        let has_time = self.time_left > LEAST_TIME;
         match outcome {
             AttemptOutcome::NotSent => self.go_on(has_time && self.unsent < MAX_UNSENT),
             AttemptOutcome::Full | AttemptOutcome::NotRun | AttemptOutcome::WrongEndpoint => {
                 self.go_on(has_time && self.rejected < MAX_REJECTED)
             }
             AttemptOutcome::Failed => match self.may_repeat(has_time) {
-                true => Next::Retry,
-                false => Next::PassOn,
+                true => NextStep::Retry,
+                false => NextStep::PassOn,
             },
             AttemptOutcome::Unknown => match self.may_repeat(has_time) {
-                true => Next::Retry,
-                false => Next::OutcomeUnknown,
+                true => NextStep::Retry,
+                false => NextStep::OutcomeUnknown,
             },
-            AttemptOutcome::TimedOut => Next::TimedOut,
+            AttemptOutcome::TimedOut => NextStep::TimedOut,
         }
     }
 
-    fn go_on(&self, may_go_on: bool) -> Next {
-        match (may_go_on, self.ran) {
-            (true, _) => Next::Retry,
-            (false, 0) => Next::RefuseNotRun,
+    fn go_on(&self, may_go_on: bool) -> NextStep {
+        match (may_go_on, self.possible_runs) {
+            (true, _) => NextStep::Retry,
+            (false, 0) => NextStep::RefuseNotRun,
             // An earlier attempt may have run, so "not run" would be false.
-            (false, _) => Next::OutcomeUnknown,
+            (false, _) => NextStep::OutcomeUnknown,
         }
     }
 
     /// Counts an outcome.
-    pub fn count(&mut self, outcome: AttemptOutcome) {
+    pub fn record(&mut self, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::NotSent => self.unsent += 1,
-            _ if outcome.may_have_run() => self.ran += 1,
+            _ if outcome.may_have_run() => self.possible_runs += 1,
             _ => self.rejected += 1,
         }
     }
 
     /// Returns what to tell the caller when the budget has no room for a retry.
-    pub fn without_retry(&self, outcome: AttemptOutcome) -> Next {
+    pub fn next_step_without_retry(&self, outcome: AttemptOutcome) -> NextStep {
         let last = Self { max_attempts: 0, rejected: MAX_REJECTED, unsent: MAX_UNSENT, ..*self };
-        last.after(outcome)
+        last.next_step(outcome)
     }
 
     /// Returns whether a call may be sent to one more endpoint after one that may have run it.
     fn may_repeat(&self, has_time: bool) -> bool {
-        self.kind.may_repeat() && has_time && self.ran + 1 < self.max_attempts
+        self.kind.may_repeat() && has_time && self.possible_runs + 1 < self.max_attempts
     }
 }
 
--- a/coordination/dispatch/src/budget.rs
+++ b/coordination/dispatch/src/budget.rs
@@ -31,7 +31,7 @@
 
 /// The budgets of one entry instance, by service.
 #[derive(Debug)]
-pub struct Budgets {
+pub struct RetryBudgets {
     bounds: RetryBounds,
     entries: u32,
     by_service: Map<Name, Budget>,
@@ -46,7 +46,7 @@
     opened: Millis,
 }
 
-impl Budgets {
+impl RetryBudgets {
     /// Makes budgets that are unused.
     pub fn new(bounds: RetryBounds) -> Self {
         Self { bounds, entries: PRESUMED_ENTRIES, by_service: Map::default() }
@@ -58,7 +58,7 @@
     }
 
     /// Counts a request for a service, which earns a part of a retry.
-    pub fn requested(&mut self, now: Millis, service: &Name) {
+    pub fn count_request(&mut self, now: Millis, service: &Name) {
         let (bounds, entries) = (self.bounds, self.entries);
         let budget = self.open(now, service);
         let passed = (now - budget.at).as_secs_f64() / WINDOW.as_secs_f64();
--- a/coordination/dispatch/src/events.rs
+++ b/coordination/dispatch/src/events.rs
@@ -28,12 +28,12 @@
     }
 
     /// Returns the rest, for a stream that ended by itself.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_partial(&mut self) -> Bytes {
         std::mem::take(&mut self.tail).freeze()
     }
 
     /// Forgets the part of an event that did not come whole.
-    pub fn drop_rest(&mut self) {
+    pub fn drop_partial(&mut self) {
         self.tail.clear();
     }
 
--- a/coordination/dispatch/src/lib.rs
+++ b/coordination/dispatch/src/lib.rs
@@ -17,18 +17,24 @@
 pub mod true_time;
 pub mod usage;
 
-pub use attempt::{AttemptOutcome, Next, Progress};
-pub use average::Average;
-pub use budget::{Budgets, RetryBounds};
+pub use attempt::{AttemptOutcome, CallProgress, NextStep};
+pub use average::MovingAverage;
+pub use budget::{RetryBounds, RetryBudgets};
 pub use events::EventTracker;
-pub use loads::Loads;
-pub use pool::{Heard, Place, PlaceAsk, Placed, Pool, PoolCfg, Prompt, PromptPart};
+pub use loads::EndpointLoads;
+pub use pool::{
+    FactUpdate, Placement, PlacementDecision, PlacementRequest, Pool, PoolCfg, Prompt, PromptPart,
+};
 pub use registry::Registry;
-pub use settings::{Assembly, PieceFault, Whole};
-pub use share::{FRESH, LetIn, LimitBelief, LimitBounds, OverLimit, Shares};
-pub use speed::{SpeedMeter, middle_speed, presumed_speed};
-pub use stopping::{Begin, CallTimes, OpenCalls, Rest, StopPhase, StopPlan, StopTimes};
+pub use settings::{CompleteSettings, PieceError, SettingsAssembly};
+pub use share::{
+    AdmittedByReason, LimitBounds, LimitEstimate, LimitShares, MAX_TOTALS_AGE, OverLimit,
+};
+pub use speed::{SpeedMeter, median_speed, presumed_speed};
+pub use stopping::{
+    AnswerMode, CallTimes, OpenCalls, StopPhase, StopPlan, StopTimes, StreamForecast,
+};
 pub use table::{AccountEntry, RouteEntry, RouteTable, TablePart};
-pub use totals::{Adder, Counted};
+pub use totals::{EntryCounts, TotalsAggregator};
 pub use true_time::TrueTime;
-pub use usage::{Ledger, UsageCounter};
+pub use usage::{ReportStore, UsageCounter};
--- a/coordination/dispatch/src/loads.rs
+++ b/coordination/dispatch/src/loads.rs
@@ -13,7 +13,7 @@
 
 /// The newest load of each endpoint.
 #[derive(Debug, Default)]
-pub struct Loads {
+pub struct EndpointLoads {
     known: Map<Name, Known>,
     /// Counts what was taken in.
     last: u64,
@@ -28,9 +28,9 @@
     number: u64,
 }
 
-impl Loads {
+impl EndpointLoads {
     /// Takes in what endpoints told an entry instance.
-    pub fn take(&mut self, now: Millis, words: Vec<LoadWord>) {
+    pub fn record(&mut self, now: Millis, words: Vec<LoadWord>) {
         self.known.retain(|_, known| now - known.at < LASTS);
         for word in words {
             let at = now - word.age;
--- a/coordination/dispatch/src/pool.rs
+++ b/coordination/dispatch/src/pool.rs
@@ -69,12 +69,12 @@
     /// All its tokens.
     pub tokens: u64,
     /// Tokens of the answer at most.
-    pub output: u32,
+    pub max_output_tokens: u32,
 }
 
 /// A call that needs an endpoint.
 #[derive(Debug, Clone)]
-pub struct PlaceAsk {
+pub struct PlacementRequest {
     /// Names the attempt.
     pub attempt: Name,
     /// Its prompt.
@@ -87,9 +87,9 @@
 
 /// What was decided.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Placed {
+pub enum PlacementDecision {
     /// It goes to an endpoint.
-    Endpoint(Place),
+    Endpoint(Placement),
     /// It is refused.
     Refused {
         /// Why.
@@ -101,28 +101,28 @@
 
 /// Where a call goes.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Place {
+pub struct Placement {
     /// The endpoint.
     pub endpoint: Name,
     /// Its life. What comes of the call says nothing about a later one.
-    pub born: Incarnation,
+    pub incarnation: Incarnation,
     /// Its address.
     pub address: SocketAddr,
     /// Prompt tokens that are not thought to be cached there.
     pub fresh_tokens: u64,
     /// When it was chosen.
-    pub sent: Millis,
+    pub sent_at: Millis,
     /// Why, for the log.
-    pub why: String,
+    pub reason: String,
 }
 
 /// What a fact was worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum FactUpdate {
     /// It is known, or older than what is.
-    Nothing,
+    Stale,
     /// It is newer.
-    News,
+    Newer,
     /// The endpoint has started again; its old life was at this address.
     Restart(SocketAddr),
 }
@@ -163,17 +163,17 @@
     }
 
     /// Takes in what was heard of an endpoint.
-    pub fn heard(&mut self, now: Millis, fact: &EndpointFact) -> Heard {
+    pub fn update_endpoint(&mut self, now: Millis, fact: &EndpointFact) -> FactUpdate {
         self.forget_gone(now);
         let known = self.endpoints.get(&fact.endpoint).map(|known| &known.fact);
         // Two control instances tell the same; what is older or said before changes nothing.
         let age = |fact: &EndpointFact| (fact.born, fact.sequence, fact.state);
         let heard = match known {
-            Some(known) if fact.born > known.born => Heard::Restart(known.address),
-            Some(known) if age(fact) <= age(known) => return Heard::Nothing,
-            _ => Heard::News,
+            Some(known) if fact.born > known.born => FactUpdate::Restart(known.address),
+            Some(known) if age(fact) <= age(known) => return FactUpdate::Stale,
+            _ => FactUpdate::Newer,
         };
-        if matches!(heard, Heard::Restart(_)) {
+        if matches!(heard, FactUpdate::Restart(_)) {
             self.endpoints.remove(&fact.endpoint);
         }
         let fresh = || Known {
@@ -199,12 +199,12 @@
     }
 
     /// Returns what is known of the life of the endpoint to which a call went, unless another one follows.
-    fn life(&mut self, place: &Place) -> Option<&mut Known> {
-        self.endpoints.get_mut(&place.endpoint).filter(|known| known.fact.born == place.born)
+    fn life(&mut self, place: &Placement) -> Option<&mut Known> {
+        self.endpoints.get_mut(&place.endpoint).filter(|known| known.fact.born == place.incarnation)
     }
 
     /// Takes in that another endpoint answered at an address, so this one has ended.
-    pub fn ended(&mut self, now: Millis, place: &Place) {
+    pub fn mark_gone(&mut self, now: Millis, place: &Placement) {
         let Some(known) = self.life(place) else { return };
         known.fact.state = EndpointState::Gone;
         known.heard = now;
@@ -219,7 +219,7 @@
     }
 
     /// Takes in the load that an endpoint reported with an answer.
-    pub fn load(&mut self, now: Millis, place: &Place, running: u32, queued: u32) {
+    pub fn record_load(&mut self, now: Millis, place: &Placement, running: u32, queued: u32) {
         let load = Load { running, queued, ..Load::default() };
         if let Some(known) = self.life(place).filter(|known| !known.is_gone()) {
             known.load = load;
@@ -232,7 +232,7 @@
     ///
     /// Each of many entry instances has few answers from one endpoint. By those alone, busy endpoints and
     /// idle ones look the same, and calls wait beside idle engines.
-    pub fn load_elsewhere(&mut self, now: Millis, word: &LoadWord) {
+    pub fn record_remote_load(&mut self, now: Millis, word: &LoadWord) {
         let at = now - word.age;
         let known = self.endpoints.get_mut(&word.endpoint);
         let known = known.filter(|known| known.fact.born == word.born && !known.is_gone());
@@ -245,7 +245,7 @@
     }
 
     /// Returns the loads that endpoints told within a span.
-    pub fn loads(&self, now: Millis, span: Millis) -> impl Iterator<Item = LoadWord> {
+    pub fn recent_loads(&self, now: Millis, span: Millis) -> impl Iterator<Item = LoadWord> {
         self.endpoints.iter().filter_map(move |(endpoint, known)| {
             let age = now - known.loaded_at?;
             (age < span).then(|| LoadWord {
@@ -259,14 +259,14 @@
     }
 
     /// Takes in that an endpoint has no room.
-    pub fn full(&mut self, now: Millis, place: &Place) {
+    pub fn mark_full(&mut self, now: Millis, place: &Placement) {
         let Some(known) = self.life(place) else { return };
         let (running, queued) = (known.fact.slots, known.fact.slots);
-        self.load(now, place, running, queued);
+        self.record_load(now, place, running, queued);
     }
 
     /// Chooses an endpoint for a call and counts it there, or refuses it.
-    pub fn place(&mut self, now: Millis, ask: &PlaceAsk) -> Placed {
+    pub fn place(&mut self, now: Millis, ask: &PlacementRequest) -> PlacementDecision {
         let ask = self.ask(ask);
         match self.router.choose(now, &ask) {
             Choice::Endpoint(chosen) => {
@@ -274,35 +274,36 @@
                     return self.no_endpoint();
                 };
                 known.own += 1;
-                let place = Place {
+                let place = Placement {
                     endpoint: chosen.endpoint.clone(),
-                    born: known.fact.born,
+                    incarnation: known.fact.born,
                     address: known.fact.address,
                     fresh_tokens: ask.prompt_tokens.saturating_sub(chosen.cached_tokens),
-                    sent: now,
-                    why: chosen.why,
+                    sent_at: now,
+                    reason: chosen.why,
                 };
                 self.step(now, Event::Sent { endpoint: chosen.endpoint, ask });
-                Placed::Endpoint(place)
-            }
-            Choice::Refuse(refusal) => {
-                Placed::Refused { reason: refusal.reason, retry_after: refusal.retry_after }
+                PlacementDecision::Endpoint(place)
             }
+            Choice::Refuse(refusal) => PlacementDecision::Refused {
+                reason: refusal.reason,
+                retry_after: refusal.retry_after,
+            },
         }
     }
 
-    fn no_endpoint(&self) -> Placed {
+    fn no_endpoint(&self) -> PlacementDecision {
         const SOON: Millis = Millis(1000);
-        Placed::Refused { reason: RefusalReason::NoEndpoint, retry_after: SOON }
+        PlacementDecision::Refused { reason: RefusalReason::NoEndpoint, retry_after: SOON }
     }
 
     /// Takes in that the first part of an answer came.
-    pub fn began(&mut self, now: Millis, place: &Place, attempt: &Name) {
+    pub fn record_first_part(&mut self, now: Millis, place: &Placement, attempt: &Name) {
         if self.life(place).is_none() {
             return;
         }
         if self.cfg.is_engine {
-            self.meter.first_part(place.fresh_tokens, now - place.sent);
+            self.meter.record_first_part(place.fresh_tokens, now - place.sent_at);
         }
         let (endpoint, request) = (place.endpoint.clone(), attempt.clone());
         self.step(now, Event::FirstToken { endpoint, request });
@@ -314,7 +315,13 @@
     }
 
     /// Takes in that an attempt is over.
-    pub fn over(&mut self, now: Millis, place: &Place, attempt: &Name, outcome: Outcome) {
+    pub fn finish_attempt(
+        &mut self,
+        now: Millis,
+        place: &Placement,
+        attempt: &Name,
+        outcome: Outcome,
+    ) {
         let Some(known) = self.life(place) else { return };
         known.own = known.own.saturating_sub(1);
         let (endpoint, request) = (place.endpoint.clone(), attempt.clone());
@@ -332,7 +339,7 @@
     }
 
     /// Returns the number of endpoints that take requests.
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.endpoints.values().filter(|k| k.fact.state == EndpointState::Ready).count()
     }
 
@@ -341,13 +348,13 @@
         self.endpoints.get(endpoint).is_some_and(|k| k.fact.state == EndpointState::Ready)
     }
 
-    fn ask(&self, ask: &PlaceAsk) -> Ask {
+    fn ask(&self, ask: &PlacementRequest) -> Ask {
         Ask {
             request: ask.attempt.clone(),
             target: Target::Service(self.cfg.service.clone()),
             blocks: blocks(&ask.prompt),
             prompt_tokens: ask.prompt.tokens,
-            max_tokens: ask.prompt.output,
+            max_tokens: ask.prompt.max_output_tokens,
             priority: Priority::High,
             deadline: ask.deadline,
             exclude: ask.exclude.clone(),
--- a/coordination/dispatch/src/registry.rs
+++ b/coordination/dispatch/src/registry.rs
@@ -23,7 +23,7 @@
     known: Map<Name, Known>,
     by_change: BTreeMap<u64, Name>,
     change: u64,
-    /// Endpoints heard here since the last call to [`Registry::fresh`].
+    /// Endpoints heard here since the last call to [`Registry::take_direct`].
     fresh: Vec<Name>,
 }
 
@@ -49,9 +49,9 @@
     }
 
     /// Takes in a heartbeat that came here. Returns whether it changed what others believe.
-    pub fn heard(&mut self, now: Millis, fact: EndpointFact) -> bool {
+    pub fn record_heartbeat(&mut self, now: Millis, fact: EndpointFact) -> bool {
         let name = fact.endpoint.clone();
-        let is_changed = self.take(now, fact);
+        let is_changed = self.merge(now, fact);
         if let Some(known) = self.known.get_mut(&name)
             && !known.is_fresh
         {
@@ -63,7 +63,7 @@
 
     /// Takes in that an endpoint says it ends, which it may do without a heartbeat before. `born` is none
     /// where it doesn't tell which of its lives that is.
-    pub fn ended(&mut self, now: Millis, endpoint: &Name, born: Option<Incarnation>) -> bool {
+    pub fn record_end(&mut self, now: Millis, endpoint: &Name, born: Option<Incarnation>) -> bool {
         // Its heartbeats may have gone to another control instance, from which nothing came yet.
         let known = self.known.get(endpoint).map(|known| &known.fact);
         let known = known.filter(|fact| born.is_none_or(|born| born == fact.born)).cloned();
@@ -75,11 +75,11 @@
             age: Millis::ZERO,
             ..known
         };
-        self.heard(now, fact)
+        self.record_heartbeat(now, fact)
     }
 
     /// Takes in a fact. Returns whether it changed what others believe.
-    pub fn take(&mut self, now: Millis, mut fact: EndpointFact) -> bool {
+    pub fn merge(&mut self, now: Millis, mut fact: EndpointFact) -> bool {
         // Each control instance finds out for itself who is silent: one that is cut off hears less.
         if fact.state == EndpointState::Silent {
             return false;
@@ -134,7 +134,7 @@
     /// Returns whether a fact can't be an endpoint's own word: no endpoint moves to another service or
     /// failure domain within one life. Taken in, the word of another writer would take the endpoint away
     /// from its service until it falls silent.
-    pub fn is_foreign(&self, fact: &EndpointFact) -> bool {
+    pub fn is_contradictory(&self, fact: &EndpointFact) -> bool {
         let known = self.known.get(&fact.endpoint).map(|known| &known.fact);
         known.is_some_and(|known| known.born == fact.born && contradicts(known, fact))
     }
@@ -178,7 +178,7 @@
     }
 
     /// Returns the endpoints that were heard here since the last call.
-    pub fn fresh(&mut self, now: Millis) -> Vec<EndpointFact> {
+    pub fn take_direct(&mut self, now: Millis) -> Vec<EndpointFact> {
         let names = std::mem::take(&mut self.fresh);
         for name in &names {
             if let Some(known) = self.known.get_mut(name) {
--- a/coordination/dispatch/src/settings.rs
+++ b/coordination/dispatch/src/settings.rs
@@ -15,7 +15,7 @@
 /// Pieces stay while the wanted revision or the one that was whole last has them: whatever came before a
 /// connection broke, or for a revision that was overtaken on its way, need not come again.
 #[derive(Debug, Default)]
-pub struct Assembly {
+pub struct SettingsAssembly {
     held: Revision,
     /// The pieces of the revision that was whole last.
     held_ids: Set<PieceId>,
@@ -25,7 +25,7 @@
 
 /// A revision of which all pieces are at hand.
 #[derive(Debug)]
-pub struct Whole {
+pub struct CompleteSettings {
     /// What it is made of.
     pub manifest: Manifest,
     /// Its parts, in the manifest's order.
@@ -34,16 +34,16 @@
 
 /// Why a piece was not taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PieceFault {
+pub enum PieceError {
     /// It is not what its name says. It must be fetched again.
-    Garbled,
+    Corrupt,
     /// It came whole, and this version of the program can't read it.
     Unreadable(String),
 }
 
-impl Assembly {
+impl SettingsAssembly {
     /// Takes in of what a revision is made, and returns whether it is newer than all before.
-    pub fn told(&mut self, manifest: Manifest) -> bool {
+    pub fn offer(&mut self, manifest: Manifest) -> bool {
         let newest = self.wanted.as_ref().map_or(self.held, |wanted| wanted.revision);
         let is_news = manifest.revision > newest;
         if is_news {
@@ -81,24 +81,24 @@
     /// # Errors
     ///
     /// Fails when it is damaged or can't be read; it then still lacks.
-    pub fn take(&mut self, piece: &Piece) -> Result<(), PieceFault> {
-        let text = piece.text.text().map_err(|_| PieceFault::Garbled)?;
+    pub fn add_piece(&mut self, piece: &Piece) -> Result<(), PieceError> {
+        let text = piece.text.text().map_err(|_| PieceError::Corrupt)?;
         if PieceId::of(&text) != piece.id {
-            return Err(PieceFault::Garbled);
+            return Err(PieceError::Corrupt);
         }
         let document = serde_json::from_str(&text);
-        let document = document.map_err(|err| PieceFault::Unreadable(err.to_string()))?;
+        let document = document.map_err(|err| PieceError::Unreadable(err.to_string()))?;
         self.parts.insert(piece.id.clone(), Arc::new(TablePart::of(document)));
         Ok(())
     }
 
     /// Gives up the wanted revision; a newer one may follow.
-    pub fn give_up(&mut self) {
+    pub fn abandon_wanted(&mut self) {
         self.held = self.wanted.take().map_or(self.held, |wanted| wanted.revision);
     }
 
     /// Returns the wanted revision once it lacks nothing, and forgets the pieces of older ones.
-    pub fn whole(&mut self) -> Option<Whole> {
+    pub fn take_complete(&mut self) -> Option<CompleteSettings> {
         let manifest = self
             .wanted
             .take_if(|wanted| wanted.pieces.iter().all(|id| self.parts.contains_key(id)))?;
@@ -108,17 +108,17 @@
         self.held_ids = manifest.pieces.iter().cloned().collect();
         self.parts = parts.iter().cloned().collect();
         let parts = parts.into_iter().map(|(_, part)| part).collect();
-        Some(Whole { manifest, parts })
+        Some(CompleteSettings { manifest, parts })
     }
 }
 
-impl Display for PieceFault {
+impl Display for PieceError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Garbled => f.write_str("the piece is not what its name says"),
+            Self::Corrupt => f.write_str("the piece is not what its name says"),
             Self::Unreadable(why) => write!(f, "the piece can't be read: {why}"),
         }
     }
 }
 
-impl std::error::Error for PieceFault {}
+impl std::error::Error for PieceError {}
--- a/coordination/dispatch/src/share.rs
+++ b/coordination/dispatch/src/share.rs
@@ -9,14 +9,14 @@
 
 use crate::share::account::{AVERAGE, Account, Limit, RECENT, saved};
 use crate::table::RouteTable;
-use crate::totals::SHARE_HELD;
+use crate::totals::SHARE_HELD_FOR;
 
 mod account;
 mod belief;
 mod over;
 mod window;
 
-pub use belief::{LetIn, LimitBelief};
+pub use belief::{AdmittedByReason, LimitEstimate};
 pub use over::OverLimit;
 
 /// Entry instances that are presumed until the number is known. Too few would give each of them too
@@ -27,7 +27,7 @@
 const REPORT_AGE: Millis = Millis(250);
 
 /// Age of totals from which on only the own share counts.
-pub const FRESH: Millis = Millis(1500);
+pub const MAX_TOTALS_AGE: Millis = Millis(1500);
 
 /// Shortest time after which a caller over its limit may come back.
 const SHORTEST_WAIT: Millis = Millis(250);
@@ -44,7 +44,7 @@
 
 /// The accounts' limits at one entry instance.
 #[derive(Debug)]
-pub struct Shares {
+pub struct LimitShares {
     bounds: LimitBounds,
     accounts: Map<Name, Account>,
     entries: u32,
@@ -53,10 +53,10 @@
     totals: Map<Name, AccountTotal>,
     /// What they say of all other accounts.
     untold_s: f64,
-    let_in: LetIn,
+    let_in: AdmittedByReason,
 }
 
-impl Shares {
+impl LimitShares {
     /// Makes shares of no account.
     pub fn new(bounds: LimitBounds) -> Self {
         Self {
@@ -66,7 +66,7 @@
             heard: None,
             totals: Map::default(),
             untold_s: 0.0,
-            let_in: LetIn::default(),
+            let_in: AdmittedByReason::default(),
         }
     }
 
@@ -130,7 +130,7 @@
     /// Fails with the time to wait where the account is over its limit here.
     pub fn admit(&mut self, now: Millis, name: &Name, amount: f64) -> Result<(), OverLimit> {
         let even = 1.0 / f64::from(self.entries);
-        let is_fresh = self.heard.is_some_and(|heard| now - heard < FRESH);
+        let is_fresh = self.heard.is_some_and(|heard| now - heard < MAX_TOTALS_AGE);
         let unseen = self.unseen(now);
         let Some(account) = self.accounts.get_mut(name) else { return Ok(()) };
         account.asked.add(now, AVERAGE, amount);
@@ -154,18 +154,18 @@
                 (true, false) => here.min(everywhere),
             };
             return Err(OverLimit {
-                wait: wait.max(SHORTEST_WAIT).min(LONGEST_WAIT),
+                retry_after: wait.max(SHORTEST_WAIT).min(LONGEST_WAIT),
                 rate: account.limit.rate,
                 share: account.share.unwrap_or(even),
                 balance: account.bucket.balance(),
                 admitted: account.presumed_total(unseen),
-                age: self.heard.map(|heard| now - heard),
+                totals_age: self.heard.map(|heard| now - heard),
             });
         }
         let let_in = match (is_fresh, is_far_below) {
-            (true, true) => LetIn { far_below: amount, ..LetIn::default() },
-            (true, false) => LetIn { share: amount, ..LetIn::default() },
-            (false, _) => LetIn { stale: amount, ..LetIn::default() },
+            (true, true) => AdmittedByReason { far_below: amount, ..AdmittedByReason::default() },
+            (true, false) => AdmittedByReason { share: amount, ..AdmittedByReason::default() },
+            (false, _) => AdmittedByReason { stale: amount, ..AdmittedByReason::default() },
         };
         account.let_in.add(let_in);
         self.let_in.add(let_in);
@@ -174,12 +174,12 @@
     }
 
     /// Returns what was let in since it was last asked for.
-    pub fn take_let_in(&mut self) -> LetIn {
+    pub fn take_admitted(&mut self) -> AdmittedByReason {
         std::mem::take(&mut self.let_in)
     }
 
     /// Returns what is believed of the accounts that are near their limits; of each at most once a second.
-    pub fn beliefs(&mut self, now: Millis) -> Vec<(Name, LimitBelief)> {
+    pub fn take_estimates(&mut self, now: Millis) -> Vec<(Name, LimitEstimate)> {
         let unseen = self.unseen(now);
         let accounts = self.accounts.iter_mut();
         accounts
@@ -188,13 +188,13 @@
     }
 
     /// Returns how many entry instances are presumed, and how old the newest totals are, if any were heard.
-    pub fn heard(&self, now: Millis) -> (u32, Option<Millis>) {
+    pub fn entries_and_totals_age(&self, now: Millis) -> (u32, Option<Millis>) {
         (self.entries, self.heard.map(|heard| now - heard))
     }
 
     /// Returns how many entry instances there were by totals that are not too old to tell.
-    pub fn told_entries(&self, now: Millis) -> u32 {
-        let is_recent = self.heard.is_some_and(|heard| now - heard < SHARE_HELD);
+    pub fn recent_entries(&self, now: Millis) -> u32 {
+        let is_recent = self.heard.is_some_and(|heard| now - heard < SHARE_HELD_FOR);
         if is_recent { self.entries } else { 0 }
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// Gives back what a call took that did not run.
-    pub fn give_back(&mut self, now: Millis, name: &Name, amount: f64) {
+    pub fn refund(&mut self, now: Millis, name: &Name, amount: f64) {
         if let Some(account) = self.accounts.get_mut(name) {
             account.spend(now, -amount);
         }
@@ -225,7 +225,7 @@
             asked_per_s: account.tell(now),
             admitted: account.admitted.sum(now),
             by_second: account.by_second(now, unseen),
-            admitted_per_s: account.recent.at(now, RECENT),
+            admitted_per_s: account.recent.per_second(now, RECENT),
             share: account.share.unwrap_or(even),
         });
         reports.filter(|report| report.asked_per_s > 0.0 || report.admitted > 0.0).collect()
--- a/coordination/dispatch/src/share/account.rs
+++ b/coordination/dispatch/src/share/account.rs
@@ -6,9 +6,9 @@
 use sill_limit::Bucket;
 use sill_wire::link::{AccountTotal, LIMIT_WINDOW};
 
-use crate::average::Average;
+use crate::average::MovingAverage;
 use crate::share::LimitBounds;
-use crate::share::belief::{LetIn, LimitBelief};
+use crate::share::belief::{AdmittedByReason, LimitEstimate};
 use crate::share::window::Window;
 
 /// Part of a limit that is spread evenly, so that an account may begin anywhere.
@@ -60,10 +60,10 @@
 pub(super) struct Account {
     pub(super) limit: Limit,
     pub(super) bucket: Bucket,
-    pub(super) asked: Average,
+    pub(super) asked: MovingAverage,
     /// The average demand as it was reported, since totals come back later.
     reported: VecDeque<Reported>,
-    pub(super) recent: Average,
+    pub(super) recent: MovingAverage,
     pub(super) admitted: Window,
     /// Admitted everywhere in the last window, when it was last heard.
     pub(super) total: f64,
@@ -73,7 +73,7 @@
     pub(super) total_asked_per_s: f64,
     pub(super) share: Option<f64>,
     has_heard: bool,
-    pub(super) let_in: LetIn,
+    pub(super) let_in: AdmittedByReason,
     pub(super) has_refused: bool,
     /// When its state was last told.
     pub(super) told_at: Option<Millis>,
@@ -97,9 +97,9 @@
         Self {
             limit,
             bucket: Bucket::new(now, limit.rate * share, saved(limit, bounds)),
-            asked: Average::new(now),
+            asked: MovingAverage::new(now),
             reported: VecDeque::new(),
-            recent: Average::new(now),
+            recent: MovingAverage::new(now),
             admitted: Window::default(),
             total: 0.0,
             total_per_s: 0.0,
@@ -107,7 +107,7 @@
             total_asked_per_s: 0.0,
             share: None,
             has_heard: false,
-            let_in: LetIn::default(),
+            let_in: AdmittedByReason::default(),
             has_refused: false,
             told_at: None,
         }
@@ -213,7 +213,7 @@
     }
 
     /// Returns what is believed of the account, if it is near its limit and was not told of late.
-    pub(super) fn belief(&mut self, now: Millis, unseen: Millis) -> Option<LimitBelief> {
+    pub(super) fn belief(&mut self, now: Millis, unseen: Millis) -> Option<LimitEstimate> {
         let admitted = self.presumed_total(unseen);
         let is_near = self.has_refused || admitted > TOLD_PART * self.owed();
         let is_due = self.told_at.is_none_or(|told_at| now - told_at >= TOLD_EVERY);
@@ -225,11 +225,18 @@
         let let_in = std::mem::take(&mut self.let_in);
         let (owed, here) = (self.owed(), self.admitted.sum(now));
         let (share, balance) = (self.share, self.bucket.balance());
-        Some(LimitBelief { admitted, owed, here, let_in, share, balance })
+        Some(LimitEstimate {
+            admitted_everywhere: admitted,
+            window_limit: owed,
+            admitted_here: here,
+            admitted_by_reason: let_in,
+            share,
+            balance,
+        })
     }
 
     pub(super) fn tell(&mut self, now: Millis) -> f64 {
-        let asked_per_s = self.asked.at(now, AVERAGE);
+        let asked_per_s = self.asked.per_second(now, AVERAGE);
         let asked_per_s = if asked_per_s < NEGLIGIBLE { 0.0 } else { asked_per_s };
         self.reported.push_back(Reported { asked_per_s, at: now });
         while self.reported.front().is_some_and(|told| now - told.at > KEPT_REPORTS) {
--- a/coordination/dispatch/src/share/over.rs
+++ b/coordination/dispatch/src/share/over.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OverLimit {
     /// When to come back.
-    pub wait: Millis,
+    pub retry_after: Millis,
     /// The limit, in a second.
     pub rate: f64,
     /// The part of it that is given out here.
@@ -18,7 +18,7 @@
     /// What all are presumed to have admitted in [`LIMIT_WINDOW`](sill_wire::link::LIMIT_WINDOW).
     pub admitted: f64,
     /// How old the totals are; none were heard yet.
-    pub age: Option<Millis>,
+    pub totals_age: Option<Millis>,
 }
 
 impl Display for OverLimit {
@@ -28,7 +28,7 @@
             f,
             "{share:.3} of {rate:.0}/s, {balance:.0} left, {admitted:.0} admitted everywhere"
         )?;
-        match self.age {
+        match self.totals_age {
             Some(age) => write!(f, " as of {age} ms ago"),
             None => f.write_str(", no totals heard"),
         }
--- a/coordination/dispatch/src/speed.rs
+++ b/coordination/dispatch/src/speed.rs
@@ -67,7 +67,7 @@
     /// that some of the tokens were cached after all, for another entry instance, matters little: over some
     /// 2,500 calls each at engines that read 25, 50, 64, 68 and 99 tokens a ms when they do nothing else, the
     /// figure is 16, 34, 39, 60 and 85, which is what a prompt gets beside the others.
-    pub fn first_part(&mut self, fresh_tokens: u64, took: Millis) {
+    pub fn record_first_part(&mut self, fresh_tokens: u64, took: Millis) {
         let sample = Sample { tokens: fresh_tokens as f64, ms: took.0 as f64 };
         self.samples.push_back(sample);
         if self.samples.len() > WINDOW {
@@ -121,7 +121,7 @@
 
 /// Returns the middle one of what entry instances have learned, of those that have learned anything. One that
 /// sees a frozen endpoint, or tells nonsense, doesn't move it.
-pub fn middle_speed<I>(speeds: I) -> Option<EngineSpeed>
+pub fn median_speed<I>(speeds: I) -> Option<EngineSpeed>
 where
     I: IntoIterator<Item = EngineSpeed>,
 {
--- a/coordination/dispatch/src/stopping.rs
+++ b/coordination/dispatch/src/stopping.rs
@@ -43,13 +43,13 @@
 
 /// What is expected of a stream that has begun at an instance that stops.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rest {
+pub struct StreamForecast {
     /// What its route's streams usually take until the first part; none if too little is known.
     pub usual_first: Option<Millis>,
     /// Time that it may still take; none if too little is known.
-    pub expected: Option<Millis>,
+    pub remaining: Option<Millis>,
     /// How its answer goes on.
-    pub begin: Begin,
+    pub mode: AnswerMode,
 }
 
 /// When a stop is how far.
@@ -64,7 +64,7 @@
 
 impl CallTimes {
     /// Takes in the whole time of a call.
-    pub fn took(&mut self, now: Millis, route: &Name, whole: Millis) {
+    pub fn record_call(&mut self, now: Millis, route: &Name, whole: Millis) {
         if !self.0.contains_key(route) {
             // Routes come and go with the settings; those of long ago are not asked for any more.
             self.0.retain(|_, times| usual(now, &times.whole).is_some());
@@ -74,14 +74,14 @@
 
     /// Takes in the time until the first part of a call's answer. A route without a whole answer of late is not
     /// kept for it.
-    pub fn first_part_took(&mut self, now: Millis, route: &Name, first: Millis) {
+    pub fn record_first_part(&mut self, now: Millis, route: &Name, first: Millis) {
         if let Some(times) = self.0.get_mut(route) {
             times.first.note(now, HALF_SPAN, first);
         }
     }
 
     /// Returns what calls of a route usually take.
-    pub fn usual(&self, now: Millis, route: &Name) -> Option<Millis> {
+    pub fn usual_duration(&self, now: Millis, route: &Name) -> Option<Millis> {
         self.0.get(route).and_then(|times| usual(now, &times.whole))
     }
 
@@ -90,34 +90,47 @@
     /// An endpoint that took longer than usual until the first part is taken to be slower by as much for the
     /// rest. Where that may outlast the instance, the answer is held: nobody would get the end of it elsewhere. One of
     /// which too little is known is passed on: it was begun before the stop, and most end in time.
-    pub fn rest(&self, now: Millis, route: &Name, first: Millis, stop: StopTimes) -> Rest {
+    pub fn forecast_stream(
+        &self,
+        now: Millis,
+        route: &Name,
+        first: Millis,
+        stop: StopTimes,
+    ) -> StreamForecast {
         let times = self.0.get(route);
         let usual_first = times.and_then(|times| usual(now, &times.first));
-        let expected = usual_first.zip(self.usual(now, route)).map(|(usual_first, whole)| {
-            let slower = (first.0 as f64 / usual_first.0.max(1) as f64).max(1.0);
-            Millis(((whole - usual_first).0 as f64 * slower) as u64)
-        });
+        let expected =
+            usual_first.zip(self.usual_duration(now, route)).map(|(usual_first, whole)| {
+                let slower = (first.0 as f64 / usual_first.0.max(1) as f64).max(1.0);
+                Millis(((whole - usual_first).0 as f64 * slower) as u64)
+            });
         let fits = |rest: Millis| now + with_margin(rest, PASSED_MARGIN) <= stop.ends_at;
-        let begin = if expected.is_none_or(fits) { Begin::Passed } else { Begin::Held };
-        Rest { usual_first, expected, begin }
+        let begin = if expected.is_none_or(fits) { AnswerMode::Passed } else { AnswerMode::Held };
+        StreamForecast { usual_first, remaining: expected, mode: begin }
     }
 
     /// Returns how a call may begin now whose caller has an answer by `due` in any case.
     ///
     /// Until the balancer has noticed, a call that may outlast the instance is begun if what such calls usually take
     /// fits with a margin. Afterwards a call is begun that must be over in time, and one that only usually is
-    /// as [`Begin::Held`].
-    pub fn begin(&self, now: Millis, route: &Name, due: Millis, stop: StopTimes) -> Option<Begin> {
+    /// as [`AnswerMode::Held`].
+    pub fn answer_mode(
+        &self,
+        now: Millis,
+        route: &Name,
+        due: Millis,
+        stop: StopTimes,
+    ) -> Option<AnswerMode> {
         if due.max(now) <= stop.ends_at {
-            return Some(Begin::Passed);
+            return Some(AnswerMode::Passed);
         }
-        let usual = self.usual(now, route)?;
+        let usual = self.usual_duration(now, route)?;
         let fits = |margin: u64| now + with_margin(usual, margin) <= stop.ends_at;
         if now < stop.noticed_at {
-            return fits(PASSED_MARGIN).then_some(Begin::Passed);
+            return fits(PASSED_MARGIN).then_some(AnswerMode::Passed);
         }
         let is_known = self.0.get(route).is_some_and(|times| times.whole.count() >= ENOUGH);
-        (is_known && fits(LATE_MARGIN)).then_some(Begin::Held)
+        (is_known && fits(LATE_MARGIN)).then_some(AnswerMode::Held)
     }
 }
 
@@ -131,7 +144,7 @@
 
 /// How a call begins at an instance that stops.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Begin {
+pub enum AnswerMode {
     /// Its answer is passed on as it comes.
     Passed,
     /// Its answer is passed on once it is whole. If the instance ends before, the caller is told that the
@@ -155,13 +168,13 @@
     Announcing,
     /// Each ends after the call that it carries. New ones are taken, as they are sent here only if too few
     /// other instances are in rotation, and this one has to wait anyway.
-    Finishing,
+    Draining,
     /// All calls are refused, as new ones would put off the end for ever; those that are open are waited for.
     /// The sooner it ends, the sooner it is back. It goes on listening: callers that find nobody try at once
     /// with the few that stay. Three of 83 got some 900 calls a second, and answered one in ten.
-    Leaving,
+    Refusing,
     /// The process may end.
-    Over,
+    Ended,
 }
 
 /// A planned stop.
@@ -180,16 +193,16 @@
     /// Takes in what is open, and returns the phase. It never goes back.
     pub fn step(&mut self, now: Millis, open: OpenCalls) -> StopPhase {
         if now >= self.times.ends_at {
-            self.phase = StopPhase::Over;
+            self.phase = StopPhase::Ended;
         }
         if self.phase == StopPhase::Announcing && now >= self.times.noticed_at {
-            self.phase = StopPhase::Finishing;
+            self.phase = StopPhase::Draining;
         }
-        if self.phase == StopPhase::Finishing && open.older == 0 {
-            self.phase = StopPhase::Leaving;
+        if self.phase == StopPhase::Draining && open.older == 0 {
+            self.phase = StopPhase::Refusing;
         }
-        if self.phase == StopPhase::Leaving && open == OpenCalls::default() {
-            self.phase = StopPhase::Over;
+        if self.phase == StopPhase::Refusing && open == OpenCalls::default() {
+            self.phase = StopPhase::Ended;
         }
         self.phase
     }
--- a/coordination/dispatch/src/totals.rs
+++ b/coordination/dispatch/src/totals.rs
@@ -9,8 +9,8 @@
 use sill_base::{Map, Millis, Name};
 use sill_wire::link::{AccountReport, AccountTotal, LIMIT_WINDOW, Totals};
 
-use crate::share::FRESH;
-use crate::usage::{Ledger, Lives, Reported};
+use crate::share::MAX_TOTALS_AGE;
+use crate::usage::{EntryIncarnations, ReportStore, StoredReport};
 
 /// Age of a report from which on an entry instance counts as silent. Reports come every 250 ms by way of two
 /// control instances; one that is lost is made good within 850 ms.
@@ -18,7 +18,7 @@
 
 /// Time for which a silent entry instance keeps its shares. It may be cut off and go on; cuts last for
 /// some seconds.
-pub const SHARE_HELD: Millis = Millis(15_000);
+pub const SHARE_HELD_FOR: Millis = Millis(15_000);
 
 /// Time after which a new leader has heard of all entry instances that can reach it: a poll and a call
 /// between control instances, twice.
@@ -32,20 +32,20 @@
 
 /// Adds up reports, as the leader.
 #[derive(Debug, Default)]
-pub struct Adder {
+pub struct TotalsAggregator {
     began: Millis,
     /// Entry instances that the leader before knew, or that others say they were told of.
     expected: u32,
     /// What the leader before said of those that were silent.
     held: Map<Name, f64>,
-    counted: Counted,
+    counted: EntryCounts,
 }
 
 /// The entry instances that were added up.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Counted {
+pub struct EntryCounts {
     /// Those whose reports are new enough to be summed.
-    pub heard: u32,
+    pub reporting: u32,
     /// Those that reported a while ago.
     pub silent: u32,
     /// Those that this leader has not heard of.
@@ -62,11 +62,11 @@
     untold_s: f64,
 }
 
-impl Adder {
+impl TotalsAggregator {
     /// Begins to lead. `last` are the totals of the leader before, which may know of entry instances that
     /// were cut off since.
     pub fn begin(&mut self, now: Millis, last: Option<&Totals>) {
-        let last = last.filter(|last| last.age < SHARE_HELD);
+        let last = last.filter(|last| last.age < SHARE_HELD_FOR);
         self.began = now;
         self.expected = last.map_or(0, |last| last.entries);
         let held = last.into_iter().flat_map(|last| &last.accounts);
@@ -74,8 +74,8 @@
     }
 
     /// Adds up the newest reports; nothing while too few are in.
-    pub fn add_up(&mut self, now: Millis, ledger: &Ledger) -> Option<Totals> {
-        let lives = ledger.lives(now, SHARE_HELD);
+    pub fn aggregate(&mut self, now: Millis, ledger: &ReportStore) -> Option<Totals> {
+        let lives = ledger.incarnations(now, SHARE_HELD_FOR);
         self.expect(now, &lives);
         let known = lives.len() as u32;
         let entries = known.max(self.expected).max(1);
@@ -86,7 +86,7 @@
         if now - self.began < ALL_HEARD && !is_complete {
             return None;
         }
-        self.counted = Counted { heard, silent: known - heard, unknown };
+        self.counted = EntryCounts { reporting: heard, silent: known - heard, unknown };
 
         let mut sums: BTreeMap<&Name, Sum> = BTreeMap::new();
         for lives in &lives {
@@ -112,14 +112,14 @@
     }
 
     /// Returns whom the last sums are made of.
-    pub fn counted(&self) -> Counted {
+    pub fn entry_counts(&self) -> EntryCounts {
         self.counted
     }
 
     /// Works out how many entry instances there should be. For as long as one that is cut off keeps its
     /// shares, those count that others were told of before this leader began.
-    fn expect(&mut self, now: Millis, lives: &[Lives<'_>]) {
-        if now - self.began >= SHARE_HELD {
+    fn expect(&mut self, now: Millis, lives: &[EntryIncarnations<'_>]) {
+        if now - self.began >= SHARE_HELD_FOR {
             self.expected = 0;
             return;
         }
@@ -139,12 +139,12 @@
     }
 }
 
-fn is_heard(now: Millis, newest: &Reported) -> bool {
+fn is_heard(now: Millis, newest: &StoredReport) -> bool {
     newest.age(now) < SILENT
 }
 
 /// Adds what an entry instance told last.
-fn add_life<'a>(now: Millis, newest: &'a Reported, sums: &mut BTreeMap<&'a Name, Sum>) {
+fn add_life<'a>(now: Millis, newest: &'a StoredReport, sums: &mut BTreeMap<&'a Name, Sum>) {
     let age = newest.age(now);
     for account in &newest.report.accounts {
         let sum = sums.entry(&account.account).or_default();
@@ -154,8 +154,8 @@
             sum.admitted_per_s += account.admitted_per_s;
         } else {
             // For as long as it takes its totals for fresh, it goes on as before.
-            let as_before = age.min(FRESH) - (age - LIMIT_WINDOW);
-            let by_share = (age - FRESH).min(LIMIT_WINDOW);
+            let as_before = age.min(MAX_TOTALS_AGE) - (age - LIMIT_WINDOW);
+            let by_share = (age - MAX_TOTALS_AGE).min(LIMIT_WINDOW);
             sum.admitted +=
                 still_in_window(account, age) + account.admitted_per_s * as_before.as_secs_f64();
             sum.held += account.share;
@@ -165,7 +165,11 @@
 }
 
 /// Adds what a life that is over has admitted.
-fn add_earlier_life<'a>(now: Millis, earlier: &'a Reported, sums: &mut BTreeMap<&'a Name, Sum>) {
+fn add_earlier_life<'a>(
+    now: Millis,
+    earlier: &'a StoredReport,
+    sums: &mut BTreeMap<&'a Name, Sum>,
+) {
     let age = earlier.age(now);
     if age >= LIMIT_WINDOW {
         return;
@@ -188,8 +192,8 @@
 
 /// Returns for how many seconds of the window nothing is known of an entry instance, neither of its life nor
 /// of one before it. One that doesn't tell when it began counts as old.
-fn untold(now: Millis, lives: &Lives<'_>) -> f64 {
+fn untold(now: Millis, lives: &EntryIncarnations<'_>) -> f64 {
     let all = lives.earlier.iter().copied().chain([lives.newest]);
-    let up = all.map(|life| life.up(now).unwrap_or(LIMIT_WINDOW)).max();
+    let up = all.map(|life| life.uptime(now).unwrap_or(LIMIT_WINDOW)).max();
     (LIMIT_WINDOW - up.unwrap_or_default()).as_secs_f64()
 }
--- a/coordination/dispatch/src/true_time.rs
+++ b/coordination/dispatch/src/true_time.rs
@@ -24,7 +24,7 @@
 
 impl TrueTime {
     /// Takes in a reading.
-    pub fn read(&mut self, now: Millis, instance: &Name, wall: Millis) {
+    pub fn record(&mut self, now: Millis, instance: &Name, wall: Millis) {
         self.readings.insert(instance.clone(), Reading { offset: wall - now, at: now });
     }
 
@@ -34,7 +34,7 @@
     }
 
     /// Returns the time of day now, or none without a reading.
-    pub fn at(&self, now: Millis) -> Option<Millis> {
+    pub fn time_of_day(&self, now: Millis) -> Option<Millis> {
         let fresh = self.readings.values().filter(|reading| now - reading.at < FRESH);
         let mut offsets: Vec<Millis> = fresh.map(|reading| reading.offset).collect();
         offsets.sort();
--- a/coordination/dispatch/src/usage.rs
+++ b/coordination/dispatch/src/usage.rs
@@ -26,8 +26,8 @@
 
 /// The newest report of each life of an entry instance.
 #[derive(Debug, Default)]
-pub struct Ledger {
-    reports: Map<LifeKey, Reported>,
+pub struct ReportStore {
+    reports: Map<LifeKey, StoredReport>,
 }
 
 /// One life of an entry instance.
@@ -39,11 +39,11 @@
 
 /// The newest report of one life.
 #[derive(Debug)]
-pub struct Reported {
+pub struct StoredReport {
     /// The report.
     pub report: EntryReport,
     /// When the entry instance told it.
-    pub at: Millis,
+    pub reported_at: Millis,
     /// Whether it came from the entry instance itself.
     is_direct: bool,
     /// Whether the leader was told.
@@ -52,11 +52,11 @@
 
 /// What is held of one entry instance.
 #[derive(Debug)]
-pub struct Lives<'a> {
+pub struct EntryIncarnations<'a> {
     /// Its newest life.
-    pub newest: &'a Reported,
+    pub newest: &'a StoredReport,
     /// Lives before it that are remembered.
-    pub earlier: Vec<&'a Reported>,
+    pub earlier: Vec<&'a StoredReport>,
 }
 
 /// Returns the window that a time of day lies in.
@@ -81,9 +81,9 @@
     }
 }
 
-impl Ledger {
+impl ReportStore {
     /// Takes in a report; an older one than what is held changes nothing.
-    pub fn take(&mut self, now: Millis, report: EntryReport, is_direct: bool) {
+    pub fn record(&mut self, now: Millis, report: EntryReport, is_direct: bool) {
         let key = LifeKey { entry: report.entry.clone(), incarnation: report.incarnation };
         let at = now - report.age;
         match self.reports.get_mut(&key) {
@@ -92,73 +92,76 @@
                 // Windows that the entry instance no longer reports keep their last counts.
                 let usage = merged(&known.report.usage, &report.usage);
                 known.report = EntryReport { usage, ..report };
-                known.at = at;
+                known.reported_at = at;
                 known.is_direct = is_direct;
                 known.is_told = false;
             }
             None => {
-                self.reports.insert(key, Reported { report, at, is_direct, is_told: false });
+                self.reports.insert(
+                    key,
+                    StoredReport { report, reported_at: at, is_direct, is_told: false },
+                );
             }
         }
     }
 
     /// Forgets reports of lives that are long gone.
     pub fn expire(&mut self, now: Millis) {
-        self.reports.retain(|_, reported| now - reported.at < KEPT);
+        self.reports.retain(|_, reported| now - reported.reported_at < KEPT);
     }
 
     /// Returns the direct reports that the leader was not told yet.
-    pub fn untold(&mut self, now: Millis) -> Vec<EntryReport> {
+    pub fn take_unforwarded(&mut self, now: Millis) -> Vec<EntryReport> {
         let untold = self.reports.values_mut().filter(|r| r.is_direct && !r.is_told);
         untold
             .map(|reported| {
                 reported.is_told = true;
-                EntryReport { age: now - reported.at, ..reported.report.clone() }
+                EntryReport { age: now - reported.reported_at, ..reported.report.clone() }
             })
             .collect()
     }
 
     /// Has everything told again, as to a new leader or after a call that failed.
-    pub fn tell_again(&mut self) {
+    pub fn mark_unforwarded(&mut self) {
         self.reports.values_mut().for_each(|reported| reported.is_told = false);
     }
 
     /// Returns the reports of entry instances that are alive; of several lives the newest.
     pub fn live(&self, now: Millis) -> Vec<&EntryReport> {
-        self.within(now, LIVE)
+        self.reported_within(now, LIVE)
     }
 
     /// Returns the reports that are not older than a span; of several lives the newest.
-    pub fn within(&self, now: Millis, span: Millis) -> Vec<&EntryReport> {
-        self.lives(now, span).into_iter().map(|lives| &lives.newest.report).collect()
+    pub fn reported_within(&self, now: Millis, span: Millis) -> Vec<&EntryReport> {
+        self.incarnations(now, span).into_iter().map(|lives| &lives.newest.report).collect()
     }
 
     /// Returns the entry instances whose newest life has reported within a span.
-    pub fn lives(&self, now: Millis, span: Millis) -> Vec<Lives<'_>> {
-        let mut by_entry: Map<&Name, Lives<'_>> = Map::default();
+    pub fn incarnations(&self, now: Millis, span: Millis) -> Vec<EntryIncarnations<'_>> {
+        let mut by_entry: Map<&Name, EntryIncarnations<'_>> = Map::default();
         for (key, reported) in &self.reports {
             let lives = by_entry
                 .entry(&key.entry)
-                .or_insert_with(|| Lives { newest: reported, earlier: Vec::new() });
+                .or_insert_with(|| EntryIncarnations { newest: reported, earlier: Vec::new() });
             // Incarnations are times of day, and may go back with the clock over a restart.
-            let order = |r: &Reported| (r.at, r.report.incarnation);
+            let order = |r: &StoredReport| (r.reported_at, r.report.incarnation);
             if order(lives.newest) < order(reported) {
                 lives.earlier.push(std::mem::replace(&mut lives.newest, reported));
             } else if lives.newest.report.incarnation != key.incarnation {
                 lives.earlier.push(reported);
             }
         }
-        by_entry.into_values().filter(|lives| now - lives.newest.at < span).collect()
+        by_entry.into_values().filter(|lives| now - lives.newest.reported_at < span).collect()
     }
 
     /// Returns whether all entry instances have reported since a point in time. Those that are cut off
     /// report again in some seconds; one that is not heard of for long, or has restarted, is not waited
     /// for.
     pub fn is_complete(&self, now: Millis, since: Millis) -> bool {
-        let newest = self.within(now, WAITED_FOR);
+        let newest = self.reported_within(now, WAITED_FOR);
         newest.iter().all(|report| {
             let key = LifeKey { entry: report.entry.clone(), incarnation: report.incarnation };
-            self.reports.get(&key).is_some_and(|reported| reported.at >= since)
+            self.reports.get(&key).is_some_and(|reported| reported.reported_at >= since)
         })
     }
 
@@ -178,14 +181,14 @@
     }
 }
 
-impl Reported {
+impl StoredReport {
     /// Returns how long ago it was told.
     pub fn age(&self, now: Millis) -> Millis {
-        now - self.at
+        now - self.reported_at
     }
 
     /// Returns how long ago the life began, if it tells.
-    pub fn up(&self, now: Millis) -> Option<Millis> {
+    pub fn uptime(&self, now: Millis) -> Option<Millis> {
         self.report.up.map(|up| up + self.age(now))
     }
 }
--- a/coordination/dispatch/tests/budget.rs
+++ b/coordination/dispatch/tests/budget.rs
@@ -1,7 +1,7 @@
 //! Retries over all entry instances.
 
 use sill_base::{Millis, Name};
-use sill_dispatch::{Budgets, RetryBounds};
+use sill_dispatch::{RetryBounds, RetryBudgets};
 
 /// As the users state them.
 const BOUNDS: RetryBounds = RetryBounds { share: 0.2, allowance: 56.0 };
@@ -21,7 +21,8 @@
 /// Plays a load in which, from some second on, every request asks for a retry.
 fn play(load: &Load) -> (Vec<u64>, Vec<u64>) {
     let service = Name::from("desk");
-    let mut budgets: Vec<Budgets> = (0..load.entries).map(|_| Budgets::new(BOUNDS)).collect();
+    let mut budgets: Vec<RetryBudgets> =
+        (0..load.entries).map(|_| RetryBudgets::new(BOUNDS)).collect();
     budgets.iter_mut().for_each(|budgets| budgets.set_entries(load.entries as u32));
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     let restarted = load.entries * 3 / 4;
@@ -30,13 +31,13 @@
         let now = i * 1000 / load.per_s;
         if restarts.next_if(|at| now >= **at * 1000).is_some() {
             for budgets in &mut budgets[..restarted] {
-                *budgets = Budgets::new(BOUNDS);
+                *budgets = RetryBudgets::new(BOUNDS);
                 budgets.set_entries(load.entries as u32);
             }
         }
         // Callers are not spread evenly: the first entry instance has twice as many.
         let entry = (i as usize * 7 % (load.entries + 1)) % load.entries;
-        budgets[entry].requested(Millis(now), &service);
+        budgets[entry].count_request(Millis(now), &service);
         requests.push(now);
         if now >= load.fails_from * 1000 && budgets[entry].may_retry(Millis(now), &service) {
             retries.push(now);
@@ -102,10 +103,10 @@
 #[test]
 fn a_sudden_loss_is_borne_after_a_calm_while() {
     let service = Name::from("desk");
-    let mut budgets = Budgets::new(BOUNDS);
+    let mut budgets = RetryBudgets::new(BOUNDS);
     budgets.set_entries(8);
     for i in 0..300 {
-        budgets.requested(Millis(i * 100), &service);
+        budgets.count_request(Millis(i * 100), &service);
     }
     let granted = (0..10).filter(|_| budgets.may_retry(Millis(30_000), &service)).count();
     assert_eq!(granted, 10);
--- a/coordination/dispatch/tests/limit_restarts.rs
+++ b/coordination/dispatch/tests/limit_restarts.rs
@@ -5,7 +5,7 @@
 use rand::Rng as _;
 use sill_base::random::{Rng, seed, seeded};
 use sill_base::{Millis, Name};
-use sill_dispatch::{Adder, Ledger, LimitBounds, RouteTable, Shares};
+use sill_dispatch::{LimitBounds, LimitShares, ReportStore, RouteTable, TotalsAggregator};
 use sill_tree::{Account, Document, Limit};
 use sill_wire::Incarnation;
 use sill_wire::link::{EntryReport, LIMIT_WINDOW, Totals};
@@ -63,7 +63,7 @@
     name: Name,
     life: u64,
     sequence: u64,
-    shares: Shares,
+    shares: LimitShares,
     up_at: u64,
     /// When its settings are in force; none before its first word of a control instance.
     ready_at: Option<u64>,
@@ -75,8 +75,8 @@
 
 struct Leader {
     started: u64,
-    ledger: Ledger,
-    adder: Adder,
+    ledger: ReportStore,
+    adder: TotalsAggregator,
     leads_at: u64,
     has_begun: bool,
     newest: Option<(Totals, u64)>,
@@ -116,7 +116,7 @@
             name: format!("e{index}").into(),
             life,
             sequence: 0,
-            shares: Shares::new(LimitBounds { slack: SLACK }),
+            shares: LimitShares::new(LimitBounds { slack: SLACK }),
             up_at,
             ready_at: None,
             has_limits: false,
@@ -136,7 +136,7 @@
 
     /// Returns whether calls wait no longer for totals.
     fn is_settled(&self, now: u64) -> bool {
-        let has_totals = self.shares.heard(self.clock(now)).1.is_some();
+        let has_totals = self.shares.entries_and_totals_age(self.clock(now)).1.is_some();
         has_totals || self.ready_at.is_some_and(|at| now >= at + TOTALS_WAIT)
     }
 
@@ -150,7 +150,7 @@
             sequence: self.sequence,
             wall: Millis(now),
             up: Some(clock),
-            entries: self.shares.told_entries(clock),
+            entries: self.shares.recent_entries(clock),
             age: Millis::ZERO,
             usage: Vec::new(),
             accounts: self.shares.report(clock),
@@ -162,7 +162,7 @@
 
 impl Leader {
     fn new(started: u64) -> Self {
-        let (ledger, adder) = (Ledger::default(), Adder::default());
+        let (ledger, adder) = (ReportStore::default(), TotalsAggregator::default());
         let leads_at = started + ELECTION;
         Self { started, ledger, adder, leads_at, has_begun: false, newest: None }
     }
@@ -179,7 +179,7 @@
         if !std::mem::replace(&mut self.has_begun, true) {
             self.adder.begin(self.clock(now), None);
         }
-        if let Some(totals) = self.adder.add_up(self.clock(now), &self.ledger) {
+        if let Some(totals) = self.adder.aggregate(self.clock(now), &self.ledger) {
             self.newest = Some((totals, now));
         }
     }
@@ -205,7 +205,7 @@
             self.leader.step(now);
             while self.passed_on.front().is_some_and(|(due, _)| *due <= now) {
                 let (_, report) = self.passed_on.pop_front().expect("one is due");
-                self.leader.ledger.take(self.leader.clock(now), report, false);
+                self.leader.ledger.record(self.leader.clock(now), report, false);
             }
             for index in 0..self.entries.len() {
                 self.poll(now, index, case);
@@ -266,7 +266,7 @@
         let report = entry.report(now);
         let is_direct = index.is_multiple_of(2);
         if is_direct {
-            self.leader.ledger.take(self.leader.clock(now), report, true);
+            self.leader.ledger.record(self.leader.clock(now), report, true);
         } else {
             self.passed_on.push_back((now + PASSED_ON, report));
         }
--- a/coordination/dispatch/tests/loads.rs
+++ b/coordination/dispatch/tests/loads.rs
@@ -7,7 +7,10 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use sill_base::{Millis, Name};
-use sill_dispatch::{Loads, Place, PlaceAsk, Placed, Pool, PoolCfg, Prompt, PromptPart};
+use sill_dispatch::{
+    EndpointLoads, Placement, PlacementDecision, PlacementRequest, Pool, PoolCfg, Prompt,
+    PromptPart,
+};
 use sill_route::Outcome;
 use sill_wire::Incarnation;
 use sill_wire::link::{EndpointFact, EndpointState, LoadWord};
@@ -41,28 +44,28 @@
 }
 
 /// Where a call went that was answered by `e1`.
-fn place() -> Place {
-    Place {
+fn place() -> Placement {
+    Placement {
         endpoint: "e1".into(),
-        born: Incarnation(3),
+        incarnation: Incarnation(3),
         address: SocketAddr::from(([10, 0, 0, 1], 80)),
         fresh_tokens: 0,
-        sent: Millis(1000),
-        why: String::new(),
+        sent_at: Millis(1000),
+        reason: String::new(),
     }
 }
 
 #[test]
 fn the_newest_load_is_told_once_to_each_reader() {
-    let mut loads = Loads::default();
-    loads.take(Millis(1000), vec![word("e1", 0, 5, 100), word("e2", 0, 7, 0)]);
+    let mut loads = EndpointLoads::default();
+    loads.record(Millis(1000), vec![word("e1", 0, 5, 100), word("e2", 0, 7, 0)]);
     let (seen, told) = loads.newer_than(Millis(1000), 0);
     assert_eq!(told.len(), 2);
     assert!(loads.newer_than(Millis(1000), seen).1.is_empty());
     // An older word comes later, through another entry instance.
-    loads.take(Millis(1050), vec![word("e1", 0, 1, 300)]);
+    loads.record(Millis(1050), vec![word("e1", 0, 1, 300)]);
     assert!(loads.newer_than(Millis(1050), seen).1.is_empty());
-    loads.take(Millis(1100), vec![word("e1", 0, 9, 0)]);
+    loads.record(Millis(1100), vec![word("e1", 0, 9, 0)]);
     let (_, told) = loads.newer_than(Millis(1150), seen);
     assert_eq!(told, [word("e1", 0, 9, 50)]);
 }
@@ -82,18 +85,18 @@
     ];
     for Case { name, word } in cases {
         let mut pool = pool(1);
-        pool.heard(Millis(1000), &fact(&"e1".into(), 3));
+        pool.update_endpoint(Millis(1000), &fact(&"e1".into(), 3));
         let place = place();
-        pool.load(Millis(1200), &place, 20, 0);
-        pool.load_elsewhere(Millis(1300), &word);
-        let told: Vec<LoadWord> = pool.loads(Millis(1300), Millis(600)).collect();
+        pool.record_load(Millis(1200), &place, 20, 0);
+        pool.record_remote_load(Millis(1300), &word);
+        let told: Vec<LoadWord> = pool.recent_loads(Millis(1300), Millis(600)).collect();
         assert_eq!(told, [LoadWord { age: Millis(100), ..self::word("e1", 3, 20, 0) }], "{name}");
     }
-    let mut loads = Loads::default();
-    loads.take(Millis(5000), vec![word("e1", 0, 5, 4000)]);
+    let mut loads = EndpointLoads::default();
+    loads.record(Millis(5000), vec![word("e1", 0, 5, 4000)]);
     assert!(loads.newer_than(Millis(5000), 0).1.is_empty(), "it is too old to say anything");
-    loads.take(Millis(5000), vec![word("e1", 0, 5, 0)]);
-    loads.take(Millis(6500), Vec::new());
+    loads.record(Millis(5000), vec![word("e1", 0, 5, 0)]);
+    loads.record(Millis(6500), Vec::new());
     assert!(loads.newer_than(Millis(6500), 0).1.is_empty(), "it has become too old");
 }
 
@@ -102,11 +105,11 @@
     // An endpoint refuses a call and names its load in the same answer. Taken for idle, it would get the
     // caller's next try, and refuse that as well.
     let mut pool = pool(1);
-    pool.heard(Millis(1000), &fact(&"e1".into(), 3));
+    pool.update_endpoint(Millis(1000), &fact(&"e1".into(), 3));
     let place = place();
-    pool.load(Millis(1200), &place, 2, 0);
-    pool.full(Millis(1200), &place);
-    let told: Vec<LoadWord> = pool.loads(Millis(1200), Millis(600)).collect();
+    pool.record_load(Millis(1200), &place, 2, 0);
+    pool.mark_full(Millis(1200), &place);
+    let told: Vec<LoadWord> = pool.recent_loads(Millis(1200), Millis(600)).collect();
     assert_eq!(told, [LoadWord { queued: SLOTS, ..word("e1", 3, SLOTS, 0) }]);
 }
 
@@ -114,11 +117,11 @@
 struct World {
     entries: Vec<Pool>,
     passes_on: bool,
-    loads: Loads,
+    loads: EndpointLoads,
     seen: Vec<u64>,
     running: BTreeMap<Name, u32>,
     /// Calls by when they end.
-    open: BTreeMap<(Millis, u64), (usize, Place, Name)>,
+    open: BTreeMap<(Millis, u64), (usize, Placement, Name)>,
     /// How many ran at the endpoint when each call came, beyond its slots.
     waited: Vec<u32>,
 }
@@ -129,14 +132,14 @@
         let entries = (0..entries).map(|i| {
             let mut pool = pool(i as u64);
             for name in &names {
-                pool.heard(Millis(1), &fact(name, 1));
+                pool.update_endpoint(Millis(1), &fact(name, 1));
             }
             pool
         });
         let entries: Vec<Pool> = entries.collect();
         let seen = vec![0; entries.len()];
         let running = names.into_iter().map(|name| (name, 0)).collect();
-        let (loads, open, waited) = (Loads::default(), BTreeMap::new(), Vec::new());
+        let (loads, open, waited) = (EndpointLoads::default(), BTreeMap::new(), Vec::new());
         Self { entries, passes_on, loads, seen, running, open, waited }
     }
 
@@ -144,7 +147,7 @@
         while let Some(entry) = self.open.first_entry().filter(|entry| entry.key().0 <= now) {
             let (i, place, attempt) = entry.remove();
             *self.running.get_mut(&place.endpoint).expect("it is there") -= 1;
-            self.entries[i].over(now, &place, &attempt, Outcome::Finished);
+            self.entries[i].finish_attempt(now, &place, &attempt, Outcome::Finished);
         }
     }
 
@@ -155,19 +158,19 @@
             PromptPart { id: format!("own{number}").into(), tokens: 600 },
         ];
         let attempt = Name::from(format!("c{number}"));
-        let ask = PlaceAsk {
+        let ask = PlacementRequest {
             attempt: attempt.clone(),
-            prompt: Arc::new(Prompt { parts, tokens: 1200, output: 100 }),
+            prompt: Arc::new(Prompt { parts, tokens: 1200, max_output_tokens: 100 }),
             deadline: now + Millis(15_000),
             exclude: Vec::new(),
         };
-        let Placed::Endpoint(place) = self.entries[i].place(now, &ask) else { return };
+        let PlacementDecision::Endpoint(place) = self.entries[i].place(now, &ask) else { return };
         let running = self.running.get_mut(&place.endpoint).expect("it is there");
         self.waited.push(running.saturating_sub(SLOTS - 1));
         *running += 1;
         let running = *running;
-        self.entries[i].began(now, &place, &attempt);
-        self.entries[i].load(now, &place, running, 0);
+        self.entries[i].record_first_part(now, &place, &attempt);
+        self.entries[i].record_load(now, &place, running, 0);
         let takes = Millis(rng.random_range(500..2500));
         self.open.insert((now + takes, number), (i, place, attempt));
     }
@@ -176,11 +179,11 @@
         if !self.passes_on {
             return;
         }
-        let words: Vec<LoadWord> = self.entries[i].loads(now, Millis(600)).collect();
-        self.loads.take(now, words);
+        let words: Vec<LoadWord> = self.entries[i].recent_loads(now, Millis(600)).collect();
+        self.loads.record(now, words);
         let (seen, told) = self.loads.newer_than(now, self.seen[i]);
         self.seen[i] = seen;
-        told.iter().for_each(|word| self.entries[i].load_elsewhere(now, word));
+        told.iter().for_each(|word| self.entries[i].record_remote_load(now, word));
     }
 }
 
--- a/coordination/dispatch/tests/pool.rs
+++ b/coordination/dispatch/tests/pool.rs
@@ -6,7 +6,9 @@
 use std::sync::Arc;
 
 use sill_base::{Millis, Name};
-use sill_dispatch::{Heard, Place, PlaceAsk, Placed, Pool, PoolCfg, Prompt};
+use sill_dispatch::{
+    FactUpdate, Placement, PlacementDecision, PlacementRequest, Pool, PoolCfg, Prompt,
+};
 use sill_route::Outcome;
 use sill_wire::Incarnation;
 use sill_wire::link::EndpointState;
@@ -22,16 +24,16 @@
     })
 }
 
-fn place(pool: &mut Pool, now: Millis, attempt: &str) -> Option<Place> {
-    let ask = PlaceAsk {
+fn place(pool: &mut Pool, now: Millis, attempt: &str) -> Option<Placement> {
+    let ask = PlacementRequest {
         attempt: attempt.into(),
         prompt: Arc::new(Prompt::default()),
         deadline: now + Millis(10_000),
         exclude: Vec::new(),
     };
     match pool.place(now, &ask) {
-        Placed::Endpoint(place) => Some(place),
-        Placed::Refused { .. } => None,
+        PlacementDecision::Endpoint(place) => Some(place),
+        PlacementDecision::Refused { .. } => None,
     }
 }
 
@@ -41,21 +43,21 @@
 #[test]
 fn what_comes_of_calls_to_an_old_life_says_nothing_about_the_new_one() {
     let mut pool = pool();
-    pool.heard(Millis(1000), &born(5, 90, EndpointState::Ready));
+    pool.update_endpoint(Millis(1000), &born(5, 90, EndpointState::Ready));
     let names: Vec<Name> = (0..8).map(|i| format!("r{i}").into()).collect();
-    let old: Vec<Place> =
+    let old: Vec<Placement> =
         names.iter().map(|name| place(&mut pool, Millis(1000), name).expect("room")).collect();
     assert_eq!(pool.running(), 8);
-    let restarted = pool.heard(Millis(2000), &born(7, 1, EndpointState::Ready));
-    assert_eq!(restarted, Heard::Restart(SocketAddr::from(([10, 0, 0, 1], 80))));
+    let restarted = pool.update_endpoint(Millis(2000), &born(7, 1, EndpointState::Ready));
+    assert_eq!(restarted, FactUpdate::Restart(SocketAddr::from(([10, 0, 0, 1], 80))));
     assert_eq!(pool.running(), 0, "the new life holds nothing");
     let new = place(&mut pool, Millis(2000), "s0").expect("the new life takes requests");
     for (place, name) in old.iter().zip(&names) {
-        pool.full(Millis(2100), place);
-        pool.ended(Millis(2100), place);
-        pool.over(Millis(2100), place, name, Outcome::Failed);
+        pool.mark_full(Millis(2100), place);
+        pool.mark_gone(Millis(2100), place);
+        pool.finish_attempt(Millis(2100), place, name, Outcome::Failed);
     }
-    assert_eq!((pool.running(), new.born), (1, Incarnation(7)));
+    assert_eq!((pool.running(), new.incarnation), (1, Incarnation(7)));
     assert!(place(&mut pool, Millis(2200), "s1").is_some(), "it is neither full nor suspect");
 }
 
@@ -64,7 +66,7 @@
 #[test]
 fn an_old_life_never_overtakes_a_newer_one() {
     let mut pool = pool();
-    pool.heard(Millis(1000), &born(7, 1, EndpointState::Ready));
+    pool.update_endpoint(Millis(1000), &born(7, 1, EndpointState::Ready));
     let late = [
         born(5, 90, EndpointState::Ready),
         born(5, 91, EndpointState::Leaving),
@@ -72,9 +74,9 @@
         born(5, 93, EndpointState::Gone),
     ];
     for word in late {
-        assert_eq!(pool.heard(Millis(1100), &word), Heard::Nothing);
+        assert_eq!(pool.update_endpoint(Millis(1100), &word), FactUpdate::Stale);
         assert!(pool.is_ready(&"e1".into()));
     }
-    pool.heard(Millis(1200), &born(7, 2, EndpointState::Gone));
+    pool.update_endpoint(Millis(1200), &born(7, 2, EndpointState::Gone));
     assert!(!pool.is_ready(&"e1".into()));
 }
--- a/coordination/dispatch/tests/registry.rs
+++ b/coordination/dispatch/tests/registry.rs
@@ -22,8 +22,8 @@
 
 /// Passes on what one heard, as control instances do.
 fn pass_on(from: &mut Registry, to: &mut Registry, now: Millis) {
-    for fact in from.fresh(now) {
-        to.take(now, fact);
+    for fact in from.take_direct(now) {
+        to.merge(now, fact);
     }
 }
 
@@ -39,8 +39,8 @@
 #[test]
 fn an_end_that_comes_before_the_beginning_is_kept() {
     let (mut a, mut b) = (registry(1), registry(2));
-    a.heard(Millis(1000), fact(1, EndpointState::Ready));
-    assert!(b.ended(Millis(1100), &"e1".into(), None), "it is news to the others");
+    a.record_heartbeat(Millis(1000), fact(1, EndpointState::Ready));
+    assert!(b.record_end(Millis(1100), &"e1".into(), None), "it is news to the others");
     pass_on(&mut b, &mut a, Millis(1150));
     pass_on(&mut a, &mut b, Millis(1200));
     for registry in [&a, &b] {
@@ -76,9 +76,9 @@
     ];
     for case in cases {
         let mut registry = registry(1);
-        registry.heard(Millis(1000), fact(1, EndpointState::Ready));
-        registry.heard(Millis(2000), fact(2, EndpointState::Leaving));
-        registry.heard(Millis(2100), case.then);
+        registry.record_heartbeat(Millis(1000), fact(1, EndpointState::Ready));
+        registry.record_heartbeat(Millis(2000), fact(2, EndpointState::Leaving));
+        registry.record_heartbeat(Millis(2100), case.then);
         assert_eq!(told(&registry, Millis(2100)), [("e1".into(), case.expected)], "{}", case.name);
     }
 }
@@ -88,11 +88,11 @@
 #[test]
 fn a_silent_endpoint_is_back_once_it_is_heard_of() {
     let mut registry = registry(1);
-    registry.heard(Millis(1000), fact(1, EndpointState::Ready));
+    registry.record_heartbeat(Millis(1000), fact(1, EndpointState::Ready));
     assert!(!registry.expire(Millis(4000)));
     assert!(registry.expire(Millis(5000)));
     assert_eq!(told(&registry, Millis(5000)), [("e1".into(), EndpointState::Silent)]);
-    assert!(registry.heard(Millis(6000), fact(5, EndpointState::Ready)));
+    assert!(registry.record_heartbeat(Millis(6000), fact(5, EndpointState::Ready)));
     assert_eq!(told(&registry, Millis(6000)), [("e1".into(), EndpointState::Ready)]);
 }
 
@@ -102,11 +102,11 @@
 fn silence_is_not_passed_on() {
     let (mut a, mut b) = (registry(1), registry(2));
     for registry in [&mut a, &mut b] {
-        registry.heard(Millis(1000), fact(1, EndpointState::Ready));
+        registry.record_heartbeat(Millis(1000), fact(1, EndpointState::Ready));
     }
     a.expire(Millis(6000));
     a.all(Millis(6000)).into_iter().for_each(|fact| {
-        b.take(Millis(6000), fact);
+        b.merge(Millis(6000), fact);
     });
     assert_eq!(told(&b, Millis(6000)), [("e1".into(), EndpointState::Ready)]);
 }
@@ -116,9 +116,9 @@
 #[test]
 fn only_what_changed_is_told() {
     let mut registry = registry(1);
-    registry.heard(Millis(1000), fact(1, EndpointState::Ready));
+    registry.record_heartbeat(Millis(1000), fact(1, EndpointState::Ready));
     let cursor = registry.cursor();
-    registry.heard(Millis(2200), fact(2, EndpointState::Ready));
+    registry.record_heartbeat(Millis(2200), fact(2, EndpointState::Ready));
     assert!(registry.newer_than(Millis(2200), cursor).is_empty());
     let of_other_life = Cursor { life: Incarnation(7), ..cursor };
     assert_eq!(registry.newer_than(Millis(2200), of_other_life).len(), 1);
@@ -170,12 +170,12 @@
         let (mut a, mut b) = (registry(1), registry(2));
         for (i, word) in case.words.into_iter().enumerate() {
             let now = Millis(1000 + i as u64);
-            a.heard(now, word);
+            a.record_heartbeat(now, word);
             // Each change is passed on at once; all of them once more, in the end, by another way.
             pass_on(&mut a, &mut b, now);
         }
         a.all(Millis(1100)).into_iter().for_each(|fact| {
-            b.take(Millis(1100), fact);
+            b.merge(Millis(1100), fact);
         });
         for registry in [&a, &b] {
             let facts = registry.newer_than(Millis(1100), Cursor::default());
@@ -190,8 +190,8 @@
 #[test]
 fn an_end_without_a_life_means_the_life_that_is_known() {
     let (mut a, mut b) = (registry(1), registry(2));
-    a.heard(Millis(1000), born(5, 1, EndpointState::Ready));
-    b.ended(Millis(1100), &"e1".into(), None);
+    a.record_heartbeat(Millis(1000), born(5, 1, EndpointState::Ready));
+    b.record_end(Millis(1100), &"e1".into(), None);
     pass_on(&mut b, &mut a, Millis(1150));
     assert_eq!(told(&a, Millis(1200)), [("e1".into(), EndpointState::Gone)]);
 }
@@ -206,9 +206,9 @@
     ];
     for word in foreign {
         let mut registry = registry(1);
-        registry.heard(Millis(1000), born(5, 1, EndpointState::Ready));
-        assert!(registry.is_foreign(&word));
-        assert!(!registry.take(Millis(1100), word));
+        registry.record_heartbeat(Millis(1000), born(5, 1, EndpointState::Ready));
+        assert!(registry.is_contradictory(&word));
+        assert!(!registry.merge(Millis(1100), word));
         assert_eq!(told(&registry, Millis(1200)), [("e1".into(), EndpointState::Ready)]);
     }
 }
--- a/coordination/dispatch/tests/settings.rs
+++ b/coordination/dispatch/tests/settings.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use sill_base::random::{cases, seed};
 use sill_base::{Map, Millis, Name, Packed};
-use sill_dispatch::{Assembly, PieceFault, RouteTable};
+use sill_dispatch::{PieceError, RouteTable, SettingsAssembly};
 use sill_tree::{Document, DocumentText, PieceId, Route, Share, pieces};
 use sill_wire::control::Revision;
 use sill_wire::settings::{Manifest, Piece};
@@ -53,19 +53,20 @@
     // would refuse calls for as long as it takes to fetch everything again.
     let document = document(700);
     let (manifest, pieces) = cut(1, &document);
-    let mut assembly = Assembly::default();
-    assert!(assembly.told(manifest));
+    let mut assembly = SettingsAssembly::default();
+    assert!(assembly.offer(manifest));
     let missing = assembly.missing();
     for (i, id) in missing.iter().enumerate() {
         let other = &missing[(i + 1) % missing.len()];
         let swapped = Piece { id: id.clone(), text: pieces[other].text.clone() };
-        let taken = if i == 3 { assembly.take(&swapped) } else { assembly.take(&pieces[id]) };
-        assert_eq!(taken, if i == 3 { Err(PieceFault::Garbled) } else { Ok(()) });
+        let taken =
+            if i == 3 { assembly.add_piece(&swapped) } else { assembly.add_piece(&pieces[id]) };
+        assert_eq!(taken, if i == 3 { Err(PieceError::Corrupt) } else { Ok(()) });
     }
-    assert!(assembly.whole().is_none());
+    assert!(assembly.take_complete().is_none());
     assert_eq!(assembly.missing(), [missing[3].clone()]);
-    assembly.take(&pieces[&missing[3]]).expect("it is whole");
-    let whole = assembly.whole().expect("nothing lacks");
+    assembly.add_piece(&pieces[&missing[3]]).expect("it is whole");
+    let whole = assembly.take_complete().expect("nothing lacks");
     check(&RouteTable::join(1, &whole.parts), &document, 700);
 }
 
@@ -80,14 +81,14 @@
         cut_at: Millis::ZERO,
         pieces: vec![piece.id.clone()],
     };
-    let mut assembly = Assembly::default();
-    assert!(assembly.told(manifest(5)));
-    let fault = assembly.take(&piece).expect_err("the field is not known");
-    assert!(matches!(fault, PieceFault::Unreadable(_)), "{fault}");
-    assembly.give_up();
-    assert!(assembly.missing().is_empty() && assembly.whole().is_none());
-    assert!(!assembly.told(manifest(5)), "it was given up");
-    assert!(assembly.told(manifest(6)));
+    let mut assembly = SettingsAssembly::default();
+    assert!(assembly.offer(manifest(5)));
+    let fault = assembly.add_piece(&piece).expect_err("the field is not known");
+    assert!(matches!(fault, PieceError::Unreadable(_)), "{fault}");
+    assembly.abandon_wanted();
+    assert!(assembly.missing().is_empty() && assembly.take_complete().is_none());
+    assert!(!assembly.offer(manifest(5)), "it was given up");
+    assert!(assembly.offer(manifest(6)));
 }
 
 #[test]
@@ -97,19 +98,19 @@
     let mut document = document(ROUTES);
     let (manifest, pieces) = cut(1, &document);
     let in_force = pieces.len();
-    let mut assembly = Assembly::default();
-    assembly.told(manifest);
-    pieces.values().for_each(|piece| assembly.take(piece).expect("it is whole"));
-    assembly.whole().expect("nothing lacks");
+    let mut assembly = SettingsAssembly::default();
+    assembly.offer(manifest);
+    pieces.values().for_each(|piece| assembly.add_piece(piece).expect("it is whole"));
+    assembly.take_complete().expect("nothing lacks");
     for revision in 2..60 {
         document.routes.values_mut().for_each(|route| route.max_attempts += 1);
         let (manifest, pieces) = cut(revision, &document);
         let wanted = manifest.pieces.len();
-        assembly.told(manifest);
+        assembly.offer(manifest);
         for id in assembly.missing().iter().skip(1) {
-            assembly.take(&pieces[id]).expect("it is whole");
+            assembly.add_piece(&pieces[id]).expect("it is whole");
         }
-        assert!(assembly.whole().is_none());
+        assert!(assembly.take_complete().is_none());
         let bound = in_force + wanted;
         assert!(assembly.len() <= bound, "{} pieces, {bound} at most", assembly.len());
     }
@@ -122,12 +123,12 @@
     // an older revision must never come back, and what didn't change must not be fetched again.
     for case in 0..cases(60) {
         let mut rng = SmallRng::seed_from_u64(seed(1) + u64::from(case));
-        let mut assembly = Assembly::default();
+        let mut assembly = SettingsAssembly::default();
         let mut document = document(600);
         let (mut held, mut fetched) = (0, 0);
         let (mut manifest, mut pieces) = cut(1, &document);
         let all = pieces.len();
-        assembly.told(manifest.clone());
+        assembly.offer(manifest.clone());
         for revision in 2..40 {
             for _ in 0..rng.random_range(0..6) {
                 let mut missing = assembly.missing();
@@ -138,9 +139,9 @@
                         1 => Piece { id: id.clone(), text: Packed::of("{}") },
                         _ => pieces[id].clone(),
                     };
-                    fetched += usize::from(assembly.take(&piece).is_ok());
+                    fetched += usize::from(assembly.add_piece(&piece).is_ok());
                 }
-                if let Some(whole) = assembly.whole() {
+                if let Some(whole) = assembly.take_complete() {
                     assert!(whole.manifest.revision.0 > held, "case {case}: it went back");
                     held = whole.manifest.revision.0;
                     check(&RouteTable::join(held, &whole.parts), &document, 600);
@@ -151,14 +152,14 @@
             let changed = keys.choose(&mut rng).expect("there are routes");
             document.routes.get_mut(changed).expect("it is there").max_attempts += 1;
             (manifest, pieces) = cut(revision, &document);
-            assert!(assembly.told(manifest.clone()), "case {case}");
-            assert!(!assembly.told(old), "case {case}: an older one came late");
+            assert!(assembly.offer(manifest.clone()), "case {case}");
+            assert!(!assembly.offer(old), "case {case}: an older one came late");
         }
         for id in assembly.missing() {
             fetched += 1;
-            assembly.take(&pieces[&id]).expect("it is whole");
+            assembly.add_piece(&pieces[&id]).expect("it is whole");
         }
-        let whole = assembly.whole().expect("nothing lacks");
+        let whole = assembly.take_complete().expect("nothing lacks");
         assert_eq!(whole.manifest.revision, Revision(39), "case {case}");
         check(&RouteTable::join(39, &whole.parts), &document, 600);
         assert!(fetched <= all + 38, "case {case}: {fetched} pieces for {all} and 38 changes");
--- a/coordination/dispatch/tests/shares.rs
+++ b/coordination/dispatch/tests/shares.rs
@@ -3,7 +3,7 @@
 use rand::Rng as _;
 use sill_base::random::{Rng, seed, seeded};
 use sill_base::{Millis, Name};
-use sill_dispatch::{Adder, Ledger, LimitBounds, RouteTable, Shares};
+use sill_dispatch::{LimitBounds, LimitShares, ReportStore, RouteTable, TotalsAggregator};
 use sill_tree::{Account, Document, Limit};
 use sill_wire::Incarnation;
 use sill_wire::link::{AccountTotal, EntryReport, LIMIT_WINDOW, Totals};
@@ -50,9 +50,9 @@
 
 struct World {
     rng: Rng,
-    shares: Vec<Shares>,
-    ledger: Ledger,
-    adder: Adder,
+    shares: Vec<LimitShares>,
+    ledger: ReportStore,
+    adder: TotalsAggregator,
     newest: Option<Totals>,
     on_the_way: Vec<(u64, Totals)>,
     admitted: Vec<Admitted>,
@@ -80,15 +80,15 @@
     }
 
     fn with_seed(load: &Load, seed: u64) -> Self {
-        let mut shares: Vec<Shares> =
-            (0..load.entries).map(|_| Shares::new(LimitBounds { slack: SLACK })).collect();
+        let mut shares: Vec<LimitShares> =
+            (0..load.entries).map(|_| LimitShares::new(LimitBounds { slack: SLACK })).collect();
         shares.iter_mut().for_each(|shares| shares.set_limits(Millis::ZERO, &table(load.rate)));
         let rng = seeded(seed);
         Self {
             rng,
             shares,
-            ledger: Ledger::default(),
-            adder: Adder::default(),
+            ledger: ReportStore::default(),
+            adder: TotalsAggregator::default(),
             newest: None,
             on_the_way: Vec::new(),
             admitted: Vec::new(),
@@ -131,7 +131,7 @@
             Ok(()) => self.admitted.push(Admitted { at: now, tokens }),
             Err(over) => {
                 self.refused += 1;
-                self.waits.push(over.wait);
+                self.waits.push(over.retry_after);
             }
         }
     }
@@ -140,15 +140,15 @@
         let cut = load.cut.filter(|cut| (cut.from..cut.until).contains(&now));
         let first_heard = cut.map_or(0, |cut| cut.entries);
         if load.cut.and_then(|cut| cut.new_leader) == Some(now) {
-            self.ledger = Ledger::default();
-            self.adder = Adder::default();
+            self.ledger = ReportStore::default();
+            self.adder = TotalsAggregator::default();
             self.adder.begin(Millis(now), self.newest.as_ref());
         }
         for entry in first_heard..load.entries {
             let report = self.report(now, entry);
-            self.ledger.take(Millis(now), report, true);
+            self.ledger.record(Millis(now), report, true);
         }
-        if let Some(totals) = self.adder.add_up(Millis(now), &self.ledger) {
+        if let Some(totals) = self.adder.aggregate(Millis(now), &self.ledger) {
             self.newest = Some(totals.clone());
             self.on_the_way.push((now + AGE, Totals { age: Millis(AGE - 250), ..totals }));
         }
@@ -384,7 +384,7 @@
         Case { name: "by more than is told at most", beyond_s: 30.0 },
     ];
     for Case { name, beyond_s } in cases {
-        let mut shares = Shares::new(LimitBounds { slack: SLACK });
+        let mut shares = LimitShares::new(LimitBounds { slack: SLACK });
         shares.set_limits(Millis::ZERO, &table(RATE));
         let owed = RATE * LIMIT_WINDOW.as_secs_f64() + RATE;
         let total = AccountTotal {
@@ -401,7 +401,11 @@
         let over = shares.admit(now, &account(), COST).expect_err(name);
         assert!(over.balance > COST, "{name}: its own bucket has no room: {over:?}");
         let room_in = Millis((beyond_s * 1000.0) as u64).min(Millis(5000));
-        assert!(over.wait >= room_in, "{name}: {} ms told, room in {room_in} ms", over.wait);
+        assert!(
+            over.retry_after >= room_in,
+            "{name}: {} ms told, room in {room_in} ms",
+            over.retry_after
+        );
     }
 }
 
@@ -423,9 +427,9 @@
     let entries = ENTRIES as u32;
     let totals =
         Totals { age: Millis::ZERO, entries, untold_s: 0.0, accounts: vec![total.clone()] };
-    let mut all: Vec<Shares> = (0..ENTRIES)
+    let mut all: Vec<LimitShares> = (0..ENTRIES)
         .map(|_| {
-            let mut shares = Shares::new(LimitBounds { slack: SLACK });
+            let mut shares = LimitShares::new(LimitBounds { slack: SLACK });
             shares.set_limits(Millis::ZERO, &table(RATE));
             shares.set_totals(Millis(10_000), &totals);
             shares
--- a/coordination/dispatch/tests/speed.rs
+++ b/coordination/dispatch/tests/speed.rs
@@ -3,7 +3,7 @@
 use rand::Rng as _;
 use sill_base::Millis;
 use sill_base::random::{self, Rng};
-use sill_dispatch::{SpeedMeter, middle_speed, presumed_speed};
+use sill_dispatch::{SpeedMeter, median_speed, presumed_speed};
 use sill_wire::link::EngineSpeed;
 
 /// An engine that reads prompts at some speed, in the middle of the work of other entry instances.
@@ -37,7 +37,7 @@
     fn run(&mut self, meter: &mut SpeedMeter, calls: usize) {
         for _ in 0..calls {
             let (tokens, took) = self.call();
-            meter.first_part(tokens, took);
+            meter.record_first_part(tokens, took);
         }
     }
 }
@@ -67,7 +67,7 @@
     world.run(&mut meter, 600);
     let before = meter.speed().prefill_tokens_per_s;
     for i in 0..16 {
-        meter.first_part(500 + 100 * i, Millis(4000));
+        meter.record_first_part(500 + 100 * i, Millis(4000));
     }
     let after = meter.speed().prefill_tokens_per_s;
     assert!((0.6..1.7).contains(&(after / before)), "{before} before, {after} after");
@@ -81,7 +81,7 @@
 fn prompts_of_one_size_teach_nothing() {
     let mut meter = SpeedMeter::default();
     for i in 0..500_u64 {
-        meter.first_part(1000 + i % 3, Millis(20 + i % 90));
+        meter.record_first_part(1000 + i % 3, Millis(20 + i % 90));
     }
     assert_eq!((meter.speed(), meter.speed().lines), (presumed_speed(), 0));
 }
@@ -105,7 +105,7 @@
         },
     ];
     for case in cases {
-        let got = middle_speed(case.told).map(|speed| speed.prefill_tokens_per_s);
+        let got = median_speed(case.told).map(|speed| speed.prefill_tokens_per_s);
         assert_eq!(got, case.expected, "{}", case.name);
     }
 }
--- a/coordination/dispatch/tests/stopping.rs
+++ b/coordination/dispatch/tests/stopping.rs
@@ -1,7 +1,7 @@
 //! How an entry instance stops, and which calls it still begins meanwhile.
 
 use sill_base::Millis;
-use sill_dispatch::{Begin, CallTimes, OpenCalls, StopPhase, StopPlan, StopTimes};
+use sill_dispatch::{AnswerMode, CallTimes, OpenCalls, StopPhase, StopPlan, StopTimes};
 
 /// What an instance has seen: plain calls of 20 to 60 ms, and streams of 0.5 to 2.7 s, of which one in
 /// twenty took 9 s; of one route few calls.
@@ -9,11 +9,11 @@
     let mut times = CallTimes::default();
     for turn in 0..20 {
         let stream = if turn == 7 { 9000 } else { 500 + 115 * turn };
-        times.took(Millis(1000), &"chat".into(), Millis(stream));
-        times.took(Millis(1000), &"lookup".into(), Millis(20 + 2 * turn));
+        times.record_call(Millis(1000), &"chat".into(), Millis(stream));
+        times.record_call(Millis(1000), &"lookup".into(), Millis(20 + 2 * turn));
     }
     for _ in 0..5 {
-        times.took(Millis(1000), &"rare".into(), Millis(20));
+        times.record_call(Millis(1000), &"rare".into(), Millis(20));
     }
     times
 }
@@ -31,11 +31,11 @@
         left: (u64, u64),
         /// Whether the balancer has noticed.
         is_noticed: bool,
-        expected: Option<Begin>,
+        expected: Option<AnswerMode>,
     }
-    const NO: Option<Begin> = None;
-    const YES: Option<Begin> = Some(Begin::Passed);
-    const HELD: Option<Begin> = Some(Begin::Held);
+    const NO: Option<AnswerMode> = None;
+    const YES: Option<AnswerMode> = Some(AnswerMode::Passed);
+    const HELD: Option<AnswerMode> = Some(AnswerMode::Held);
     let case =
         |name, route, left, expected| Case { name, route, left, is_noticed: false, expected };
     let noticed = |name, route, left, expected| Case {
@@ -66,7 +66,7 @@
         let now = Millis(5000);
         let noticed_at = if case.is_noticed { now } else { now + Millis(1) };
         let stop = StopTimes { noticed_at, ends_at: now + Millis(case.left.0) };
-        let begin = seen().begin(now, &case.route.into(), now + Millis(case.left.1), stop);
+        let begin = seen().answer_mode(now, &case.route.into(), now + Millis(case.left.1), stop);
         assert_eq!(begin, case.expected, "{}", case.name);
     }
 }
@@ -81,26 +81,29 @@
         route: &'static str,
         /// Time that the first part took, and that is left.
         times: (u64, u64),
-        expected: Begin,
+        expected: AnswerMode,
     }
     let case = |name, times, expected| Case { name, route: "chat", times, expected };
     let cases = [
-        case("as usual", (400, 6500), Begin::Passed),
-        case("faster than usual", (50, 6500), Begin::Passed),
-        case("late, with time left", (800, 8500), Begin::Passed),
-        case("late", (800, 6500), Begin::Held),
-        case("as usual, and little is left", (400, 3000), Begin::Held),
-        Case { route: "new", ..case("of a route that is not known", (400, 6500), Begin::Passed) },
+        case("as usual", (400, 6500), AnswerMode::Passed),
+        case("faster than usual", (50, 6500), AnswerMode::Passed),
+        case("late, with time left", (800, 8500), AnswerMode::Passed),
+        case("late", (800, 6500), AnswerMode::Held),
+        case("as usual, and little is left", (400, 3000), AnswerMode::Held),
+        Case {
+            route: "new",
+            ..case("of a route that is not known", (400, 6500), AnswerMode::Passed)
+        },
     ];
     let mut times = seen();
     for turn in 0..20 {
-        times.first_part_took(Millis(1000), &"chat".into(), Millis(100 + 15 * turn));
+        times.record_first_part(Millis(1000), &"chat".into(), Millis(100 + 15 * turn));
     }
     for Case { name, route, times: (first, left), expected } in cases {
         let now = Millis(5000);
         let stop = StopTimes { noticed_at: now, ends_at: now + Millis(left) };
-        let rest = times.rest(now, &route.into(), Millis(first), stop);
-        assert_eq!(rest.begin, expected, "{name}: {rest:?}");
+        let rest = times.forecast_stream(now, &route.into(), Millis(first), stop);
+        assert_eq!(rest.mode, expected, "{name}: {rest:?}");
     }
 }
 
@@ -109,15 +112,15 @@
 fn long_times_of_long_ago_are_forgotten() {
     let mut times = CallTimes::default();
     for _ in 0..10 {
-        times.took(Millis(2000), &"chat".into(), Millis(6000));
+        times.record_call(Millis(2000), &"chat".into(), Millis(6000));
     }
     let fits = |times: &CallTimes, now: Millis| {
         let stop = StopTimes { noticed_at: now + Millis(1000), ends_at: now + Millis(3000) };
-        times.begin(now, &"chat".into(), now + Millis(15_000), stop).is_some()
+        times.answer_mode(now, &"chat".into(), now + Millis(15_000), stop).is_some()
     };
     assert!(!fits(&times, Millis(12_000)));
     for at in [20_000, 36_000] {
-        times.took(Millis(at), &"chat".into(), Millis(180));
+        times.record_call(Millis(at), &"chat".into(), Millis(180));
     }
     assert!(fits(&times, Millis(37_000)));
 }
@@ -132,29 +135,29 @@
         /// When, how many connections of before and since the notice are open, and the phase.
         steps: &'static [(u64, usize, usize, StopPhase)],
     }
-    use StopPhase::{Announcing, Finishing, Leaving, Over};
+    use StopPhase::{Announcing, Draining, Ended, Refusing};
     let cases = [
-        Case { name: "nothing open", steps: &[(0, 0, 0, Announcing), (2300, 0, 0, Over)] },
+        Case { name: "nothing open", steps: &[(0, 0, 0, Announcing), (2300, 0, 0, Ended)] },
         Case {
             name: "older ones, then none",
             steps: &[
                 (0, 3, 0, Announcing),
                 (2299, 3, 0, Announcing),
-                (2300, 2, 0, Finishing),
-                (4000, 1, 5, Finishing),
-                (4500, 0, 2, Leaving),
-                (4600, 0, 0, Over),
+                (2300, 2, 0, Draining),
+                (4000, 1, 5, Draining),
+                (4500, 0, 2, Refusing),
+                (4600, 0, 0, Ended),
             ],
         },
         Case {
             name: "it does not take up again",
-            steps: &[(2300, 1, 1, Finishing), (2400, 0, 1, Leaving), (2500, 1, 1, Leaving)],
+            steps: &[(2300, 1, 1, Draining), (2400, 0, 1, Refusing), (2500, 1, 1, Refusing)],
         },
         Case {
             name: "no longer than its time",
-            steps: &[(2300, 1, 0, Finishing), (7499, 1, 0, Finishing), (7500, 1, 0, Over)],
+            steps: &[(2300, 1, 0, Draining), (7499, 1, 0, Draining), (7500, 1, 0, Ended)],
         },
-        Case { name: "late from the first look", steps: &[(9000, 4, 0, Over)] },
+        Case { name: "late from the first look", steps: &[(9000, 4, 0, Ended)] },
     ];
     for case in cases {
         let times = StopTimes { noticed_at: Millis(2300), ends_at: Millis(7500) };
--- a/coordination/dispatch/tests/stopping_load.rs
+++ b/coordination/dispatch/tests/stopping_load.rs
@@ -3,7 +3,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use sill_base::{Millis, Name};
-use sill_dispatch::{Begin, CallTimes, OpenCalls, StopPhase, StopPlan, StopTimes};
+use sill_dispatch::{AnswerMode, CallTimes, OpenCalls, StopPhase, StopPlan, StopTimes};
 
 const INSTANCES: usize = 40;
 const STOPPING: usize = 37;
@@ -103,7 +103,7 @@
         for call in over {
             let is_in_time = call.ends <= call.due;
             let route = Name::from(KINDS[call.kind].route);
-            self.times.took(Millis(now), &route, Millis(now - call.began));
+            self.times.record_call(Millis(now), &route, Millis(now - call.began));
             count(
                 call.began,
                 if is_in_time { &mut counts.served } else { &mut counts.out_of_time },
@@ -112,11 +112,11 @@
         let open = self.open();
         let Some(plan) = &mut self.stop else { return };
         let mut phase = plan.step(Millis(now), open);
-        if policy == Policy::All && phase != StopPhase::Over {
-            phase = StopPhase::Finishing;
+        if policy == Policy::All && phase != StopPhase::Ended {
+            phase = StopPhase::Draining;
         }
         self.phase = Some(phase);
-        if phase == StopPhase::Over {
+        if phase == StopPhase::Ended {
             for call in self.running.drain(..) {
                 if call.is_held {
                     count(call.began, &mut counts.failed);
@@ -132,16 +132,16 @@
     }
 
     /// Returns how it begins the call.
-    fn begins(&self, now: u64, call: &Waiting, policy: Policy) -> Option<Begin> {
-        if now < self.gone_until || self.phase == Some(StopPhase::Leaving) {
+    fn begins(&self, now: u64, call: &Waiting, policy: Policy) -> Option<AnswerMode> {
+        if now < self.gone_until || self.phase == Some(StopPhase::Refusing) {
             return None;
         }
         let route = KINDS[call.kind].route.into();
         match policy {
-            _ if self.stop.is_none() => Some(Begin::Passed),
-            Policy::Judged => self.times.begin(Millis(now), &route, Millis(call.due), TIMES),
-            Policy::All => Some(Begin::Passed),
-            Policy::UntilNoticed => (now < SIGNAL + NOTICE).then_some(Begin::Passed),
+            _ if self.stop.is_none() => Some(AnswerMode::Passed),
+            Policy::Judged => self.times.answer_mode(Millis(now), &route, Millis(call.due), TIMES),
+            Policy::All => Some(AnswerMode::Passed),
+            Policy::UntilNoticed => (now < SIGNAL + NOTICE).then_some(AnswerMode::Passed),
         }
     }
 }
@@ -190,7 +190,7 @@
             if let Some(begin) = instance.begins(now, &call, policy) {
                 let ends = now + call.took;
                 let is_later = instance.stop.is_some() && now >= SIGNAL + NOTICE;
-                let is_held = begin == Begin::Held;
+                let is_held = begin == AnswerMode::Held;
                 let Waiting { kind, due, .. } = call;
                 let running = Running { ends, due, began: now, is_later, is_held, kind };
                 instance.running.push(running);
--- a/coordination/dispatch/tests/totals.rs
+++ b/coordination/dispatch/tests/totals.rs
@@ -1,7 +1,7 @@
 //! What the leader makes of the reports of entry instances.
 
 use sill_base::{Millis, Name};
-use sill_dispatch::{Adder, Counted, Ledger};
+use sill_dispatch::{EntryCounts, ReportStore, TotalsAggregator};
 use sill_wire::Incarnation;
 use sill_wire::link::{AccountReport, AccountTotal, EntryReport, Totals};
 
@@ -59,10 +59,10 @@
     }
 }
 
-fn ledger(told: &[Told]) -> Ledger {
-    let mut ledger = Ledger::default();
+fn ledger(told: &[Told]) -> ReportStore {
+    let mut ledger = ReportStore::default();
     for told in told {
-        ledger.take(Millis(told.at), report(told), true);
+        ledger.record(Millis(told.at), report(told), true);
     }
     ledger
 }
@@ -155,9 +155,9 @@
     ];
     for case in cases {
         let name = case.name;
-        let mut adder = Adder::default();
+        let mut adder = TotalsAggregator::default();
         adder.begin(Millis(case.now - 1000), None);
-        let totals = adder.add_up(Millis(case.now), &ledger(case.told)).expect(name);
+        let totals = adder.aggregate(Millis(case.now), &ledger(case.told)).expect(name);
         let total = of_account(&totals);
         assert_eq!(totals.entries, case.entries, "{name}");
         assert!((total.admitted - case.admitted).abs() < 1e-9, "{name}: {total:?}");
@@ -173,24 +173,24 @@
     let at = 20_000;
     let mut told =
         vec![Told { at, entries: 3, ..QUIET }, Told { at, entry: "e2", entries: 3, ..QUIET }];
-    let mut adder = Adder::default();
+    let mut adder = TotalsAggregator::default();
     adder.begin(Millis(at), None);
-    assert_eq!(adder.add_up(Millis(at + 100), &ledger(&told)), None, "one is missing");
+    assert_eq!(adder.aggregate(Millis(at + 100), &ledger(&told)), None, "one is missing");
     told.push(Told { at: at + 200, entry: "e3", ..QUIET });
-    let totals = adder.add_up(Millis(at + 200), &ledger(&told)).expect("all are there");
+    let totals = adder.aggregate(Millis(at + 200), &ledger(&told)).expect("all are there");
     assert_eq!(totals.entries, 3);
-    assert_eq!(adder.counted(), Counted { heard: 3, silent: 0, unknown: 0 });
+    assert_eq!(adder.entry_counts(), EntryCounts { reporting: 3, silent: 0, unknown: 0 });
 
     told.pop();
-    let mut adder = Adder::default();
+    let mut adder = TotalsAggregator::default();
     adder.begin(Millis(at), None);
-    let totals = adder.add_up(Millis(at + 800), &ledger(&told)).expect("it has waited");
+    let totals = adder.aggregate(Millis(at + 800), &ledger(&told)).expect("it has waited");
     assert_eq!(totals.entries, 3);
-    assert_eq!(adder.counted(), Counted { heard: 2, silent: 0, unknown: 1 });
+    assert_eq!(adder.entry_counts(), EntryCounts { reporting: 2, silent: 0, unknown: 1 });
     // One that does not come back is gone some time later.
     let late = Millis(at + 15_100);
     let still: Vec<Told> = told.into_iter().map(|told| Told { at: late.0, ..told }).collect();
-    let totals = adder.add_up(late, &ledger(&still)).expect("it leads");
+    let totals = adder.aggregate(late, &ledger(&still)).expect("it leads");
     assert_eq!(totals.entries, 2);
 }
 
@@ -200,9 +200,9 @@
 fn a_report_that_is_passed_on_keeps_its_age() {
     let told = Told { at: 20_000, by_second: &[5], share: 0.2, ..QUIET };
     let mut first = ledger(&[told]);
-    let passed_on = first.untold(Millis(24_000));
+    let passed_on = first.take_unforwarded(Millis(24_000));
     assert_eq!(passed_on.iter().map(|report| report.age).collect::<Vec<_>>(), [Millis(4000)]);
-    let mut second = Ledger::default();
-    passed_on.into_iter().for_each(|report| second.take(Millis(50_000), report, false));
+    let mut second = ReportStore::default();
+    passed_on.into_iter().for_each(|report| second.record(Millis(50_000), report, false));
     assert!(second.live(Millis(50_000)).is_empty());
 }
--- a/coordination/dispatch/tests/usage.rs
+++ b/coordination/dispatch/tests/usage.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use sill_base::{Millis, Name};
-use sill_dispatch::{Ledger, TrueTime, UsageCounter};
+use sill_dispatch::{ReportStore, TrueTime, UsageCounter};
 use sill_wire::Incarnation;
 use sill_wire::link::{EntryReport, WindowUsage};
 
@@ -28,7 +28,7 @@
     }
 }
 
-fn total(ledger: &Ledger, window: u64) -> Option<u64> {
+fn total(ledger: &ReportStore, window: u64) -> Option<u64> {
     ledger.total(window).map(|counts| counts.values().sum())
 }
 
@@ -36,11 +36,11 @@
 /// would be charged double.
 #[test]
 fn reports_that_come_twice_or_late_count_once() {
-    let mut ledger = Ledger::default();
-    ledger.take(Millis(1000), report("e1", 1, 2, &[(7, 20)]), true);
-    ledger.take(Millis(1100), report("e1", 1, 2, &[(7, 20)]), false);
-    ledger.take(Millis(1200), report("e1", 1, 1, &[(7, 10)]), false);
-    ledger.take(Millis(1300), report("e2", 1, 1, &[(7, 5)]), true);
+    let mut ledger = ReportStore::default();
+    ledger.record(Millis(1000), report("e1", 1, 2, &[(7, 20)]), true);
+    ledger.record(Millis(1100), report("e1", 1, 2, &[(7, 20)]), false);
+    ledger.record(Millis(1200), report("e1", 1, 1, &[(7, 10)]), false);
+    ledger.record(Millis(1300), report("e2", 1, 1, &[(7, 5)]), true);
     assert_eq!(total(&ledger, 7), Some(25));
     assert_eq!(total(&ledger, 8), None, "nobody has reached it");
 }
@@ -48,9 +48,9 @@
 /// An entry instance restarts in the middle of a window. What it counted in its earlier life ran as well.
 #[test]
 fn both_lives_of_an_entry_instance_count() {
-    let mut ledger = Ledger::default();
-    ledger.take(Millis(1000), report("e1", 1, 9, &[(7, 20)]), true);
-    ledger.take(Millis(2000), report("e1", 2, 1, &[(7, 3)]), true);
+    let mut ledger = ReportStore::default();
+    ledger.record(Millis(1000), report("e1", 1, 9, &[(7, 20)]), true);
+    ledger.record(Millis(2000), report("e1", 2, 1, &[(7, 3)]), true);
     assert_eq!(total(&ledger, 7), Some(23));
 }
 
@@ -58,17 +58,17 @@
 /// requests for good; a few seconds later they report again.
 #[test]
 fn a_window_is_complete_once_every_entry_instance_has_reported_after_its_end() {
-    let mut ledger = Ledger::default();
-    ledger.take(Millis(1000), report("cut", 1, 1, &[(7, 20)]), true);
-    ledger.take(Millis(6000), report("well", 1, 1, &[(7, 30)]), true);
+    let mut ledger = ReportStore::default();
+    ledger.record(Millis(1000), report("cut", 1, 1, &[(7, 20)]), true);
+    ledger.record(Millis(6000), report("well", 1, 1, &[(7, 30)]), true);
     let end = Millis(5000);
     assert!(!ledger.is_complete(Millis(7000), end));
-    ledger.take(Millis(8000), report("cut", 1, 2, &[(7, 25)]), true);
+    ledger.record(Millis(8000), report("cut", 1, 2, &[(7, 25)]), true);
     assert!(ledger.is_complete(Millis(8000), end));
     assert_eq!(total(&ledger, 7), Some(55));
     // One that restarted is not waited for in its earlier life.
-    ledger.take(Millis(9000), report("cut", 2, 1, &[]), true);
-    ledger.take(Millis(9000), report("well", 1, 2, &[]), true);
+    ledger.record(Millis(9000), report("cut", 2, 1, &[]), true);
+    ledger.record(Millis(9000), report("well", 1, 2, &[]), true);
     assert!(ledger.is_complete(Millis(9500), Millis(9000)));
 }
 
@@ -103,9 +103,9 @@
         let (now, truth) = (Millis(10_000), 1_000_000_i64);
         for (i, off) in case.off.iter().enumerate() {
             let instance = Name::from(format!("i{i}"));
-            time.read(now, &instance, Millis((truth + off) as u64));
+            time.record(now, &instance, Millis((truth + off) as u64));
         }
-        let told = time.at(now + Millis(100)).expect("there are readings").0 as i64;
+        let told = time.time_of_day(now + Millis(100)).expect("there are readings").0 as i64;
         assert!((told - truth - 100).abs() <= 10, "{}: off by {}", case.name, told - truth - 100);
     }
 }
--- a/daemons/control/src/duty.rs
+++ b/daemons/control/src/duty.rs
@@ -5,7 +5,7 @@
 
 use futures_util::future::BoxFuture;
 use sill_base::{Millis, Name, event};
-use sill_dispatch::middle_speed;
+use sill_dispatch::median_speed;
 use sill_dispatch::usage::window_of;
 pub use sill_fleet::CountOrder;
 use sill_fleet::{CountCfg, CountPlanner, Demand, LiveEndpoint, PoolView};
@@ -306,7 +306,7 @@
 
 /// Returns the speed of a service's engines, as most entry instances have learned it.
 fn speed(work: &[ServiceReport]) -> Option<EngineSpeed> {
-    middle_speed(work.iter().filter_map(|report| report.speed))
+    median_speed(work.iter().filter_map(|report| report.speed))
 }
 
 fn demand(work: &[ServiceReport]) -> Demand {
--- a/daemons/control/src/link.rs
+++ b/daemons/control/src/link.rs
@@ -3,7 +3,9 @@
 
 use parking_lot::Mutex;
 use sill_base::{Findings, Millis, Name, event};
-use sill_dispatch::{Adder, Counted, Ledger, Loads, Registry, TrueTime};
+use sill_dispatch::{
+    EndpointLoads, EntryCounts, Registry, ReportStore, TotalsAggregator, TrueTime,
+};
 use sill_wire::Incarnation;
 use sill_wire::link::{
     ControlSync, ControlSyncReply, Cursor, EndpointFact, EntryReport, LoadWord, Totals,
@@ -21,11 +23,11 @@
     life: Incarnation,
     name: Name,
     registry: Mutex<Registry>,
-    ledger: Mutex<Ledger>,
+    ledger: Mutex<ReportStore>,
     time: Mutex<TrueTime>,
-    loads: Mutex<Loads>,
+    loads: Mutex<EndpointLoads>,
     totals: Mutex<Option<TotalsHeard>>,
-    adder: Mutex<Adder>,
+    adder: Mutex<TotalsAggregator>,
     changes: watch::Sender<u64>,
     urgent: tokio::sync::Notify,
 }
@@ -60,14 +62,14 @@
     ///
     /// Fails where it contradicts what the endpoint said before in the same life.
     pub fn heartbeat(&self, now: Millis, fact: EndpointFact) -> Result<(), Findings> {
-        if self.registry.lock().is_foreign(&fact) {
+        if self.registry.lock().is_contradictory(&fact) {
             let reason = "another service or failure domain than before in the same life";
             return Err(Findings::one("service", reason));
         }
         let (endpoint, state, sequence) = (fact.endpoint.clone(), fact.state, fact.sequence);
         let (born, leaves_in) = (fact.born, fact.leaves_in);
         let (service, domain, address) = (fact.service.clone(), fact.domain.clone(), fact.address);
-        if self.registry.lock().heard(now, fact) {
+        if self.registry.lock().record_heartbeat(now, fact) {
             event!(
                 Info,
                 "endpoint_heard",
@@ -87,7 +89,7 @@
 
     /// Takes in that an endpoint says it ends.
     pub fn ended(&self, now: Millis, endpoint: &Name, born: Option<Incarnation>) {
-        if self.registry.lock().ended(now, endpoint, born) {
+        if self.registry.lock().record_end(now, endpoint, born) {
             event!(Info, "endpoint_heard", endpoint = endpoint, state = "Gone");
             self.changed();
         }
@@ -106,13 +108,13 @@
 
     /// Takes in what another control instance passes on.
     pub fn synced(&self, now: Millis, sync: ControlSync) -> ControlSyncReply {
-        self.time.lock().read(now, &sync.from.name, sync.wall);
+        self.time.lock().record(now, &sync.from.name, sync.wall);
         let mut is_changed = false;
         for fact in sync.endpoints {
             is_changed |= self.told(now, fact, &sync.from.name);
         }
         for report in sync.reports {
-            self.ledger.lock().take(now, report, false);
+            self.ledger.lock().record(now, report, false);
         }
         if let Some(totals) = sync.totals {
             let at = now - totals.age;
@@ -128,7 +130,7 @@
     fn told(&self, now: Millis, fact: EndpointFact, from: &Name) -> bool {
         let (endpoint, state, sequence) = (fact.endpoint.clone(), fact.state, fact.sequence);
         let age = fact.age;
-        let is_news = self.registry.lock().take(now, fact);
+        let is_news = self.registry.lock().merge(now, fact);
         if is_news {
             event!(
                 Info,
@@ -146,8 +148,8 @@
     /// Returns true time of day.
     pub fn true_time(&self, now: Millis) -> Millis {
         let mut time = self.time.lock();
-        time.read(now, &self.name, Millis::wall());
-        time.at(now).unwrap_or_else(Millis::wall)
+        time.record(now, &self.name, Millis::wall());
+        time.time_of_day(now).unwrap_or_else(Millis::wall)
     }
 
     /// Returns all endpoints that are known.
@@ -173,9 +175,9 @@
     /// Takes in the report of an entry instance.
     fn reported(&self, now: Millis, mut report: EntryReport) {
         let loads = std::mem::take(&mut report.loads);
-        self.loads.lock().take(now, loads);
-        self.time.lock().read(now, &report.entry, report.wall);
-        self.ledger.lock().take(now, report, true);
+        self.loads.lock().record(now, loads);
+        self.time.lock().record(now, &report.entry, report.wall);
+        self.ledger.lock().record(now, report, true);
     }
 
     /// Begins to add up the demand, as the leader.
@@ -194,18 +196,18 @@
     /// Adds up the demand, and counts in metrics whose it is.
     fn add_up(&self, now: Millis, metrics: &Metrics) -> Option<Totals> {
         let mut adder = self.adder.lock();
-        let before = adder.counted();
-        let totals = adder.add_up(now, &self.ledger.lock())?;
-        let counted = adder.counted();
+        let before = adder.entry_counts();
+        let totals = adder.aggregate(now, &self.ledger.lock())?;
+        let counted = adder.entry_counts();
         if counted != before {
-            let Counted { heard, silent, unknown } = counted;
-            for (state, count) in [("heard", heard), ("silent", silent), ("unknown", unknown)] {
+            let EntryCounts { reporting, silent, unknown } = counted;
+            for (state, count) in [("heard", reporting), ("silent", silent), ("unknown", unknown)] {
                 metrics.entries.with_label_values(&[state]).set(i64::from(count));
             }
             event!(
                 Info,
                 "entries_counted",
-                heard = heard,
+                heard = reporting,
                 silent = silent,
                 unknown = unknown,
                 entries = totals.entries
--- a/daemons/control/src/link/calls.rs
+++ b/daemons/control/src/link/calls.rs
@@ -92,7 +92,7 @@
         let status = shared.log.status();
         if status.leader != leader {
             leader = status.leader.clone();
-            link.ledger.lock().tell_again();
+            link.ledger.lock().mark_unforwarded();
             if status.role == RoleName::Leader {
                 link.begin_to_lead(now);
             }
@@ -115,7 +115,7 @@
     leader: Option<&Name>,
 ) {
     let (now, link) = (shared.clock.now(), &shared.link);
-    let fresh = link.registry.lock().fresh(now);
+    let fresh = link.registry.lock().take_direct(now);
     let is_urgent = fresh.iter().any(|fact| fact.state != EndpointState::Ready);
     for peer in shared.directory.peers() {
         let state = told.entry(peer.place.name.clone()).or_default();
@@ -130,7 +130,7 @@
         if !is_due || state.call.is_some() {
             continue;
         }
-        let reports = if to_leader { link.ledger.lock().untold(now) } else { Vec::new() };
+        let reports = if to_leader { link.ledger.lock().take_unforwarded(now) } else { Vec::new() };
         let sync = ControlSync {
             from: shared.directory.own().clone(),
             life: link.life,
@@ -149,7 +149,7 @@
     fn replied(&mut self, shared: &Shared, reply: Option<ControlSyncReply>) {
         let life = reply.map(|reply| reply.life);
         if life.is_none() {
-            shared.link.ledger.lock().tell_again();
+            shared.link.ledger.lock().mark_unforwarded();
         } else if life != self.life {
             // It lacks what was told to its earlier life, or what was lost on the way.
             self.pending = shared.link.registry.lock().all(shared.clock.now());
--- a/daemons/control/tests/served.rs
+++ b/daemons/control/tests/served.rs
@@ -13,7 +13,7 @@
 use sill_control::app::App;
 use sill_control::cfg::Voter;
 use sill_control::{Control, ControlCfg};
-use sill_dispatch::{Assembly, RouteTable};
+use sill_dispatch::{RouteTable, SettingsAssembly};
 use sill_net::PeerClient;
 use sill_standin::loopback::free_addresses;
 use sill_store::{FaultyDisk, Store};
@@ -165,10 +165,10 @@
 }
 
 async fn fetch(client: &PeerClient, manifest: &Manifest) -> RouteTable {
-    let mut assembly = Assembly::default();
-    assembly.told(manifest.clone());
+    let mut assembly = SettingsAssembly::default();
+    assembly.offer(manifest.clone());
     loop {
-        if let Some(whole) = assembly.whole() {
+        if let Some(whole) = assembly.take_complete() {
             return RouteTable::join(manifest.revision.0, &whole.parts);
         }
         let reply = client.call(&PiecesAsk { pieces: assembly.missing() }).await.expect("a reply");
@@ -176,7 +176,7 @@
         let bytes: usize = reply.pieces.iter().map(|piece| piece.text.len()).sum();
         assert!(bytes <= 32 << 10 || reply.pieces.len() == 1, "{bytes} bytes in one answer");
         for piece in &reply.pieces {
-            assembly.take(piece).expect("it is whole");
+            assembly.add_piece(piece).expect("it is whole");
         }
     }
 }
--- a/daemons/gateway/src/answer.rs
+++ b/daemons/gateway/src/answer.rs
@@ -4,7 +4,7 @@
 use http::{HeaderMap, Response, header};
 use http_body::Body;
 use http_body_util::BodyExt;
-use sill_dispatch::{Begin, Progress};
+use sill_dispatch::{AnswerMode, CallProgress};
 use sill_net::h1::{Answer, AnyBody, strip_hop_by_hop, whole};
 use sill_tree::RouteKind;
 use sill_wire::header::EVENT_STREAM;
@@ -29,7 +29,7 @@
     mut summary: Summary,
     attempt: Attempt,
     answer: Answer,
-    progress: Progress,
+    progress: CallProgress,
 ) -> Response<AnyBody> {
     let (response, connection) = answer.into_parts();
     let (mut parts, body) = response.into_parts();
@@ -49,9 +49,9 @@
     let mut relay = Relay::new(summary, Running { body, attempt, connection }, progress, goes_on);
     let mut begin = call.begin;
     if !is_stream && may_be_cut(&relay, &call, &state) {
-        begin = Begin::Held;
+        begin = AnswerMode::Held;
     }
-    if is_stream && begin == Begin::Passed {
+    if is_stream && begin == AnswerMode::Passed {
         let has_first = tokio::select! {
             biased;
             held = relay.hold_first() => held.is_ok(),
@@ -64,8 +64,8 @@
         begin = state.stopping.go_on(&call.head.attempt, &call.route.name, call.due, first);
     }
     match begin {
-        Begin::Passed => Response::from_parts(parts, relay.boxed_unsync()),
-        Begin::Held => pass_on_whole(parts, relay, &state).await,
+        AnswerMode::Passed => Response::from_parts(parts, relay.boxed_unsync()),
+        AnswerMode::Held => pass_on_whole(parts, relay, &state).await,
     }
 }
 
--- a/daemons/gateway/src/daemon.rs
+++ b/daemons/gateway/src/daemon.rs
@@ -135,12 +135,12 @@
         loop {
             match plan.step(self.state.clock.now(), self.state.open_calls()) {
                 StopPhase::Announcing => {}
-                StopPhase::Finishing => self.tell(Stop::Closing),
-                StopPhase::Leaving => {
+                StopPhase::Draining => self.tell(Stop::Closing),
+                StopPhase::Refusing => {
                     self.state.stopping.take_no_more();
                     self.tell(Stop::Leaving);
                 }
-                StopPhase::Over => return,
+                StopPhase::Ended => return,
             }
             tokio::time::sleep(LOOK.into()).await;
         }
--- a/daemons/gateway/src/dispatch.rs
+++ b/daemons/gateway/src/dispatch.rs
@@ -6,7 +6,10 @@
 use http::{Request, Response, header};
 use http_body_util::Full;
 use sill_base::{Millis, Name, event};
-use sill_dispatch::{AttemptOutcome, Begin, Next, Place, PlaceAsk, Placed, Progress};
+use sill_dispatch::{
+    AnswerMode, AttemptOutcome, CallProgress, NextStep, Placement, PlacementDecision,
+    PlacementRequest,
+};
 use sill_net::h1::{Answer, AnyBody, SendFailure, strip_hop_by_hop};
 use sill_route::{Outcome, RefusalReason};
 
@@ -26,7 +29,7 @@
 #[derive(Debug)]
 pub struct Attempt {
     /// Where it runs.
-    pub place: Place,
+    pub place: Placement,
     state: Arc<State>,
     call: Arc<Call>,
     name: Name,
@@ -74,15 +77,15 @@
     state: &Arc<State>,
     call: &Arc<Call>,
     summary: &mut Summary,
-) -> Result<(Attempt, Answer, Progress), Response<AnyBody>> {
+) -> Result<(Attempt, Answer, CallProgress), Response<AnyBody>> {
     let route = &call.route.route;
-    let mut progress = Progress::new(route.kind, route.max_attempts, call.due - call.arrived);
+    let mut progress = CallProgress::new(route.kind, route.max_attempts, call.due - call.arrived);
     let mut exclude = Vec::new();
     state.requested(&call.pool.service);
     loop {
         let now = state.clock.now();
-        progress.left = call.due - now;
-        let attempt = match place(state, call, now, &exclude, progress.sends()) {
+        progress.time_left = call.due - now;
+        let attempt = match place(state, call, now, &exclude, progress.attempts()) {
             Ok(attempt) => attempt,
             Err((reason, wait)) => {
                 return Err(summary.refuse(&progress, reason, wait));
@@ -96,16 +99,16 @@
             }
             Attempted::Failed(outcome) => outcome,
         };
-        let mut next = progress.after(outcome);
-        if next == Next::Retry && !lasts_for_another(state, call) {
-            progress.count(outcome);
+        let mut next = progress.next_step(outcome);
+        if next == NextStep::Retry && !lasts_for_another(state, call) {
+            progress.record(outcome);
             return Err(summary.give_up_by_stop(&progress));
         }
-        let takes_budget = next == Next::Retry && outcome != AttemptOutcome::NotSent;
+        let takes_budget = next == NextStep::Retry && outcome != AttemptOutcome::NotSent;
         if takes_budget && !state.may_retry(&call.pool.service) {
-            next = progress.without_retry(outcome);
+            next = progress.next_step_without_retry(outcome);
         }
-        progress.count(outcome);
+        progress.record(outcome);
         if let Some(response) = summary.after(next, outcome) {
             return Err(response);
         }
@@ -118,7 +121,7 @@
 /// surely not have run, and another entry instance could have taken it.
 pub fn lasts_for_another(state: &State, call: &Call) -> bool {
     let begin = state.stopping.begin_attempt(&call.route.name, call.due);
-    begin.is_some_and(|begin| begin == Begin::Passed || call.begin == Begin::Held)
+    begin.is_some_and(|begin| begin == AnswerMode::Passed || call.begin == AnswerMode::Held)
 }
 
 /// Chooses an endpoint and counts the call there.
@@ -134,7 +137,7 @@
         0 => call.head.attempt.clone(),
         sends => format!("{}/{sends}", call.head.attempt).into(),
     };
-    let ask = PlaceAsk {
+    let ask = PlacementRequest {
         attempt: name.clone(),
         prompt: call.prompt.clone(),
         deadline: call.due,
@@ -142,12 +145,12 @@
     };
     let placed = call.pool.pool.lock().place(now, &ask);
     match placed {
-        Placed::Endpoint(place) => {
+        PlacementDecision::Endpoint(place) => {
             call.pool.count_fresh(now, place.fresh_tokens);
             let (state, call) = (state.clone(), call.clone());
             Ok(Attempt { place, state, call, name, is_over: false })
         }
-        Placed::Refused { reason, retry_after } => {
+        PlacementDecision::Refused { reason, retry_after } => {
             call.pool.count_refused(now);
             Err((reason, retry_after))
         }
@@ -157,7 +160,7 @@
 /// Sends the call to the attempt's endpoint and reads the head of the answer.
 pub async fn make(
     mut attempt: Attempt,
-    progress: &Progress,
+    progress: &CallProgress,
     from: Option<&Resumption>,
 ) -> Attempted {
     let (state, call) = (attempt.state.clone(), attempt.call.clone());
@@ -186,7 +189,7 @@
 fn request(
     state: &State,
     call: &Call,
-    place: &Place,
+    place: &Placement,
     left: Millis,
     from: Option<&Resumption>,
 ) -> Request<Full<Bytes>> {
@@ -213,7 +216,7 @@
 
 impl Attempt {
     /// Reads the head of an answer. Returns the outcome if the answer is not to be passed on.
-    fn judge(&mut self, answer: &Answer, progress: &Progress) -> Option<AttemptOutcome> {
+    fn judge(&mut self, answer: &Answer, progress: &CallProgress) -> Option<AttemptOutcome> {
         let dialect = &self.state.cfg.dialect;
         let (status, headers) = (answer.response.status(), answer.response.headers());
         if answer.is_new {
@@ -222,27 +225,27 @@
         }
         let now = self.state.clock.now();
         if let Some(load) = dialect.load(headers) {
-            self.call.pool.pool.lock().load(now, &self.place, load.running, load.queued);
+            self.call.pool.pool.lock().record_load(now, &self.place, load.running, load.queued);
         }
         let said = status.as_str();
         match dialect.word(&self.call.head.attempt, status, headers) {
             Word::Answer => None,
             Word::Failed => {
                 self.count_usage();
-                match progress.after(AttemptOutcome::Failed) {
-                    Next::Retry if self.may_be_repeated() => {
+                match progress.next_step(AttemptOutcome::Failed) {
+                    NextStep::Retry if self.may_be_repeated() => {
                         Some(self.failed(AttemptOutcome::Failed, said))
                     }
                     _ => None,
                 }
             }
             Word::Full => {
-                self.call.pool.pool.lock().full(now, &self.place);
+                self.call.pool.pool.lock().mark_full(now, &self.place);
                 Some(self.failed(AttemptOutcome::Full, said))
             }
             Word::NotRun => Some(self.failed(AttemptOutcome::NotRun, said)),
             Word::WrongEndpoint => {
-                self.call.pool.pool.lock().ended(now, &self.place);
+                self.call.pool.pool.lock().mark_gone(now, &self.place);
                 self.state.connections.forget(self.place.address);
                 Some(self.failed(AttemptOutcome::WrongEndpoint, said))
             }
@@ -282,7 +285,7 @@
 
     /// Takes in that the first part of the answer came.
     pub fn began(&self, now: Millis) {
-        self.call.pool.pool.lock().began(now, &self.place, &self.name);
+        self.call.pool.pool.lock().record_first_part(now, &self.place, &self.name);
     }
 
     /// Counts that the call began to run for its account.
@@ -296,7 +299,7 @@
     pub fn over(&mut self, outcome: Outcome) {
         if !std::mem::replace(&mut self.is_over, true) {
             let now = self.state.clock.now();
-            self.call.pool.pool.lock().over(now, &self.place, &self.name, outcome);
+            self.call.pool.pool.lock().finish_attempt(now, &self.place, &self.name, outcome);
         }
     }
 }
--- a/daemons/gateway/src/feed.rs
+++ b/daemons/gateway/src/feed.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use sill_base::{Map, Millis, event};
-use sill_dispatch::{Assembly, PieceFault, RouteTable, Whole};
+use sill_dispatch::{CompleteSettings, PieceError, RouteTable, SettingsAssembly};
 use sill_net::PeerClient;
 use sill_tree::PieceId;
 use sill_wire::settings::{Manifest, PiecesAsk};
@@ -48,7 +48,7 @@
     state: Arc<State>,
     link: Arc<Link>,
     offers: watch::Receiver<Option<Offer>>,
-    assembly: Assembly,
+    assembly: SettingsAssembly,
     clients: Map<SocketAddr, PeerClient>,
     fetch: Fetch,
 }
@@ -91,7 +91,7 @@
         // What was offered before counts as new: it is not offered again, and without it an instance would refuse
         // all calls until the next change.
         offers.mark_changed();
-        let (assembly, clients) = (Assembly::default(), Map::default());
+        let (assembly, clients) = (SettingsAssembly::default(), Map::default());
         Self { state, link, offers, assembly, clients, fetch: Fetch::default() }
     }
 
@@ -112,12 +112,12 @@
             self.fetch = Fetch { began: now, ..Fetch::default() };
         }
         self.fetch.told_at = now;
-        self.assembly.told(manifest);
+        self.assembly.offer(manifest);
         Some(from)
     }
 
     /// Fetches what the wanted revision lacks; a newer one that is offered meanwhile takes its place.
-    async fn fetch(&mut self, mut from: Option<SocketAddr>) -> Option<Whole> {
+    async fn fetch(&mut self, mut from: Option<SocketAddr>) -> Option<CompleteSettings> {
         let mut late_at = self.fetch.began + LATE;
         let mut tried = Vec::new();
         loop {
@@ -128,7 +128,7 @@
             self.assembly.wanted()?;
             let missing = self.assembly.missing();
             if missing.is_empty() {
-                return self.assembly.whole();
+                return self.assembly.take_complete();
             }
             let Some(source) = self.source(from, &tried) else {
                 tried.clear();
@@ -174,7 +174,7 @@
         };
         let mut is_progress = false;
         for piece in &reply.pieces {
-            match self.assembly.take(piece) {
+            match self.assembly.add_piece(piece) {
                 Ok(()) => {
                     is_progress = true;
                     self.fetch.pieces += 1;
@@ -191,16 +191,16 @@
         is_progress
     }
 
-    fn refuse(&mut self, source: SocketAddr, fault: &PieceFault) {
+    fn refuse(&mut self, source: SocketAddr, fault: &PieceError) {
         let revision = self.assembly.wanted().unwrap_or_default().0;
         self.fetch.why = format!("{source}: {fault}");
         match fault {
-            PieceFault::Garbled => {
+            PieceError::Corrupt => {
                 event!(Warn, "settings_piece_garbled", revision = revision, from = source);
             }
-            PieceFault::Unreadable(why) => {
+            PieceError::Unreadable(why) => {
                 event!(Error, "settings_unreadable", revision = revision, error = why);
-                self.assembly.give_up();
+                self.assembly.abandon_wanted();
             }
         }
     }
@@ -220,8 +220,8 @@
         );
     }
 
-    async fn put_in_force(&mut self, whole: Whole) {
-        let Whole { manifest, parts } = whole;
+    async fn put_in_force(&mut self, whole: CompleteSettings) {
+        let CompleteSettings { manifest, parts } = whole;
         let (revision, pieces) = (manifest.revision.0, parts.len());
         let before = self.state.table().map_or(0, |table| table.revision);
         let began = self.state.clock.now();
--- a/daemons/gateway/src/moves.rs
+++ b/daemons/gateway/src/moves.rs
@@ -10,7 +10,7 @@
 
 use futures_util::future::BoxFuture;
 use sill_base::{Millis, Name, event};
-use sill_dispatch::Place;
+use sill_dispatch::Placement;
 
 use crate::dialect::MovedMemory;
 use crate::dispatch::{self, Attempt};
@@ -68,7 +68,7 @@
             if attempt.state().stopping.ends_within(AHEAD) {
                 return;
             }
-            let Place { endpoint, address, .. } = attempt.place.clone();
+            let Placement { endpoint, address, .. } = attempt.place.clone();
             let (state, call) = (attempt.state().clone(), attempt.call().clone());
             // The router tells attempts of one call apart by their number.
             let moved = run(state, call, address, endpoint, sends + 1);
--- a/daemons/gateway/src/relay.rs
+++ b/daemons/gateway/src/relay.rs
@@ -11,7 +11,7 @@
 use http_body::{Body, Frame, SizeHint};
 use hyper::body::Incoming;
 use sill_base::Name;
-use sill_dispatch::{AttemptOutcome, EventTracker, Next, Progress};
+use sill_dispatch::{AttemptOutcome, CallProgress, EventTracker, NextStep};
 use sill_net::h1::{AnyBody, BodyError, Returnable};
 use sill_route::Outcome;
 use sill_tree::RouteKind;
@@ -31,7 +31,7 @@
     state: Arc<State>,
     call: Arc<Call>,
     summary: Summary,
-    progress: Progress,
+    progress: CallProgress,
     source: Source,
     /// Set for streams that may go on at another endpoint.
     events: Option<EventTracker>,
@@ -76,7 +76,7 @@
 
 impl Relay {
     /// Makes the body of an answer; `goes_on` is whether it may go on at another endpoint.
-    pub fn new(summary: Summary, running: Running, progress: Progress, goes_on: bool) -> Self {
+    pub fn new(summary: Summary, running: Running, progress: CallProgress, goes_on: bool) -> Self {
         let attempt = &running.attempt;
         let (state, call) = (attempt.state().clone(), attempt.call().clone());
         let left = call.due - state.clock.now();
@@ -147,7 +147,7 @@
 
     fn poll_move(&mut self, cx: &mut Context<'_>) {
         if let Source::Running(running) = &self.source {
-            self.relocation.poll(cx, &running.attempt, self.progress.sends());
+            self.relocation.poll(cx, &running.attempt, self.progress.attempts());
         }
     }
 
@@ -160,7 +160,7 @@
             running.attempt.over(Outcome::Cancelled);
         }
         let Some(events) = &mut self.events else { return false };
-        events.drop_rest();
+        events.drop_partial();
         let last_event = events.last_id().map(str::to_owned);
         let progress = self.progress;
         self.source = Source::Resuming(Box::pin(async move {
@@ -206,16 +206,16 @@
         self.summary.ends("cut");
         let (id, endpoint) = (&self.call.head.attempt, &running.attempt.place.endpoint);
         sill_base::event!(Warn, "answer_cut", id = id, endpoint = endpoint, why = err);
-        self.progress.left = self.call.due - self.state.clock.now();
+        self.progress.time_left = self.call.due - self.state.clock.now();
         let is_resumable = self.call.route.route.kind.may_repeat();
-        let next = self.progress.after(AttemptOutcome::Unknown);
-        self.progress.count(AttemptOutcome::Unknown);
+        let next = self.progress.next_step(AttemptOutcome::Unknown);
+        self.progress.record(AttemptOutcome::Unknown);
         let Some(events) = &mut self.events else { return false };
-        events.drop_rest();
+        events.drop_partial();
         // A stream that has begun is better off wherever it goes on: without that it is cut now. One without
         // a first event can still be answered as a failure, which its caller may repeat elsewhere.
         let has_time = self.has_begun || dispatch::lasts_for_another(&self.state, &self.call);
-        let may_go_on = is_resumable && next == Next::Retry && has_time;
+        let may_go_on = is_resumable && next == NextStep::Retry && has_time;
         if !may_go_on || !self.state.may_retry(&self.call.pool.service) {
             return false;
         }
@@ -265,7 +265,8 @@
                 }
                 None => {
                     self.ended();
-                    let rest = self.events.as_mut().map(EventTracker::rest).unwrap_or_default();
+                    let rest =
+                        self.events.as_mut().map(EventTracker::take_partial).unwrap_or_default();
                     let rest = (!rest.is_empty()).then_some(Ok(rest));
                     return Poll::Ready(rest);
                 }
@@ -296,16 +297,20 @@
 async fn resume(
     state: Arc<State>,
     call: Arc<Call>,
-    progress: Progress,
+    progress: CallProgress,
     failed: Name,
     from: Resumption,
 ) -> Option<Running> {
     let now = state.clock.now();
-    let attempt = dispatch::place(&state, &call, now, &[failed], progress.sends()).ok()?;
+    let attempt = dispatch::place(&state, &call, now, &[failed], progress.attempts()).ok()?;
     running_from(attempt, progress, from).await
 }
 
-async fn running_from(attempt: Attempt, progress: Progress, from: Resumption) -> Option<Running> {
+async fn running_from(
+    attempt: Attempt,
+    progress: CallProgress,
+    from: Resumption,
+) -> Option<Running> {
     match dispatch::make(attempt, &progress, Some(&from)).await {
         Attempted::Answer(attempt, answer) if answer.response.status().is_success() => {
             let (response, connection) = answer.into_parts();
--- a/daemons/gateway/src/serve.rs
+++ b/daemons/gateway/src/serve.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use sill_base::{Millis, Name, event};
-use sill_dispatch::{AccountEntry, Begin, Prompt, RouteEntry, RouteTable};
+use sill_dispatch::{AccountEntry, AnswerMode, Prompt, RouteEntry, RouteTable};
 use sill_net::h1::AnyBody;
 use sill_wire::ErrorCode;
 
@@ -73,7 +73,7 @@
     /// When its answer must be whole.
     pub due: Millis,
     /// How its answer is passed on.
-    pub begin: Begin,
+    pub begin: AnswerMode,
 }
 
 /// Answers a caller.
@@ -181,7 +181,7 @@
         && let Err(over) = state.admit(&account.name, amount)
     {
         return Err(Refused {
-            failure: Failure::back_in(ErrorCode::LimitReached, over.wait),
+            failure: Failure::back_in(ErrorCode::LimitReached, over.retry_after),
             inputs: format!("{amount:.0} of {over}"),
             route: route.name.clone(),
             account: account.name.clone(),
@@ -265,7 +265,7 @@
         return 1.0;
     }
     match &head.prompt {
-        Some(prompt) => (prompt.tokens + u64::from(prompt.output)) as f64,
+        Some(prompt) => (prompt.tokens + u64::from(prompt.max_output_tokens)) as f64,
         None => account.account.default_tokens.unwrap_or_default() as f64,
     }
 }
--- a/daemons/gateway/src/state.rs
+++ b/daemons/gateway/src/state.rs
@@ -8,8 +8,8 @@
 use sill_base::{Clock, Map, Millis, Name, Promise, event, keep};
 use sill_dispatch::usage::window_of;
 use sill_dispatch::{
-    Average, Budgets, FRESH, Heard, LetIn, LimitBelief, OpenCalls, OverLimit, Pool, PoolCfg,
-    RouteTable, Shares, UsageCounter,
+    AdmittedByReason, FactUpdate, LimitEstimate, LimitShares, MAX_TOTALS_AGE, MovingAverage,
+    OpenCalls, OverLimit, Pool, PoolCfg, RetryBudgets, RouteTable, UsageCounter,
 };
 use sill_net::h1::{Connections, ConnectionsCfg, OpenConnections};
 use sill_tree::Engine;
@@ -72,11 +72,11 @@
     pub stopping: Stopping,
     table: watch::Sender<Option<Arc<RouteTable>>>,
     pools: RwLock<Map<Name, Arc<PoolState>>>,
-    shares: Mutex<Shares>,
+    shares: Mutex<LimitShares>,
     has_totals: watch::Sender<bool>,
     /// When the first settings came.
     settled_at: OnceLock<Millis>,
-    budgets: Mutex<Budgets>,
+    budgets: Mutex<RetryBudgets>,
     usage: Mutex<UsageCounter>,
     /// True time of day less the steady clock, in milliseconds.
     time_offset: AtomicU64,
@@ -103,8 +103,8 @@
 
 #[derive(Debug, Default)]
 struct Rates {
-    fresh_tokens: Average,
-    refused: Average,
+    fresh_tokens: MovingAverage,
+    refused: MovingAverage,
 }
 
 impl State {
@@ -125,10 +125,10 @@
             ending: Ending::default(),
             table: watch::Sender::new(None),
             pools: RwLock::default(),
-            shares: Mutex::new(Shares::new(cfg.limits)),
+            shares: Mutex::new(LimitShares::new(cfg.limits)),
             has_totals: watch::Sender::new(false),
             settled_at: OnceLock::new(),
-            budgets: Mutex::new(Budgets::new(cfg.retries)),
+            budgets: Mutex::new(RetryBudgets::new(cfg.retries)),
             usage: Mutex::default(),
             time_offset: AtomicU64::new((wall - clock.now()).0),
             stopping: Stopping::new(clock),
@@ -177,7 +177,8 @@
 
     /// Returns whether callers should be sent here.
     pub fn is_ready(&self) -> bool {
-        let has_endpoints = || self.pools.read().values().any(|pool| pool.pool.lock().ready() > 0);
+        let has_endpoints =
+            || self.pools.read().values().any(|pool| pool.pool.lock().ready_count() > 0);
         !self.stopping.has_begun() && self.table.borrow().is_some() && has_endpoints()
     }
 
@@ -204,7 +205,7 @@
         let pools: Vec<Arc<PoolState>> = self.pools.read().values().cloned().collect();
         for pool in pools {
             let mut pool = pool.pool.lock();
-            reply.loads.iter().for_each(|word| pool.load_elsewhere(now, word));
+            reply.loads.iter().for_each(|word| pool.record_remote_load(now, word));
         }
         if let Some(totals) = &reply.totals {
             self.take_totals(now, from, totals);
@@ -214,13 +215,13 @@
     fn take_totals(&self, now: Millis, from: SocketAddr, totals: &Totals) {
         let (entries, age) = {
             let mut shares = self.shares.lock();
-            let before = shares.heard(now);
+            let before = shares.entries_and_totals_age(now);
             shares.set_totals(now, totals);
             before
         };
         self.budgets.lock().set_entries(totals.entries);
         self.has_totals.send_if_modified(|has_totals| !std::mem::replace(has_totals, true));
-        if entries == totals.entries && age.is_some_and(|age| age < FRESH) {
+        if entries == totals.entries && age.is_some_and(|age| age < MAX_TOTALS_AGE) {
             return;
         }
         event!(
@@ -238,24 +239,31 @@
     fn tell_limits(&self, now: Millis) {
         let (beliefs, let_in, (entries, age)) = {
             let mut shares = self.shares.lock();
-            (shares.beliefs(now), shares.take_let_in(), shares.heard(now))
+            (shares.take_estimates(now), shares.take_admitted(), shares.entries_and_totals_age(now))
         };
-        let LetIn { far_below, share, stale } = let_in;
+        let AdmittedByReason { far_below, share, stale } = let_in;
         for (by, amount) in [("far_below", far_below), ("share", share), ("stale", stale)] {
             self.metrics.admitted.with_label_values(&[by]).inc_by(amount);
         }
         for (account, belief) in beliefs {
-            let LimitBelief { admitted, owed, here, let_in, share, balance } = belief;
+            let LimitEstimate {
+                admitted_everywhere,
+                window_limit,
+                admitted_here,
+                admitted_by_reason,
+                share,
+                balance,
+            } = belief;
             event!(
                 Info,
                 "limit_near",
                 account = account,
-                admitted = admitted as u64,
-                owed = owed as u64,
-                here = here as u64,
-                far_below = let_in.far_below as u64,
-                by_share = let_in.share as u64,
-                stale = let_in.stale as u64,
+                admitted = admitted_everywhere as u64,
+                owed = window_limit as u64,
+                here = admitted_here as u64,
+                far_below = admitted_by_reason.far_below as u64,
+                by_share = admitted_by_reason.share as u64,
+                stale = admitted_by_reason.stale as u64,
                 share = share.map(|share| format!("{share:.3}")).unwrap_or_default(),
                 balance = balance as i64,
                 entries = entries,
@@ -303,7 +311,7 @@
         if let Some(known) = known {
             let now = self.clock.now();
             for fact in known.pool.lock().facts() {
-                pool.heard(now, fact);
+                pool.update_endpoint(now, fact);
             }
         }
         let state = Arc::new(PoolState {
@@ -325,12 +333,12 @@
         let pool = pool.unwrap_or_else(|| self.open_pool(&fact.service, None));
         let (was_ready, heard) = {
             let mut pool = pool.pool.lock();
-            (pool.is_ready(&fact.endpoint), pool.heard(now, fact))
+            (pool.is_ready(&fact.endpoint), pool.update_endpoint(now, fact))
         };
         match heard {
-            Heard::Nothing => return,
-            Heard::News => {}
-            Heard::Restart(old_address) => {
+            FactUpdate::Stale => return,
+            FactUpdate::Newer => {}
+            FactUpdate::Restart(old_address) => {
                 self.connections.forget(old_address);
                 pool.departures.lock().remove(&fact.endpoint);
             }
@@ -371,7 +379,7 @@
 
     /// Gives back what a call took that did not run.
     pub fn give_back(&self, account: &Name, amount: f64) {
-        self.shares.lock().give_back(self.clock.now(), account, amount);
+        self.shares.lock().refund(self.clock.now(), account, amount);
     }
 
     /// Counts a request that begins to run now.
@@ -382,7 +390,7 @@
 
     /// Counts a request for a service, which earns a part of a retry.
     pub fn requested(&self, service: &Name) {
-        self.budgets.lock().requested(self.clock.now(), service);
+        self.budgets.lock().count_request(self.clock.now(), service);
     }
 
     /// Returns whether a retry may be sent to a service, and counts it if so.
@@ -399,12 +407,12 @@
         let services = pools.values().map(|pool| pool.report(now)).collect();
         let mut loads = Vec::new();
         for pool in pools.values() {
-            loads.extend(pool.pool.lock().loads(now, LOADS_TOLD));
+            loads.extend(pool.pool.lock().recent_loads(now, LOADS_TOLD));
         }
         drop(pools);
         let (accounts, entries) = {
             let mut shares = self.shares.lock();
-            (shares.report(now), shares.told_entries(now))
+            (shares.report(now), shares.recent_entries(now))
         };
         EntryReport {
             entry: self.cfg.name.clone(),
@@ -486,8 +494,8 @@
             service: self.service.clone(),
             running,
             speed,
-            fresh_tokens_per_s: rates.fresh_tokens.at(now, RATE_SPAN),
-            refused_per_s: rates.refused.at(now, RATE_SPAN),
+            fresh_tokens_per_s: rates.fresh_tokens.per_second(now, RATE_SPAN),
+            refused_per_s: rates.refused.per_second(now, RATE_SPAN),
         }
     }
 }
--- a/daemons/gateway/src/stopping.rs
+++ b/daemons/gateway/src/stopping.rs
@@ -5,7 +5,7 @@
 
 use parking_lot::Mutex;
 use sill_base::{Clock, Millis, Name, event};
-use sill_dispatch::{Begin, CallTimes, StopTimes};
+use sill_dispatch::{AnswerMode, CallTimes, StopTimes};
 
 /// The planned stop of this entry instance, if it was asked for, and what calls take.
 #[derive(Debug)]
@@ -61,12 +61,12 @@
     /// # Errors
     ///
     /// Fails if the call may outlast the instance.
-    pub fn begin(&self, id: &Name, route: &Name, due: Millis) -> Result<Begin, TooLate> {
-        let Some(stop) = self.times.get() else { return Ok(Begin::Passed) };
+    pub fn begin(&self, id: &Name, route: &Name, due: Millis) -> Result<AnswerMode, TooLate> {
+        let Some(stop) = self.times.get() else { return Ok(AnswerMode::Passed) };
         let now = self.clock.now();
         let (begin, usual) = {
             let times = self.call_times.lock();
-            (times.begin(now, route, due, *stop), times.usual(now, route))
+            (times.answer_mode(now, route, due, *stop), times.usual_duration(now, route))
         };
         let left = stop.ends_at - now;
         let begin = begin.filter(|_| !self.takes_no_more.load(Ordering::Relaxed));
@@ -87,9 +87,9 @@
     }
 
     /// Returns how an attempt at a call that must be over by `due` begins here, if it may.
-    pub fn begin_attempt(&self, route: &Name, due: Millis) -> Option<Begin> {
-        let Some(stop) = self.times.get() else { return Some(Begin::Passed) };
-        self.call_times.lock().begin(self.clock.now(), route, due, *stop)
+    pub fn begin_attempt(&self, route: &Name, due: Millis) -> Option<AnswerMode> {
+        let Some(stop) = self.times.get() else { return Some(AnswerMode::Passed) };
+        self.call_times.lock().answer_mode(self.clock.now(), route, due, *stop)
     }
 
     /// Returns whether a call that must be over by `due` may still run when the instance ends.
@@ -103,12 +103,12 @@
     }
 
     /// Returns how a stream goes on of which the caller has nothing yet, once its first part has come.
-    pub fn go_on(&self, id: &Name, route: &Name, due: Millis, first: Millis) -> Begin {
-        let Some(stop) = self.stop_before(due) else { return Begin::Passed };
+    pub fn go_on(&self, id: &Name, route: &Name, due: Millis, first: Millis) -> AnswerMode {
+        let Some(stop) = self.stop_before(due) else { return AnswerMode::Passed };
         let now = self.clock.now();
-        let rest = self.call_times.lock().rest(now, route, first, *stop);
-        if rest.begin == Begin::Passed {
-            return rest.begin;
+        let rest = self.call_times.lock().forecast_stream(now, route, first, *stop);
+        if rest.mode == AnswerMode::Passed {
+            return rest.mode;
         }
         event!(
             Info,
@@ -117,19 +117,19 @@
             route = route,
             first_ms = first,
             usual_first_ms = rest.usual_first.unwrap_or_default(),
-            rest_ms = rest.expected.unwrap_or_default(),
+            rest_ms = rest.remaining.unwrap_or_default(),
             left_ms = stop.ends_at - now
         );
-        rest.begin
+        rest.mode
     }
 
     /// Takes in the whole time of a call.
     pub fn took(&self, route: &Name, whole: Millis) {
-        self.call_times.lock().took(self.clock.now(), route, whole);
+        self.call_times.lock().record_call(self.clock.now(), route, whole);
     }
 
     /// Takes in the time until the first part of a call's answer.
     pub fn first_part_took(&self, route: &Name, first: Millis) {
-        self.call_times.lock().first_part_took(self.clock.now(), route, first);
+        self.call_times.lock().record_first_part(self.clock.now(), route, first);
     }
 }
--- a/daemons/gateway/src/summary.rs
+++ b/daemons/gateway/src/summary.rs
@@ -4,7 +4,7 @@
 
 use http::Response;
 use sill_base::{Millis, Name};
-use sill_dispatch::{AttemptOutcome, Next, Place, Progress};
+use sill_dispatch::{AttemptOutcome, CallProgress, NextStep, Placement};
 use sill_net::h1::AnyBody;
 use sill_route::RefusalReason;
 use sill_tree::RouteKind;
@@ -59,18 +59,18 @@
     }
 
     /// Notes where the call is sent.
-    pub fn sends_to(&mut self, place: &Place, now: Millis) {
+    pub fn sends_to(&mut self, place: &Placement, now: Millis) {
         if self.sent == 0 {
             let waited = (now - self.call.arrived).as_secs_f64();
             self.state.metrics.before_send.observe(waited);
         }
         self.sent += 1;
         self.endpoint = place.endpoint.clone();
-        self.why.clone_from(&place.why);
+        self.why.clone_from(&place.reason);
     }
 
     /// Notes another endpoint that goes on with the answer.
-    pub fn resumed_at(&mut self, place: &Place) {
+    pub fn resumed_at(&mut self, place: &Placement) {
         self.sent += 1;
         self.endpoint = place.endpoint.clone();
     }
@@ -111,9 +111,9 @@
     }
 
     /// Ends a call for which the process doesn't last for another attempt.
-    pub fn give_up_by_stop(&mut self, progress: &Progress) -> Response<AnyBody> {
+    pub fn give_up_by_stop(&mut self, progress: &CallProgress) -> Response<AnyBody> {
         self.why = "stopping".to_owned();
-        if progress.ran > 0 {
+        if progress.possible_runs > 0 {
             return self.fail_by_stop();
         }
         self.state.ending.count(ByStop::Refused);
@@ -123,13 +123,13 @@
     /// Ends a call that found no endpoint.
     pub fn refuse(
         &mut self,
-        progress: &Progress,
+        progress: &CallProgress,
         reason: RefusalReason,
         wait: Millis,
     ) -> Response<AnyBody> {
         self.why = format!("{reason:?}");
         // After an attempt that may have run, a refusal must not say that the call has not run.
-        let failure = match progress.ran {
+        let failure = match progress.possible_runs {
             0 => Failure::back_in(ErrorCode::NoCapacity, wait),
             _ => Failure::new(ErrorCode::UpstreamFailed),
         };
@@ -137,12 +137,12 @@
     }
 
     /// Ends a call after an attempt, unless another one follows.
-    pub fn after(&mut self, next: Next, outcome: AttemptOutcome) -> Option<Response<AnyBody>> {
+    pub fn after(&mut self, next: NextStep, outcome: AttemptOutcome) -> Option<Response<AnyBody>> {
         let failure = match next {
-            Next::Retry => return None,
-            Next::RefuseNotRun => Failure::back_in(ErrorCode::NoCapacity, COME_BACK),
-            Next::TimedOut => Failure::new(ErrorCode::DeadlinePassed),
-            Next::PassOn | Next::OutcomeUnknown => Failure::new(ErrorCode::UpstreamFailed),
+            NextStep::Retry => return None,
+            NextStep::RefuseNotRun => Failure::back_in(ErrorCode::NoCapacity, COME_BACK),
+            NextStep::TimedOut => Failure::new(ErrorCode::DeadlinePassed),
+            NextStep::PassOn | NextStep::OutcomeUnknown => Failure::new(ErrorCode::UpstreamFailed),
         };
         self.why = format!("{outcome:?}");
         Some(self.fail(failure))
@@ -210,7 +210,7 @@
         pair("endpoint", &self.endpoint);
         pair("sends", &self.sent);
         pair("prompt", &call.prompt.tokens);
-        pair("output", &call.prompt.output);
+        pair("output", &call.prompt.max_output_tokens);
         pair("urgency", &call.urgency);
         pair("why", &self.why);
         pair("first_ms", &first.unwrap_or_default());
