--- a/coordination/dispatch/src/attempt.rs
+++ b/coordination/dispatch/src/attempt.rs
@@ -1,88 +1,89 @@
-//! What follows from an attempt at an endpoint.
+//! Decides whether a call is retried after an attempt at an endpoint.
 
 use sill_base::Millis;
 use sill_tree::RouteKind;
 
-/// Time that an endpoint needs at least to do anything; with less left no attempt is made.
-const LEAST_TIME: Millis = Millis(20);
+/// Shortest remaining time with which an attempt is made. No endpoint can answer in less.
+const MIN_TIME_LEFT: Millis = Millis(20);
 
-/// How an attempt ended before anything of an answer was passed on.
+/// How an attempt ended before any part of an answer was forwarded to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// No byte of the request has left.
+    /// No byte of the request was sent.
     NotSent,
-    /// The endpoint said that it did not run the request: it is full.
+    /// The endpoint is full and reported that it did not run the request.
     Full,
-    /// The endpoint said that it did not run the request, for another reason.
+    /// The endpoint reported, for another reason, that it did not run the request.
     NotRun,
-    /// Another endpoint has the address.
+    /// The address belongs to another endpoint now.
     WrongEndpoint,
-    /// The endpoint answered with a failure of its own.
+    /// The endpoint answered with an error of its own.
     Failed,
-    /// It may have run; no proper answer came.
+    /// The request may have run, but no valid answer was received.
     Unknown,
-    /// The time is up; it may have run.
+    /// The deadline passed; the request may have run.
     TimedOut,
 }
 
-/// What became of a call so far.
+/// State of a call over all its attempts so far.
 #[derive(Debug, Clone, Copy)]
 pub struct CallProgress {
-    /// What may be repeated.
+    /// Kind of the route, which decides whether a call that may have run may be repeated.
     pub kind: RouteKind,
-    /// Endpoints that may run the call.
+    /// Upper bound on the endpoints that may run the call.
     pub max_attempts: u32,
-    /// Endpoints that may have run it.
+    /// Endpoints that may have run the call.
     pub possible_runs: u32,
-    /// Endpoints that refused it.
+    /// Endpoints that refused the call.
     pub rejected: u32,
     /// Endpoints that could not be reached.
     pub unsent: u32,
-    /// Time until the answer is due.
+    /// Time left until the call's deadline; the caller updates it before each decision.
     pub time_left: Millis,
 }
 
-/// What to do next.
+/// What to do after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Send it to another endpoint, if the retry budget has room.
+    /// Send the call to another endpoint, if the retry budget allows it.
     Retry,
-    /// Tell the caller that it did not run.
+    /// Answer that the call did not run.
     RefuseNotRun,
-    /// Hand on what the endpoint answered.
+    /// Forward the endpoint's answer.
     PassOn,
-    /// Tell the caller that the outcome is unknown.
+    /// Answer that the outcome is unknown.
     OutcomeUnknown,
-    /// Tell the caller that the time is up.
+    /// Answer that the deadline has passed.
     TimedOut,
 }
 
-/// Endpoints that refuse a call before its caller is told. Each refusal takes a part of the retry
-/// budget that all share, and where two endpoints are full the others mostly are as well.
+/// Endpoints that may refuse a call before the caller is refused. Each refusal takes a retry from
+/// the budget that all calls share, and when two endpoints are full the others usually are as well.
 const MAX_REJECTED: u32 = 2;
 
-/// Endpoints that are tried in vain before a caller is told. None of them got the call, so they cost
-/// nothing but time; a failure domain that is cut off has more than one.
+/// Endpoints that may be unreachable before the caller is refused. None of them received the call,
+/// so a retry costs nothing but time, and a failure domain that is cut off has more than one
+/// endpoint.
 const MAX_UNSENT: u32 = 4;
 
 impl CallProgress {
-    /// Makes the progress of a call that was not sent yet.
+    /// Creates the progress of a call that has not been sent yet.
     pub const fn new(kind: RouteKind, max_attempts: u32, time_left: Millis) -> Self {
         Self { kind, max_attempts, possible_runs: 0, rejected: 0, unsent: 0, time_left }
     }
 
-    /// Returns how often the call was sent, or would have been.
+    /// Returns the number of attempts so far, whether or not they reached an endpoint.
     pub const fn attempts(&self) -> u32 {
         self.possible_runs + self.rejected + self.unsent
     }
 
-    /// Decides what follows from an outcome, which is not yet counted in.
+    /// Returns what to do after `outcome`, which must not be recorded yet.
     pub fn next_step(&self, outcome: AttemptOutcome) -> NextStep {
-        let has_time = self.time_left > LEAST_TIME;
+        let has_time = self.time_left > MIN_TIME_LEFT;
         match outcome {
-            AttemptOutcome::NotSent => self.go_on(has_time && self.unsent < MAX_UNSENT),
+            AttemptOutcome::NotSent => self.retry_or_refuse(has_time && self.unsent < MAX_UNSENT),
             AttemptOutcome::Full | AttemptOutcome::NotRun | AttemptOutcome::WrongEndpoint => {
-                self.go_on(has_time && self.rejected < MAX_REJECTED)
+                self.retry_or_refuse(has_time && self.rejected < MAX_REJECTED)
             }
             AttemptOutcome::Failed => match self.may_repeat(has_time) {
                 true => NextStep::Retry,
@@ -96,8 +97,8 @@
         }
     }
 
-    fn go_on(&self, may_go_on: bool) -> NextStep {
-        match (may_go_on, self.possible_runs) {
+    fn retry_or_refuse(&self, may_retry: bool) -> NextStep {
+        match (may_retry, self.possible_runs) {
             (true, _) => NextStep::Retry,
             (false, 0) => NextStep::RefuseNotRun,
             // An earlier attempt may have run, so "not run" would be false.
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Counts an outcome.
+    /// Records the outcome of an attempt.
     pub fn record(&mut self, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::NotSent => self.unsent += 1,
@@ -114,13 +115,13 @@
         }
     }
 
-    /// Returns what to tell the caller when the budget has no room for a retry.
+    /// Returns how to answer the caller when the retry budget is exhausted.
     pub fn next_step_without_retry(&self, outcome: AttemptOutcome) -> NextStep {
         let last = Self { max_attempts: 0, rejected: MAX_REJECTED, unsent: MAX_UNSENT, ..*self };
         last.next_step(outcome)
     }
 
-    /// Returns whether a call may be sent to one more endpoint after one that may have run it.
+    /// Returns whether the call may be sent to another endpoint after one that may have run it.
     fn may_repeat(&self, has_time: bool) -> bool {
         self.kind.may_repeat() && has_time && self.possible_runs + 1 < self.max_attempts
     }
--- a/coordination/dispatch/src/average.rs
+++ b/coordination/dispatch/src/average.rs
@@ -1,30 +1,31 @@
-//! A moving average of what comes in a second.
+//! An exponentially decaying average of amounts per second.
 
 use sill_base::Millis;
 
-/// Amounts a second, of which older ones count less and less.
+/// A moving average of amounts per second. Older amounts decay exponentially with the span that is
+/// passed to each call.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct MovingAverage {
     per_s: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
 impl MovingAverage {
-    /// Starts with nothing.
+    /// Creates an average of zero.
     pub const fn new(now: Millis) -> Self {
-        Self { per_s: 0.0, at: now }
+        Self { per_s: 0.0, updated_at: now }
     }
 
-    /// Adds an amount.
+    /// Adds an amount at `now`.
     pub fn add(&mut self, now: Millis, span: Millis, amount: f64) {
         self.per_s = self.per_second(now, span) + amount / span.as_secs_f64();
     }
 
-    /// Returns the average over a span.
+    /// Returns the amount per second, averaged over `span`.
     pub fn per_second(&mut self, now: Millis, span: Millis) -> f64 {
-        let passed = (now - self.at).as_secs_f64() / span.as_secs_f64();
+        let passed = (now - self.updated_at).as_secs_f64() / span.as_secs_f64();
         self.per_s *= (-passed).exp();
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
         self.per_s
     }
 }
--- a/coordination/dispatch/src/events.rs
+++ b/coordination/dispatch/src/events.rs
@@ -1,48 +1,50 @@
-//! Whole events of a stream, and where it can go on.
+//! Splitting of event streams at event boundaries, where another endpoint can resume them.
 
 use bytes::{Bytes, BytesMut};
 
-/// Splits a stream of events where one ends.
+/// Holds back the incomplete event at the end of a stream, and tracks the id of the last complete
+/// one.
 ///
-/// An endpoint may stop in the middle of an event. What was passed on of it could not be taken back,
-/// and the next endpoint begins with a whole event, so the caller would read two halves as one.
+/// An endpoint may fail in the middle of an event. A part that was already forwarded cannot be
+/// taken back, and the next endpoint resumes with a complete event, so the caller would read two
+/// halves as one event.
 #[derive(Debug, Default)]
 pub struct EventTracker {
-    tail: BytesMut,
+    partial: BytesMut,
     last_id: Option<String>,
 }
 
 impl EventTracker {
-    /// Takes in bytes and returns those up to the end of the last whole event.
+    /// Adds bytes and returns those up to the end of the last complete event.
     pub fn push(&mut self, data: Bytes) -> Bytes {
         let end = end_of_events(&data);
-        if self.tail.is_empty() && end == Some(data.len()) {
-            self.note_id(&data);
+        if self.partial.is_empty() && end == Some(data.len()) {
+            self.update_last_id(&data);
             return data;
         }
-        self.tail.extend_from_slice(&data);
-        let Some(end) = end_of_events(&self.tail) else { return Bytes::new() };
-        let whole = self.tail.split_to(end).freeze();
-        self.note_id(&whole);
-        whole
+        self.partial.extend_from_slice(&data);
+        let Some(end) = end_of_events(&self.partial) else { return Bytes::new() };
+        let complete = self.partial.split_to(end).freeze();
+        self.update_last_id(&complete);
+        complete
     }
 
-    /// Returns the rest, for a stream that ended by itself.
+    /// Returns the incomplete event at the end of a stream that ended normally.
     pub fn take_partial(&mut self) -> Bytes {
-        std::mem::take(&mut self.tail).freeze()
+        std::mem::take(&mut self.partial).freeze()
     }
 
-    /// Forgets the part of an event that did not come whole.
+    /// Discards an incomplete event.
     pub fn drop_partial(&mut self) {
-        self.tail.clear();
+        self.partial.clear();
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event that has one.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    fn note_id(&mut self, events: &[u8]) {
+    fn update_last_id(&mut self, events: &[u8]) {
         let lines = events.split(|byte| *byte == b'\n').rev();
         let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
         if let Some(id) = ids.next().and_then(|id| std::str::from_utf8(id).ok()) {
@@ -51,9 +53,9 @@
     }
 }
 
-/// Returns where the last whole event ends.
+/// Returns the offset at which the last complete event ends.
 fn end_of_events(data: &[u8]) -> Option<usize> {
-    let blank =
+    let blank_line =
         |end: &[u8]| data.windows(end.len()).rposition(|w| w == end).map(|at| at + end.len());
-    blank(b"\n\n").max(blank(b"\r\n\r\n"))
+    blank_line(b"\n\n").max(blank_line(b"\r\n\r\n"))
 }
--- a/coordination/dispatch/src/lib.rs
+++ b/coordination/dispatch/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions on calls of routes: which route and account, whether a call is admitted, where it goes,
-//! what follows from an attempt, and what is reported of it.
+//! Dispatch decisions for calls on routes: route and account lookup, admission, endpoint choice,
+//! retries, and the reports that control instances aggregate.
 
 pub mod attempt;
 pub mod average;
--- a/coordination/dispatch/src/loads.rs
+++ b/coordination/dispatch/src/loads.rs
@@ -1,63 +1,70 @@
-//! Loads of endpoints, as a control instance passes them on between the entry instances that follow it.
+//! Endpoint loads that a control instance distributes among the entry instances connected to it.
 
 use sill_base::{Map, Millis, Name};
 use sill_wire::Incarnation;
 use sill_wire::link::LoadWord;
 
-/// Loads in one answer, the newest. Were there more endpoints than that, an entry instance with a
-/// tenth of a core would spend it on them.
-const TOLD: usize = 64;
+/// Upper bound on the loads in one reply; the newest are sent. With more, an entry instance that
+/// has a tenth of a core would spend it on them.
+const MAX_REPLY_LOADS: usize = 64;
 
-/// How long a load is passed on. What ran at an endpoint a second ago says little of now.
-const LASTS: Millis = Millis(1000);
+/// Age up to which a load is distributed. What an endpoint ran a second ago says little about its
+/// load now.
+const LOAD_TTL: Millis = Millis(1000);
 
 /// The newest load of each endpoint.
 #[derive(Debug, Default)]
 pub struct EndpointLoads {
-    known: Map<Name, Known>,
-    /// Counts what was taken in.
-    last: u64,
+    by_endpoint: Map<Name, LoadEntry>,
+    /// Sequence number of the load recorded last.
+    last_sequence: u64,
 }
 
 #[derive(Debug)]
-struct Known {
+struct LoadEntry {
     born: Incarnation,
     running: u32,
     queued: u32,
-    at: Millis,
-    number: u64,
+    measured_at: Millis,
+    sequence: u64,
 }
 
 impl EndpointLoads {
-    /// Takes in what endpoints told an entry instance.
-    pub fn record(&mut self, now: Millis, words: Vec<LoadWord>) {
-        self.known.retain(|_, known| now - known.at < LASTS);
-        for word in words {
-            let at = now - word.age;
-            let is_news = self.known.get(&word.endpoint).is_none_or(|known| at > known.at);
-            if !is_news || word.age >= LASTS {
+    /// Records the loads that an entry instance reported. Loads that are older than the known one
+    /// are ignored.
+    pub fn record(&mut self, now: Millis, loads: Vec<LoadWord>) {
+        self.by_endpoint.retain(|_, entry| now - entry.measured_at < LOAD_TTL);
+        for load in loads {
+            let measured_at = now - load.age;
+            let is_newer = self
+                .by_endpoint
+                .get(&load.endpoint)
+                .is_none_or(|entry| measured_at > entry.measured_at);
+            if !is_newer || load.age >= LOAD_TTL {
                 continue;
             }
-            self.last += 1;
-            let LoadWord { endpoint, born, running, queued, .. } = word;
-            let known = Known { born, running, queued, at, number: self.last };
-            self.known.insert(endpoint, known);
+            self.last_sequence += 1;
+            let LoadWord { endpoint, born, running, queued, .. } = load;
+            let entry =
+                LoadEntry { born, running, queued, measured_at, sequence: self.last_sequence };
+            self.by_endpoint.insert(endpoint, entry);
         }
     }
 
-    /// Returns the loads that came after a number, and the number up to which they go.
+    /// Returns the newest loads after the sequence number `seen`, and the sequence number to pass
+    /// the next time.
     pub fn newer_than(&self, now: Millis, seen: u64) -> (u64, Vec<LoadWord>) {
-        let newer = self.known.iter().filter(|(_, known)| known.number > seen);
-        let mut newer: Vec<(&Name, &Known)> = newer.collect();
-        newer.sort_unstable_by_key(|(_, known)| std::cmp::Reverse(known.number));
-        newer.truncate(TOLD);
-        let words = newer.into_iter().map(|(endpoint, known)| LoadWord {
+        let entries = self.by_endpoint.iter().filter(|(_, entry)| entry.sequence > seen);
+        let mut entries: Vec<(&Name, &LoadEntry)> = entries.collect();
+        entries.sort_unstable_by_key(|(_, entry)| std::cmp::Reverse(entry.sequence));
+        entries.truncate(MAX_REPLY_LOADS);
+        let loads = entries.into_iter().map(|(endpoint, entry)| LoadWord {
             endpoint: endpoint.clone(),
-            born: known.born,
-            running: known.running,
-            queued: known.queued,
-            age: now - known.at,
+            born: entry.born,
+            running: entry.running,
+            queued: entry.queued,
+            age: now - entry.measured_at,
         });
-        (self.last, words.collect())
+        (self.last_sequence, loads.collect())
     }
 }
--- a/coordination/dispatch/src/pool.rs
+++ b/coordination/dispatch/src/pool.rs
@@ -1,4 +1,4 @@
-//! The endpoints of one service at one entry instance, and the choice among them.
+//! The endpoints of one service as an entry instance sees them, and the choice among them.
 
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
@@ -14,147 +14,150 @@
 use sill_wire::prefix::BLOCK_TOKENS;
 use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Served};
 
-use crate::speed::{SpeedMeter, TOLD_AFTER};
+use crate::speed::{MIN_REPORTED_FITS, SpeedMeter};
 
-/// Prompt tokens that an engine is taken to read in a second where endpoints are compared. It only weighs a
-/// prompt's rest against the other costs. The learned speed has the waits in it that crowding stands for already.
+/// Prefill speed, in prompt tokens per second, by which endpoints are compared. It only weighs the
+/// uncached part of a prompt against the other costs. The learned speed is not used here, as it
+/// includes queueing, which the load already accounts for.
 const PREFILL_TOKENS_PER_S: u32 = 64_000;
 
-/// Time that an engine is taken to need for a token there.
-const DECODE: Millis = Millis(5);
+/// Decode time per token by which endpoints are compared.
+const DECODE_PER_TOKEN: Millis = Millis(5);
 
-/// Added cost of an engine in another failure domain, whose bytes are charged. A short prompt is computed
-/// in 10 ms and belongs to an engine nearby; a case file takes 80 ms and belongs to its home.
-const ELSEWHERE: Millis = Millis(40);
+/// Added cost of an engine in another failure domain, where traffic is charged. A short prompt is
+/// computed in 10 ms and should stay in the own failure domain; a case file takes 80 ms and should
+/// go to the engine that caches it.
+const REMOTE_DOMAIN_COST: Millis = Millis(40);
 
-/// Endpoints that a call is compared at, beside its home and those that hold its prompt. Of two drawn the idler
-/// one is nearly as good as the idlest of all, and not everybody's choice until its next word.
-const DRAWN: Option<Drawn> = Some(Drawn { here: 2.0, elsewhere: 1.0 });
+/// Number of endpoints that are sampled for a call, in addition to its preferred endpoint and those
+/// that cache its prompt. The less loaded of two samples is nearly as good as the least loaded
+/// endpoint, and not every entry instance chooses it until its next load report.
+const SAMPLED_ENDPOINTS: Option<Drawn> = Some(Drawn { here: 2.0, elsewhere: 1.0 });
 
-/// Blocks of prompts that one pool remembers; at 64 tokens a block, 4 million tokens.
+/// Prefix blocks that one pool tracks; at 64 tokens per block, 4 million tokens.
 const MAX_BLOCKS: usize = 1 << 16;
 
-/// How long an endpoint that went is remembered.
-const TOMBSTONE: Millis = Millis(60_000);
+/// How long the tombstone of an endpoint is kept.
+const TOMBSTONE_TTL: Millis = Millis(60_000);
 
 /// Settings of a pool.
 #[derive(Debug, Clone)]
 pub struct PoolCfg {
-    /// The service.
+    /// Service that the endpoints serve.
     pub service: Name,
-    /// The failure domain of the entry instance.
+    /// Failure domain of the entry instance.
     pub domain: Name,
-    /// Whether its endpoints are model engines.
+    /// Whether the endpoints are model engines.
     pub is_engine: bool,
-    /// Prompt tokens that one engine's memory holds.
+    /// Prompt tokens that the KV cache of one engine holds.
     pub cache_tokens: u64,
-    /// Seed of ties.
+    /// Seed of the random choice among endpoints.
     pub seed: u64,
 }
 
-/// A part of a prompt that others may share.
+/// A part of a prompt that other prompts may share.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names its content.
+    /// Identifies the content of the part.
     pub id: Name,
-    /// Its tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// What is known of a call's prompt.
+/// Size and parts of a call's prompt, as its headers declare them.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its parts in order; the last one is the call's own.
+    /// Parts in order; the last one belongs to this call alone.
     pub parts: Vec<PromptPart>,
-    /// All its tokens.
+    /// Length of the whole prompt in tokens.
     pub tokens: u64,
-    /// Tokens of the answer at most.
+    /// Upper bound on the tokens of the answer.
     pub max_output_tokens: u32,
 }
 
-/// A call that needs an endpoint.
+/// A request to choose an endpoint for one attempt of a call.
 #[derive(Debug, Clone)]
 pub struct PlacementRequest {
-    /// Names the attempt.
+    /// Name of the attempt.
     pub attempt: Name,
-    /// Its prompt.
+    /// Prompt of the call.
     pub prompt: Arc<Prompt>,
-    /// When the answer must be whole.
+    /// Time by which the answer must be complete.
     pub deadline: Millis,
-    /// Endpoints that it may not go to.
+    /// Endpoints that must not be chosen.
     pub exclude: Vec<Name>,
 }
 
-/// What was decided.
+/// The result of choosing an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlacementDecision {
-    /// It goes to an endpoint.
+    /// The call is sent to an endpoint.
     Endpoint(Placement),
-    /// It is refused.
+    /// The call is refused.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_after: Millis,
     },
 }
 
-/// Where a call goes.
+/// The endpoint that was chosen for a call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: Name,
-    /// Its life. What comes of the call says nothing about a later one.
+    /// Incarnation of the endpoint. The outcome of the call says nothing about a later one.
     pub incarnation: Incarnation,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Prompt tokens that are not thought to be cached there.
+    /// Prompt tokens that are presumably not cached at the endpoint.
     pub fresh_tokens: u64,
-    /// When it was chosen.
+    /// Time at which the endpoint was chosen.
     pub sent_at: Millis,
-    /// Why, for the log.
+    /// Why the endpoint was chosen, for the log.
     pub reason: String,
 }
 
-/// What a fact was worth.
+/// Effect of an [`EndpointFact`] on a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FactUpdate {
-    /// It is known, or older than what is.
+    /// The fact was known already, or is older than the known one.
     Stale,
-    /// It is newer.
+    /// The fact is newer than the known one.
     Newer,
-    /// The endpoint has started again; its old life was at this address.
+    /// The endpoint has restarted; its previous incarnation had this address.
     Restart(SocketAddr),
 }
 
-/// The endpoints of one service.
+/// The endpoints of one service at an entry instance.
 #[derive(Debug)]
 pub struct Pool {
     cfg: PoolCfg,
     router: Router,
-    endpoints: Map<Name, Known>,
+    endpoints: Map<Name, EndpointEntry>,
     meter: SpeedMeter,
     sequence: u64,
 }
 
 #[derive(Debug)]
-struct Known {
+struct EndpointEntry {
     fact: EndpointFact,
     load: Load,
-    /// When it was that load, if it told one.
-    loaded_at: Option<Millis>,
-    own: u32,
-    heard: Millis,
+    /// Time of the load, if the endpoint has reported one.
+    load_at: Option<Millis>,
+    own_requests: u32,
+    updated_at: Millis,
 }
 
-impl Known {
+impl EndpointEntry {
     fn is_gone(&self) -> bool {
         self.fact.state >= EndpointState::Silent
     }
 }
 
 impl Pool {
-    /// Makes a pool without endpoints.
+    /// Creates a pool without endpoints.
     pub fn new(cfg: PoolCfg) -> Self {
         let router_cfg = RouterCfg { domain: cfg.domain.clone(), seed: cfg.seed };
         let policy = if cfg.is_engine { engine_policy() } else { plain_policy() };
@@ -162,35 +165,36 @@
         Self { cfg, router, endpoints: Map::default(), meter: SpeedMeter::default(), sequence: 0 }
     }
 
-    /// Takes in what was heard of an endpoint.
+    /// Updates an endpoint with a fact that a control instance reported.
     pub fn update_endpoint(&mut self, now: Millis, fact: &EndpointFact) -> FactUpdate {
-        self.forget_gone(now);
-        let known = self.endpoints.get(&fact.endpoint).map(|known| &known.fact);
-        // Two control instances tell the same; what is older or said before changes nothing.
-        let age = |fact: &EndpointFact| (fact.born, fact.sequence, fact.state);
-        let heard = match known {
+        self.expire_tombstones(now);
+        let known = self.endpoints.get(&fact.endpoint).map(|entry| &entry.fact);
+        // Several control instances report the same facts; older or known ones must not change
+        // anything.
+        let version = |fact: &EndpointFact| (fact.born, fact.sequence, fact.state);
+        let update = match known {
             Some(known) if fact.born > known.born => FactUpdate::Restart(known.address),
-            Some(known) if age(fact) <= age(known) => return FactUpdate::Stale,
+            Some(known) if version(fact) <= version(known) => return FactUpdate::Stale,
             _ => FactUpdate::Newer,
         };
-        if matches!(heard, FactUpdate::Restart(_)) {
+        if matches!(update, FactUpdate::Restart(_)) {
             self.endpoints.remove(&fact.endpoint);
         }
-        let fresh = || Known {
+        let new_entry = || EndpointEntry {
             fact: fact.clone(),
             load: Load::default(),
-            loaded_at: None,
-            own: 0,
-            heard: now,
+            load_at: None,
+            own_requests: 0,
+            updated_at: now,
         };
-        let known = self.endpoints.entry(fact.endpoint.clone()).or_insert_with(fresh);
-        known.fact = fact.clone();
-        known.heard = now;
+        let entry = self.endpoints.entry(fact.endpoint.clone()).or_insert_with(new_entry);
+        entry.fact = fact.clone();
+        entry.updated_at = now;
         match fact.state {
             EndpointState::Gone | EndpointState::Silent => self.drop_from_router(now, fact),
             EndpointState::Ready | EndpointState::Leaving => self.announce(now, &fact.endpoint),
         }
-        heard
+        update
     }
 
     fn drop_from_router(&mut self, now: Millis, fact: &EndpointFact) {
@@ -198,86 +202,87 @@
         self.step(now, Event::Gone { endpoint, incarnation });
     }
 
-    /// Returns what is known of the life of the endpoint to which a call went, unless another one follows.
-    fn life(&mut self, place: &Placement) -> Option<&mut Known> {
-        self.endpoints.get_mut(&place.endpoint).filter(|known| known.fact.born == place.incarnation)
+    /// Returns the entry of the endpoint to which a call was sent, unless it has restarted since.
+    fn entry_of(&mut self, place: &Placement) -> Option<&mut EndpointEntry> {
+        self.endpoints.get_mut(&place.endpoint).filter(|entry| entry.fact.born == place.incarnation)
     }
 
-    /// Takes in that another endpoint answered at an address, so this one has ended.
+    /// Marks an endpoint as gone because another one answers at its address.
     pub fn mark_gone(&mut self, now: Millis, place: &Placement) {
-        let Some(known) = self.life(place) else { return };
-        known.fact.state = EndpointState::Gone;
-        known.heard = now;
-        let fact = known.fact.clone();
+        let Some(entry) = self.entry_of(place) else { return };
+        entry.fact.state = EndpointState::Gone;
+        entry.updated_at = now;
+        let fact = entry.fact.clone();
         self.drop_from_router(now, &fact);
     }
 
-    /// Endpoints that went are remembered for a while: another control instance may tell later that
-    /// they are ready, from a heartbeat that is older.
-    fn forget_gone(&mut self, now: Millis) {
-        self.endpoints.retain(|_, known| !known.is_gone() || now - known.heard < TOMBSTONE);
+    /// Removes endpoints that have been gone for [`TOMBSTONE_TTL`]. Until then they are kept, as
+    /// another control instance may still report them as ready from an older heartbeat.
+    fn expire_tombstones(&mut self, now: Millis) {
+        self.endpoints
+            .retain(|_, entry| !entry.is_gone() || now - entry.updated_at < TOMBSTONE_TTL);
     }
 
-    /// Takes in the load that an endpoint reported with an answer.
+    /// Records the load that an endpoint reported with an answer.
     pub fn record_load(&mut self, now: Millis, place: &Placement, running: u32, queued: u32) {
         let load = Load { running, queued, ..Load::default() };
-        if let Some(known) = self.life(place).filter(|known| !known.is_gone()) {
-            known.load = load;
-            known.loaded_at = Some(now);
+        if let Some(entry) = self.entry_of(place).filter(|entry| !entry.is_gone()) {
+            entry.load = load;
+            entry.load_at = Some(now);
             self.announce(now, &place.endpoint);
         }
     }
 
-    /// Takes in the load that an endpoint told another entry instance.
+    /// Records the load that an endpoint reported to another entry instance.
     ///
-    /// Each of many entry instances has few answers from one endpoint. By those alone, busy endpoints and
-    /// idle ones look the same, and calls wait beside idle engines.
-    pub fn record_remote_load(&mut self, now: Millis, word: &LoadWord) {
-        let at = now - word.age;
-        let known = self.endpoints.get_mut(&word.endpoint);
-        let known = known.filter(|known| known.fact.born == word.born && !known.is_gone());
-        let Some(known) = known.filter(|known| known.loaded_at.is_none_or(|last| at > last)) else {
+    /// With many entry instances, each receives few answers from one endpoint. By those alone, busy
+    /// and idle endpoints look alike, and calls queue while other engines are idle.
+    pub fn record_remote_load(&mut self, now: Millis, load: &LoadWord) {
+        let at = now - load.age;
+        let entry = self.endpoints.get_mut(&load.endpoint);
+        let entry = entry.filter(|entry| entry.fact.born == load.born && !entry.is_gone());
+        let Some(entry) = entry.filter(|entry| entry.load_at.is_none_or(|last| at > last)) else {
             return;
         };
-        known.load = Load { running: word.running, queued: word.queued, ..Load::default() };
-        known.loaded_at = Some(at);
-        self.announce(now, &word.endpoint);
+        entry.load = Load { running: load.running, queued: load.queued, ..Load::default() };
+        entry.load_at = Some(at);
+        self.announce(now, &load.endpoint);
     }
 
-    /// Returns the loads that endpoints told within a span.
+    /// Returns the loads that endpoints reported within the last `span`.
     pub fn recent_loads(&self, now: Millis, span: Millis) -> impl Iterator<Item = LoadWord> {
-        self.endpoints.iter().filter_map(move |(endpoint, known)| {
-            let age = now - known.loaded_at?;
+        self.endpoints.iter().filter_map(move |(endpoint, entry)| {
+            let age = now - entry.load_at?;
             (age < span).then(|| LoadWord {
                 endpoint: endpoint.clone(),
-                born: known.fact.born,
-                running: known.load.running,
-                queued: known.load.queued,
+                born: entry.fact.born,
+                running: entry.load.running,
+                queued: entry.load.queued,
                 age,
             })
         })
     }
 
-    /// Takes in that an endpoint has no room.
+    /// Records that an endpoint refused a call because it is full.
     pub fn mark_full(&mut self, now: Millis, place: &Placement) {
-        let Some(known) = self.life(place) else { return };
-        let (running, queued) = (known.fact.slots, known.fact.slots);
+        let Some(entry) = self.entry_of(place) else { return };
+        let (running, queued) = (entry.fact.slots, entry.fact.slots);
         self.record_load(now, place, running, queued);
     }
 
-    /// Chooses an endpoint for a call and counts it there, or refuses it.
+    /// Chooses an endpoint for a call and counts the call there, or refuses it.
     pub fn place(&mut self, now: Millis, ask: &PlacementRequest) -> PlacementDecision {
-        let ask = self.ask(ask);
+        let ask = self.routing_request(ask);
         match self.router.choose(now, &ask) {
             Choice::Endpoint(chosen) => {
-                let Some(known) = self.endpoints.get_mut(&chosen.endpoint) else {
+                let Some(entry) = self.endpoints.get_mut(&chosen.endpoint) else {
                     return self.no_endpoint();
                 };
-                known.own += 1;
+                entry.own_requests += 1;
                 let place = Placement {
                     endpoint: chosen.endpoint.clone(),
-                    incarnation: known.fact.born,
-                    address: known.fact.address,
+                    incarnation: entry.fact.born,
+                    address: entry.fact.address,
                     fresh_tokens: ask.prompt_tokens.saturating_sub(chosen.cached_tokens),
                     sent_at: now,
                     reason: chosen.why,
@@ -293,13 +298,13 @@
     }
 
     fn no_endpoint(&self) -> PlacementDecision {
-        const SOON: Millis = Millis(1000);
-        PlacementDecision::Refused { reason: RefusalReason::NoEndpoint, retry_after: SOON }
+        const RETRY_AFTER: Millis = Millis(1000);
+        PlacementDecision::Refused { reason: RefusalReason::NoEndpoint, retry_after: RETRY_AFTER }
     }
 
-    /// Takes in that the first part of an answer came.
+    /// Records that the first part of an answer was received.
     pub fn record_first_part(&mut self, now: Millis, place: &Placement, attempt: &Name) {
-        if self.life(place).is_none() {
+        if self.entry_of(place).is_none() {
             return;
         }
         if self.cfg.is_engine {
@@ -309,12 +314,12 @@
         self.step(now, Event::FirstToken { endpoint, request });
     }
 
-    /// Returns what was learned here of the engines' speed, if enough was.
+    /// Returns the learned speed of the engines, once it is based on enough samples.
     pub fn learned_speed(&self) -> Option<EngineSpeed> {
-        Some(self.meter.speed()).filter(|speed| speed.lines >= TOLD_AFTER)
+        Some(self.meter.speed()).filter(|speed| speed.lines >= MIN_REPORTED_FITS)
     }
 
-    /// Takes in that an attempt is over.
+    /// Removes a finished attempt from its endpoint and records the outcome.
     pub fn finish_attempt(
         &mut self,
         now: Millis,
@@ -322,37 +327,37 @@
         attempt: &Name,
         outcome: Outcome,
     ) {
-        let Some(known) = self.life(place) else { return };
-        known.own = known.own.saturating_sub(1);
+        let Some(entry) = self.entry_of(place) else { return };
+        entry.own_requests = entry.own_requests.saturating_sub(1);
         let (endpoint, request) = (place.endpoint.clone(), attempt.clone());
         self.step(now, Event::Ended { endpoint, request, tokens: 0, outcome });
     }
 
-    /// Returns what is known of each endpoint.
+    /// Returns the newest known fact of each endpoint.
     pub fn facts(&self) -> impl Iterator<Item = &EndpointFact> {
-        self.endpoints.values().map(|known| &known.fact)
+        self.endpoints.values().map(|entry| &entry.fact)
     }
 
-    /// Returns the requests of this entry instance at the endpoints.
+    /// Returns the number of requests from this entry instance in flight at the endpoints.
     pub fn running(&self) -> u32 {
-        self.endpoints.values().map(|known| known.own).sum()
+        self.endpoints.values().map(|entry| entry.own_requests).sum()
     }
 
-    /// Returns the number of endpoints that take requests.
+    /// Returns the number of endpoints that accept requests.
     pub fn ready_count(&self) -> usize {
         self.endpoints.values().filter(|k| k.fact.state == EndpointState::Ready).count()
     }
 
-    /// Returns whether an endpoint still takes requests as far as is known.
+    /// Returns whether an endpoint is known to accept requests.
     pub fn is_ready(&self, endpoint: &Name) -> bool {
         self.endpoints.get(endpoint).is_some_and(|k| k.fact.state == EndpointState::Ready)
     }
 
-    fn ask(&self, ask: &PlacementRequest) -> Ask {
+    fn routing_request(&self, ask: &PlacementRequest) -> Ask {
         Ask {
             request: ask.attempt.clone(),
             target: Target::Service(self.cfg.service.clone()),
-            blocks: blocks(&ask.prompt),
+            blocks: prefix_blocks(&ask.prompt),
             prompt_tokens: ask.prompt.tokens,
             max_tokens: ask.prompt.max_output_tokens,
             priority: Priority::High,
@@ -362,26 +367,26 @@
     }
 
     fn announce(&mut self, now: Millis, endpoint: &Name) {
-        let Some(known) = self.endpoints.get(endpoint) else { return };
+        let Some(entry) = self.endpoints.get(endpoint) else { return };
         self.sequence += 1;
-        let is_leaving = known.fact.state == EndpointState::Leaving;
+        let is_leaving = entry.fact.state == EndpointState::Leaving;
         let announcement = Announcement {
             name: endpoint.clone(),
-            incarnation: known.fact.born,
+            incarnation: entry.fact.born,
             sequence: self.sequence,
             address: Name::default(),
-            domain: known.fact.domain.clone(),
+            domain: entry.fact.domain.clone(),
             class: Name::default(),
-            reclaimable: known.fact.reclaimable,
+            reclaimable: entry.fact.reclaimable,
             price: 0,
             serves: vec![Served::Service { service: self.cfg.service.clone() }],
             role: Role::Mixed,
-            slots: known.fact.slots,
+            slots: entry.fact.slots,
             prefill_tokens_per_s: 0,
             decode_ms: 0,
             cache_tokens: self.cfg.cache_tokens,
-            load: Load { age: known.loaded_at.map_or(Millis::ZERO, |at| now - at), ..known.load },
-            leaving: is_leaving.then(|| known.fact.leaves_in.unwrap_or_default()),
+            load: Load { age: entry.load_at.map_or(Millis::ZERO, |at| now - at), ..entry.load },
+            leaving: is_leaving.then(|| entry.fact.leaves_in.unwrap_or_default()),
             checks_fencing: false,
         };
         self.step(now, Event::Announced { announcement, age: Millis::ZERO });
@@ -392,10 +397,10 @@
     }
 }
 
-/// Splits the shared parts of a prompt into blocks, each named by all that stands before it.
+/// Splits the shared parts of a prompt into prefix blocks, each identified by everything before it.
 ///
-/// The last part is the call's own and is nowhere cached.
-fn blocks(prompt: &Prompt) -> Arc<[u64]> {
+/// The last part belongs to this call alone and is cached nowhere.
+fn prefix_blocks(prompt: &Prompt) -> Arc<[u64]> {
     let shared = prompt.parts.split_last().map_or(&[][..], |(_, shared)| shared);
     let mut blocks = Vec::new();
     let mut hasher = FxHasher::default();
@@ -409,7 +414,7 @@
     blocks.into()
 }
 
-/// Figures for model engines, which queue by rank and answer in batches.
+/// Returns the policy for model engines, which queue by priority and answer in batches.
 fn engine_policy() -> PolicyCfg {
     PolicyCfg {
         announcement_ttl: Millis::MAX,
@@ -420,15 +425,15 @@
         spill_below: 1.4,
         wait_factor: ByPriority::UNBOUNDED,
         slow_start: Millis(500),
-        elsewhere: ELSEWHERE,
-        drawn: DRAWN,
+        elsewhere: REMOTE_DOMAIN_COST,
+        drawn: SAMPLED_ENDPOINTS,
         prefill_tokens_per_s: PREFILL_TOKENS_PER_S,
-        decode: DECODE,
+        decode: DECODE_PER_TOKEN,
         ..PolicyCfg::default()
     }
 }
 
-/// Figures for plain services: calls of some 30 ms, of which a few may wait.
+/// Returns the policy for plain services: calls of some 30 ms, of which a few may be queued.
 fn plain_policy() -> PolicyCfg {
     PolicyCfg {
         announcement_ttl: Millis::MAX,
--- a/coordination/dispatch/src/registry.rs
+++ b/coordination/dispatch/src/registry.rs
@@ -1,4 +1,5 @@
-//! The endpoints that are known at a control instance, from heartbeats.
+//! The endpoints known to a control instance from heartbeats, and the changes to send to entry
+//! instances.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -8,67 +9,71 @@
 use sill_wire::Incarnation;
 use sill_wire::link::{Cursor, EndpointFact, EndpointState};
 
-/// Heartbeats that may be missed before an endpoint counts as silent. Those of a cut-off endpoint
-/// come late or at another control instance; three are seldom missed by chance.
-const MISSED: u64 = 3;
+/// Consecutive heartbeats that may be missed before an endpoint counts as silent. Heartbeats of an
+/// endpoint that is cut off arrive late or at another control instance; missing three is seldom
+/// chance.
+const MAX_MISSED_HEARTBEATS: u64 = 3;
 
-/// How long an endpoint that went is remembered, against heartbeats that come late.
-const TOMBSTONE: Millis = Millis(60_000);
+/// How long the tombstone of an endpoint is kept against late heartbeats.
+const TOMBSTONE_TTL: Millis = Millis(60_000);
 
-/// Endpoints by name, with a numbered sequence of changes.
+/// Endpoints by name, with a sequence number for each change.
 #[derive(Debug)]
 pub struct Registry {
-    life: Incarnation,
-    heartbeat: Millis,
-    known: Map<Name, Known>,
+    incarnation: Incarnation,
+    heartbeat_interval: Millis,
+    endpoints: Map<Name, EndpointEntry>,
     by_change: BTreeMap<u64, Name>,
     change: u64,
-    /// Endpoints heard here since the last call to [`Registry::take_direct`].
-    fresh: Vec<Name>,
+    /// Endpoints whose heartbeats were received here since the last call to
+    /// [`Registry::take_direct`].
+    pending: Vec<Name>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct EndpointEntry {
     fact: EndpointFact,
-    heard: Millis,
+    heartbeat_at: Millis,
     change: u64,
-    is_fresh: bool,
+    is_pending: bool,
 }
 
 impl Registry {
-    /// Makes an empty registry of one life of a control instance.
-    pub fn new(life: Incarnation, heartbeat: Millis) -> Self {
+    /// Creates an empty registry for one incarnation of a control instance.
+    pub fn new(incarnation: Incarnation, heartbeat_interval: Millis) -> Self {
         Self {
-            life,
-            heartbeat,
-            known: Map::default(),
+            incarnation,
+            heartbeat_interval,
+            endpoints: Map::default(),
             by_change: BTreeMap::new(),
             change: 0,
-            fresh: Vec::new(),
+            pending: Vec::new(),
         }
     }
 
-    /// Takes in a heartbeat that came here. Returns whether it changed what others believe.
+    /// Records a heartbeat that the endpoint sent to this control instance. Returns whether it
+    /// changed the visible state.
     pub fn record_heartbeat(&mut self, now: Millis, fact: EndpointFact) -> bool {
         let name = fact.endpoint.clone();
         let is_changed = self.merge(now, fact);
-        if let Some(known) = self.known.get_mut(&name)
-            && !known.is_fresh
+        if let Some(known) = self.endpoints.get_mut(&name)
+            && !known.is_pending
         {
-            known.is_fresh = true;
-            self.fresh.push(name);
+            known.is_pending = true;
+            self.pending.push(name);
         }
         is_changed
     }
 
-    /// Takes in that an endpoint says it ends, which it may do without a heartbeat before. `born` is none
-    /// where it doesn't tell which of its lives that is.
+    /// Records that an endpoint reported its end, possibly without any heartbeat before. `born` is
+    /// `None` if it did not report its incarnation.
     pub fn record_end(&mut self, now: Millis, endpoint: &Name, born: Option<Incarnation>) -> bool {
-        // Its heartbeats may have gone to another control instance, from which nothing came yet.
-        let known = self.known.get(endpoint).map(|known| &known.fact);
+        // The endpoint may have sent its heartbeats to another control instance that has not
+        // forwarded them yet.
+        let known = self.endpoints.get(endpoint).map(|known| &known.fact);
         let known = known.filter(|fact| born.is_none_or(|born| born == fact.born)).cloned();
         let born = born.unwrap_or_default();
-        let known = known.unwrap_or_else(|| EndpointFact { born, ..bare(endpoint) });
+        let known = known.unwrap_or_else(|| EndpointFact { born, ..name_only(endpoint) });
         let fact = EndpointFact {
             state: EndpointState::Gone,
             sequence: known.sequence.saturating_add(1),
@@ -78,84 +83,91 @@
         self.record_heartbeat(now, fact)
     }
 
-    /// Takes in a fact. Returns whether it changed what others believe.
+    /// Merges a fact from a heartbeat or another control instance. Returns whether it changed the
+    /// visible state.
     pub fn merge(&mut self, now: Millis, mut fact: EndpointFact) -> bool {
-        // Each control instance finds out for itself who is silent: one that is cut off hears less.
+        // Each control instance detects silent endpoints itself: one that is cut off receives fewer
+        // heartbeats.
         if fact.state == EndpointState::Silent {
             return false;
         }
-        let heard = now - fact.age;
-        let Some(known) = self.known.get_mut(&fact.endpoint) else {
-            self.note(fact, heard);
+        let heartbeat_at = now - fact.age;
+        let Some(known) = self.endpoints.get_mut(&fact.endpoint) else {
+            self.insert(fact, heartbeat_at);
             return true;
         };
-        // A name that ends without telling its life is taken to mean the one that is known.
-        let tells_life = !is_bare(&fact) || fact.born != Incarnation::default();
+        // An end that is reported without an incarnation applies to the known one.
+        let has_incarnation = !is_name_only(&fact) || fact.born != Incarnation::default();
         match fact.born.cmp(&known.fact.born) {
-            // After a restart under the same name the sequence begins anew. By the sequence alone the new
-            // life would be ignored for as long as the old one had lasted, or for good.
+            // After a restart under the same name, the sequence begins anew. Compared by the
+            // sequence alone, the new incarnation would be ignored for as long as the old one had
+            // lasted, or forever.
             Ordering::Greater => {
-                self.restart(fact, heard);
+                self.restart(fact, heartbeat_at);
                 return true;
             }
-            Ordering::Less if tells_life => return false,
+            Ordering::Less if has_incarnation => return false,
             Ordering::Less | Ordering::Equal => fact.born = known.fact.born,
         }
         if contradicts(&known.fact, &fact) {
             return false;
         }
         let is_older = fact.sequence <= known.fact.sequence && fact.state <= known.fact.state;
-        let completes = is_bare(&known.fact) && !is_bare(&fact);
-        if is_older && !completes {
+        let adds_details = is_name_only(&known.fact) && !is_name_only(&fact);
+        if is_older && !adds_details {
             return false;
         }
-        if is_bare(&fact) {
+        if is_name_only(&fact) {
             let (state, sequence) = (fact.state, fact.sequence);
             fact = EndpointFact { state, sequence, ..known.fact.clone() };
         }
-        // An endpoint that said it leaves never comes back under this name; a late or reordered
-        // heartbeat must not bring it back, or it would get requests while it ends.
-        let is_back = known.fact.state == EndpointState::Silent;
-        if !is_back {
+        // An endpoint that has reported that it is leaving never returns in this incarnation. A
+        // late or reordered heartbeat must not make it ready again, or it would receive requests
+        // while it shuts down.
+        let was_silent = known.fact.state == EndpointState::Silent;
+        if !was_silent {
             fact.state = fact.state.max(known.fact.state);
         }
         fact.sequence = fact.sequence.max(known.fact.sequence);
-        known.heard = known.heard.max(heard);
-        let is_same = is_alike(&known.fact, &fact);
+        known.heartbeat_at = known.heartbeat_at.max(heartbeat_at);
+        let is_unchanged = is_equivalent(&known.fact, &fact);
         known.fact = fact;
-        if is_same {
+        if is_unchanged {
             return false;
         }
         let name = known.fact.endpoint.clone();
-        self.renumber(&name);
+        self.mark_changed(&name);
         true
     }
 
-    /// Returns whether a fact can't be an endpoint's own word: no endpoint moves to another service or
-    /// failure domain within one life. Taken in, the word of another writer would take the endpoint away
-    /// from its service until it falls silent.
+    /// Returns whether a fact contradicts the known one, and so can't come from the endpoint
+    /// itself: no endpoint moves to another service or failure domain within one incarnation. If
+    /// such a fact of another sender were merged, the endpoint would be lost to its service until
+    /// it counts as silent.
     pub fn is_contradictory(&self, fact: &EndpointFact) -> bool {
-        let known = self.known.get(&fact.endpoint).map(|known| &known.fact);
+        let known = self.endpoints.get(&fact.endpoint).map(|known| &known.fact);
         known.is_some_and(|known| known.born == fact.born && contradicts(known, fact))
     }
 
-    /// Finds endpoints that fell silent, and forgets those that went long ago. Returns whether any
-    /// fell silent.
+    /// Marks endpoints whose heartbeats are overdue as silent, and removes expired tombstones.
+    /// Returns whether any endpoint became silent.
     pub fn expire(&mut self, now: Millis) -> bool {
-        let limit = self.heartbeat * MISSED;
-        let is_silent =
-            |known: &&Known| known.fact.state < EndpointState::Silent && now - known.heard > limit;
+        let limit = self.heartbeat_interval * MAX_MISSED_HEARTBEATS;
+        let is_silent = |known: &&EndpointEntry| {
+            known.fact.state < EndpointState::Silent && now - known.heartbeat_at > limit
+        };
         let silent: Vec<Name> =
-            self.known.values().filter(is_silent).map(|k| k.fact.endpoint.clone()).collect();
+            self.endpoints.values().filter(is_silent).map(|k| k.fact.endpoint.clone()).collect();
         for name in &silent {
-            if let Some(known) = self.known.get_mut(name) {
+            if let Some(known) = self.endpoints.get_mut(name) {
                 known.fact.state = EndpointState::Silent;
             }
-            self.renumber(name);
+            self.mark_changed(name);
         }
         let by_change = &mut self.by_change;
-        self.known.retain(|_, known| {
-            let is_kept = known.fact.state < EndpointState::Silent || now - known.heard < TOMBSTONE;
+        self.endpoints.retain(|_, known| {
+            let is_kept = known.fact.state < EndpointState::Silent
+                || now - known.heartbeat_at < TOMBSTONE_TTL;
             if !is_kept {
                 by_change.remove(&known.change);
             }
@@ -164,58 +176,62 @@
         !silent.is_empty()
     }
 
-    /// Returns the newest change.
+    /// Returns the position of the newest change.
     pub fn cursor(&self) -> Cursor {
-        Cursor { life: self.life, change: self.change, ..Cursor::default() }
+        Cursor { life: self.incarnation, change: self.change, ..Cursor::default() }
     }
 
-    /// Returns what changed after a cursor; one of another life gets everything.
+    /// Returns the endpoints that changed after a cursor, or all of them if the cursor belongs to
+    /// another incarnation.
     pub fn newer_than(&self, now: Millis, cursor: Cursor) -> Vec<EndpointFact> {
-        let from = if cursor.life == self.life { cursor.change + 1 } else { 0 };
+        let from = if cursor.life == self.incarnation { cursor.change + 1 } else { 0 };
         let names = self.by_change.range(from..).map(|(_, name)| name);
         let facts = names.filter_map(|name| self.fact(now, name));
-        facts.filter(|fact| !is_bare(fact)).collect()
+        facts.filter(|fact| !is_name_only(fact)).collect()
     }
 
-    /// Returns the endpoints that were heard here since the last call.
+    /// Returns the endpoints whose heartbeats were received here since the last call.
     pub fn take_direct(&mut self, now: Millis) -> Vec<EndpointFact> {
-        let names = std::mem::take(&mut self.fresh);
+        let names = std::mem::take(&mut self.pending);
         for name in &names {
-            if let Some(known) = self.known.get_mut(name) {
-                known.is_fresh = false;
+            if let Some(known) = self.endpoints.get_mut(name) {
+                known.is_pending = false;
             }
         }
         names.iter().filter_map(|name| self.fact(now, name)).collect()
     }
 
-    /// Returns everything, for one who lacks all.
+    /// Returns all endpoints, for a control instance that has none of them.
     pub fn all(&self, now: Millis) -> Vec<EndpointFact> {
-        self.known.keys().filter_map(|name| self.fact(now, name)).collect()
+        self.endpoints.keys().filter_map(|name| self.fact(now, name)).collect()
     }
 
     fn fact(&self, now: Millis, name: &Name) -> Option<EndpointFact> {
-        let known = self.known.get(name)?;
-        Some(EndpointFact { age: now - known.heard, ..known.fact.clone() })
+        let known = self.endpoints.get(name)?;
+        Some(EndpointFact { age: now - known.heartbeat_at, ..known.fact.clone() })
     }
 
-    fn note(&mut self, fact: EndpointFact, heard: Millis) {
+    fn insert(&mut self, fact: EndpointFact, heartbeat_at: Millis) {
         let name = fact.endpoint.clone();
-        self.known.insert(name.clone(), Known { fact, heard, change: 0, is_fresh: false });
-        self.renumber(&name);
+        self.endpoints.insert(
+            name.clone(),
+            EndpointEntry { fact, heartbeat_at, change: 0, is_pending: false },
+        );
+        self.mark_changed(&name);
     }
 
-    /// Puts a new life in the place of an old one.
-    fn restart(&mut self, fact: EndpointFact, heard: Millis) {
-        if let Some(known) = self.known.get_mut(&fact.endpoint) {
-            known.heard = heard;
+    /// Replaces the fact of an old incarnation by that of a new one.
+    fn restart(&mut self, fact: EndpointFact, heartbeat_at: Millis) {
+        if let Some(known) = self.endpoints.get_mut(&fact.endpoint) {
+            known.heartbeat_at = heartbeat_at;
             let name = fact.endpoint.clone();
             known.fact = fact;
-            self.renumber(&name);
+            self.mark_changed(&name);
         }
     }
 
-    fn renumber(&mut self, name: &Name) {
-        let Some(known) = self.known.get_mut(name) else { return };
+    fn mark_changed(&mut self, name: &Name) {
+        let Some(known) = self.endpoints.get_mut(name) else { return };
         self.by_change.remove(&known.change);
         self.change += 1;
         known.change = self.change;
@@ -223,9 +239,9 @@
     }
 }
 
-/// Makes the fact of an endpoint of which nothing is known but its name. It is passed on to other control
-/// instances only; one that knows more puts the two together.
-fn bare(endpoint: &Name) -> EndpointFact {
+/// Returns a fact for an endpoint of which only the name is known. It is sent to other control
+/// instances only; one that knows the rest combines the two.
+fn name_only(endpoint: &Name) -> EndpointFact {
     EndpointFact {
         endpoint: endpoint.clone(),
         born: Incarnation::default(),
@@ -241,16 +257,16 @@
     }
 }
 
-fn is_bare(fact: &EndpointFact) -> bool {
+fn is_name_only(fact: &EndpointFact) -> bool {
     fact.service.is_empty()
 }
 
 fn contradicts(known: &EndpointFact, fact: &EndpointFact) -> bool {
-    let are_whole = !is_bare(known) && !is_bare(fact);
-    are_whole && (known.service != fact.service || known.domain != fact.domain)
+    let have_details = !is_name_only(known) && !is_name_only(fact);
+    have_details && (known.service != fact.service || known.domain != fact.domain)
 }
 
-fn is_alike(a: &EndpointFact, b: &EndpointFact) -> bool {
+fn is_equivalent(a: &EndpointFact, b: &EndpointFact) -> bool {
     a.state == b.state
         && a.address == b.address
         && a.slots == b.slots
--- a/coordination/dispatch/src/share.rs
+++ b/coordination/dispatch/src/share.rs
@@ -1,76 +1,77 @@
-//! Limits of client accounts over all entry instances, on routes.
+//! Limits of client accounts over all entry instances.
 //!
-//! Each entry instance admits out of a token bucket that is filled with its share of the limit, by
-//! its part of the demand. While all together are far below the limit nothing is refused: a share
-//! of an eighth is less than one large prompt, and the account would be refused within its limit.
+//! Each entry instance admits calls from a token bucket that is filled at its share of the
+//! account's limit, by its part of the demand. As long as all entry instances together are far
+//! below the limit, none of them refuses a call: with eight of them a share is less than one large
+//! prompt, and calls would be refused within the limit.
 
 use sill_base::{Map, Millis, Name};
 use sill_wire::link::{AccountReport, AccountTotal, Totals};
 
-use crate::share::account::{AVERAGE, Account, Limit, RECENT, saved};
+use crate::share::account::{ADMITTED_RATE_SPAN, Account, DEMAND_SPAN, Limit, accumulation_span};
 use crate::table::RouteTable;
 use crate::totals::SHARE_HELD_FOR;
 
 mod account;
-mod belief;
-mod over;
+mod estimate;
+mod over_limit;
 mod window;
 
-pub use belief::{AdmittedByReason, LimitEstimate};
-pub use over::OverLimit;
+pub use estimate::{AdmittedByReason, LimitEstimate};
+pub use over_limit::OverLimit;
 
-/// Entry instances that are presumed until the number is known. Too few would give each of them too
-/// large a share; the smallest deployments have seven.
+/// Number of entry instances that is presumed until the first totals arrive. Too low a number gives
+/// each of them too large a share; the smallest deployments have seven.
 const PRESUMED_ENTRIES: u32 = 16;
 
-/// How old the reports are that totals are made of, beside the age of the totals.
-const REPORT_AGE: Millis = Millis(250);
+/// Typical age of the reports from which totals are made, in addition to the age of the totals.
+const TYPICAL_REPORT_AGE: Millis = Millis(250);
 
-/// Age of totals from which on only the own share counts.
+/// Age of totals from which on only the own share of a limit is used.
 pub const MAX_TOTALS_AGE: Millis = Millis(1500);
 
-/// Shortest time after which a caller over its limit may come back.
-const SHORTEST_WAIT: Millis = Millis(250);
+/// Shortest time after which a refused caller is asked to retry.
+const MIN_RETRY_AFTER: Millis = Millis(250);
 
-/// Longest time after which a caller over its limit is told to come back.
-const LONGEST_WAIT: Millis = Millis(5000);
+/// Longest time after which a refused caller is asked to retry.
+const MAX_RETRY_AFTER: Millis = Millis(5000);
 
-/// How far limits may be passed, over all entry instances and one window.
+/// How far limits may be exceeded, over all entry instances and one window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitBounds {
-    /// An amount that may come on top of every limit.
+    /// Amount that may be admitted in addition to any limit.
     pub slack: f64,
 }
 
-/// The accounts' limits at one entry instance.
+/// The limits of all accounts at one entry instance.
 #[derive(Debug)]
 pub struct LimitShares {
     bounds: LimitBounds,
     accounts: Map<Name, Account>,
     entries: u32,
-    heard: Option<Millis>,
-    /// The newest totals by account.
+    totals_at: Option<Millis>,
+    /// Newest totals by account.
     totals: Map<Name, AccountTotal>,
-    /// What they say of all other accounts.
-    untold_s: f64,
-    let_in: AdmittedByReason,
+    /// Unreported time of the accounts that are not in `totals`, in seconds of their limits.
+    unreported_s: f64,
+    admitted: AdmittedByReason,
 }
 
 impl LimitShares {
-    /// Makes shares of no account.
+    /// Creates shares without any account.
     pub fn new(bounds: LimitBounds) -> Self {
         Self {
             bounds,
             accounts: Map::default(),
             entries: PRESUMED_ENTRIES,
-            heard: None,
+            totals_at: None,
             totals: Map::default(),
-            untold_s: 0.0,
-            let_in: AdmittedByReason::default(),
+            unreported_s: 0.0,
+            admitted: AdmittedByReason::default(),
         }
     }
 
-    /// Takes in the limits in force. Accounts whose limit stays keep their buckets.
+    /// Applies the limits of a route table. Accounts that are known already keep their buckets.
     pub fn set_limits(&mut self, now: Millis, table: &RouteTable) {
         let mut kept = Map::default();
         for (name, entry) in &table.accounts {
@@ -83,7 +84,7 @@
                     known.limit = limit;
                     known
                 }
-                None => self.open(now, name, limit),
+                None => self.open_account(now, name, limit),
             };
             kept.insert(name.clone(), account);
         }
@@ -91,152 +92,164 @@
         self.set_rates(now);
     }
 
-    fn open(&self, now: Millis, name: &Name, limit: Limit) -> Account {
+    fn open_account(&self, now: Millis, name: &Name, limit: Limit) -> Account {
         let share = 1.0 / f64::from(self.entries);
         let mut account = Account::open(now, limit, share, self.bounds);
-        // Totals come before the first settings do. Were they forgotten, an instance that has just started would
-        // take the account for unused.
-        match (self.heard, self.totals.get(name)) {
-            (Some(heard), Some(total)) => account.hear(heard - REPORT_AGE, self.entries, total),
-            (Some(_), None) => account.hear_nothing(self.untold_s),
+        // Totals arrive before the first settings. Without applying them here, an instance that has
+        // just started would take the account for unused.
+        match (self.totals_at, self.totals.get(name)) {
+            (Some(totals_at), Some(total)) => {
+                account.apply_total(totals_at - TYPICAL_REPORT_AGE, self.entries, total)
+            }
+            (Some(_), None) => account.apply_no_total(self.unreported_s),
             (None, _) => {}
         }
         account
     }
 
-    /// Takes in the demand over all entry instances; older totals than those that are known change nothing.
+    /// Applies the demand over all entry instances. Totals older than the known ones are ignored.
     pub fn set_totals(&mut self, now: Millis, totals: &Totals) {
-        let heard = now - totals.age;
-        if self.heard.is_some_and(|known| heard < known) {
+        let totals_at = now - totals.age;
+        if self.totals_at.is_some_and(|known| totals_at < known) {
             return;
         }
         self.entries = totals.entries.max(1);
-        self.heard = Some(heard);
+        self.totals_at = Some(totals_at);
         self.totals = totals.accounts.iter().map(|t| (t.account.clone(), t.clone())).collect();
-        self.untold_s = totals.untold_s;
+        self.unreported_s = totals.untold_s;
         for (name, account) in &mut self.accounts {
             match self.totals.get(name) {
-                Some(total) => account.hear(heard - REPORT_AGE, self.entries, total),
-                None => account.hear_nothing(self.untold_s),
+                Some(total) => {
+                    account.apply_total(totals_at - TYPICAL_REPORT_AGE, self.entries, total)
+                }
+                None => account.apply_no_total(self.unreported_s),
             }
         }
         self.set_rates(now);
     }
 
-    /// Admits a call, or tells when to come back.
+    /// Admits a call, or refuses it with a time to retry after.
     ///
     /// # Errors
     ///
-    /// Fails with the time to wait where the account is over its limit here.
+    /// Fails if the account is over its limit here.
     pub fn admit(&mut self, now: Millis, name: &Name, amount: f64) -> Result<(), OverLimit> {
-        let even = 1.0 / f64::from(self.entries);
-        let is_fresh = self.heard.is_some_and(|heard| now - heard < MAX_TOTALS_AGE);
-        let unseen = self.unseen(now);
+        let even_share = 1.0 / f64::from(self.entries);
+        let is_fresh = self.totals_at.is_some_and(|totals_at| now - totals_at < MAX_TOTALS_AGE);
+        let unreported_span = self.unreported_span(now);
         let Some(account) = self.accounts.get_mut(name) else { return Ok(()) };
-        account.asked.add(now, AVERAGE, amount);
-        let saved = saved(account.limit, self.bounds);
-        let is_far_below = account.is_far_below(unseen, amount, self.bounds);
-        // A prompt may be larger than what a small share ever holds; it then takes a full bucket and
-        // goes into debt. Were any rest enough, each entry instance could go into debt at once.
-        let is_open = account.bucket.covers(now, saved, amount);
-        // Prompts that no share ever holds go into debt, each entry instance with one of its own; of hundreds
-        // of them that alone is more than the limit.
-        let is_over = account.presumed_total(unseen) + amount > account.most(self.bounds);
-        let is_let_in = if is_fresh { is_far_below || is_open && !is_over } else { is_open };
-        if !is_let_in {
+        account.demand.add(now, DEMAND_SPAN, amount);
+        let accumulation_span = accumulation_span(account.limit, self.bounds);
+        let is_far_below = account.is_far_below(unreported_span, amount, self.bounds);
+        // A prompt may be larger than a small share ever holds; it then needs a full bucket and
+        // puts it into debt. If any balance were enough, every entry instance could go into debt at
+        // once.
+        let has_share = account.bucket.covers(now, accumulation_span, amount);
+        // Prompts larger than any share put each entry instance into debt for one of its own; with
+        // hundreds of entry instances that alone exceeds the limit.
+        let exceeds_total =
+            account.presumed_total(unreported_span) + amount > account.max_admitted(self.bounds);
+        let is_admitted =
+            if is_fresh { is_far_below || has_share && !exceeds_total } else { has_share };
+        if !is_admitted {
             account.has_refused = true;
-            let (here, everywhere) = account.waits(unseen, amount, self.bounds);
-            let wait = match (is_fresh, is_open) {
+            let (here, everywhere) = account.waits(unreported_span, amount, self.bounds);
+            let wait = match (is_fresh, has_share) {
                 (false, _) => here,
                 (true, true) => everywhere,
-                // The account has room again once what all admitted has left the window, mostly long before a
-                // large debt here is paid.
+                // The account has room again once enough admitted amounts have left the window,
+                // usually long before a large debt here is paid.
                 (true, false) => here.min(everywhere),
             };
             return Err(OverLimit {
-                retry_after: wait.max(SHORTEST_WAIT).min(LONGEST_WAIT),
+                retry_after: wait.max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER),
                 rate: account.limit.rate,
-                share: account.share.unwrap_or(even),
+                share: account.share.unwrap_or(even_share),
                 balance: account.bucket.balance(),
-                admitted: account.presumed_total(unseen),
-                totals_age: self.heard.map(|heard| now - heard),
+                admitted: account.presumed_total(unreported_span),
+                totals_age: self.totals_at.map(|totals_at| now - totals_at),
             });
         }
-        let let_in = match (is_fresh, is_far_below) {
+        let amounts = match (is_fresh, is_far_below) {
             (true, true) => AdmittedByReason { far_below: amount, ..AdmittedByReason::default() },
             (true, false) => AdmittedByReason { share: amount, ..AdmittedByReason::default() },
             (false, _) => AdmittedByReason { stale: amount, ..AdmittedByReason::default() },
         };
-        account.let_in.add(let_in);
-        self.let_in.add(let_in);
+        account.admitted_by_reason.add(amounts);
+        self.admitted.add(amounts);
         account.spend(now, amount);
         Ok(())
     }
 
-    /// Returns what was let in since it was last asked for.
+    /// Returns the amounts admitted since the last call.
     pub fn take_admitted(&mut self) -> AdmittedByReason {
-        std::mem::take(&mut self.let_in)
+        std::mem::take(&mut self.admitted)
     }
 
-    /// Returns what is believed of the accounts that are near their limits; of each at most once a second.
+    /// Returns estimates for the accounts that are near their limits, at most once a second per
+    /// account.
     pub fn take_estimates(&mut self, now: Millis) -> Vec<(Name, LimitEstimate)> {
-        let unseen = self.unseen(now);
+        let unreported_span = self.unreported_span(now);
         let accounts = self.accounts.iter_mut();
         accounts
-            .filter_map(|(name, account)| Some((name.clone(), account.belief(now, unseen)?)))
+            .filter_map(|(name, account)| {
+                Some((name.clone(), account.take_estimate(now, unreported_span)?))
+            })
             .collect()
     }
 
-    /// Returns how many entry instances are presumed, and how old the newest totals are, if any were heard.
+    /// Returns the number of entry instances, presumed or from totals, and the age of the newest
+    /// totals if any were received.
     pub fn entries_and_totals_age(&self, now: Millis) -> (u32, Option<Millis>) {
-        (self.entries, self.heard.map(|heard| now - heard))
+        (self.entries, self.totals_at.map(|totals_at| now - totals_at))
     }
 
-    /// Returns how many entry instances there were by totals that are not too old to tell.
+    /// Returns the number of entry instances from the newest totals, or 0 if these are too old.
     pub fn recent_entries(&self, now: Millis) -> u32 {
-        let is_recent = self.heard.is_some_and(|heard| now - heard < SHARE_HELD_FOR);
+        let is_recent = self.totals_at.is_some_and(|totals_at| now - totals_at < SHARE_HELD_FOR);
         if is_recent { self.entries } else { 0 }
     }
 
-    /// Returns for how long what is admitted is in no total yet.
-    fn unseen(&self, now: Millis) -> Millis {
-        REPORT_AGE + self.heard.map_or(Millis::ZERO, |heard| now - heard)
+    /// Returns the span before now for which admitted amounts are not in the totals yet.
+    fn unreported_span(&self, now: Millis) -> Millis {
+        TYPICAL_REPORT_AGE + self.totals_at.map_or(Millis::ZERO, |totals_at| now - totals_at)
     }
 
-    /// Returns whether a call needs the totals, and none were heard yet: the part of the limit that is presumed
-    /// here does not cover it.
+    /// Returns whether a call should wait for the first totals: none were received yet, and the
+    /// presumed share of the limit does not cover the call.
     pub fn needs_totals(&self, name: &Name, amount: f64) -> bool {
-        let account = self.accounts.get(name).filter(|_| self.heard.is_none());
+        let account = self.accounts.get(name).filter(|_| self.totals_at.is_none());
         account.is_some_and(|account| !account.holds(amount))
     }
 
-    /// Gives back what a call took that did not run.
+    /// Returns to the account what a call that did not run was charged.
     pub fn refund(&mut self, now: Millis, name: &Name, amount: f64) {
         if let Some(account) = self.accounts.get_mut(name) {
             account.spend(now, -amount);
         }
     }
 
-    /// Returns the demand here by account.
+    /// Returns the demand at this entry instance by account.
     pub fn report(&mut self, now: Millis) -> Vec<AccountReport> {
-        let (even, unseen) = (1.0 / f64::from(self.entries), self.unseen(now));
+        let (even_share, unreported_span) =
+            (1.0 / f64::from(self.entries), self.unreported_span(now));
         let reports = self.accounts.iter_mut().map(|(name, account)| AccountReport {
             account: name.clone(),
-            asked_per_s: account.tell(now),
+            asked_per_s: account.report_demand(now),
             admitted: account.admitted.sum(now),
-            by_second: account.by_second(now, unseen),
-            admitted_per_s: account.recent.per_second(now, RECENT),
-            share: account.share.unwrap_or(even),
+            by_second: account.by_second(now, unreported_span),
+            admitted_per_s: account.admitted_rate.per_second(now, ADMITTED_RATE_SPAN),
+            share: account.share.unwrap_or(even_share),
         });
         reports.filter(|report| report.asked_per_s > 0.0 || report.admitted > 0.0).collect()
     }
 
     fn set_rates(&mut self, now: Millis) {
-        let (bounds, even) = (self.bounds, 1.0 / f64::from(self.entries));
+        let (bounds, even_share) = (self.bounds, 1.0 / f64::from(self.entries));
         for account in self.accounts.values_mut() {
-            let share = account.share.unwrap_or(even);
-            let saved = saved(account.limit, bounds);
-            account.bucket.set_rate(now, account.limit.rate * share, saved);
+            let share = account.share.unwrap_or(even_share);
+            let accumulation_span = accumulation_span(account.limit, bounds);
+            account.bucket.set_rate(now, account.limit.rate * share, accumulation_span);
         }
     }
 }
--- a/coordination/dispatch/src/share/window.rs
+++ b/coordination/dispatch/src/share/window.rs
@@ -1,14 +1,14 @@
-//! What was admitted in the last window, in slices.
+//! Sliding window of admitted amounts.
 
 use std::collections::VecDeque;
 
 use sill_base::Millis;
 use sill_wire::link::LIMIT_WINDOW;
 
-/// Slices of the window in which admitted amounts are kept.
+/// Length of the slices in which amounts are summed.
 const SLICE: Millis = Millis(500);
 
-/// Amounts of the last window.
+/// Amounts of the last [`LIMIT_WINDOW`], in slices.
 #[derive(Debug, Default)]
 pub(super) struct Window {
     slices: VecDeque<Slice>,
@@ -37,14 +37,14 @@
         self.slices.iter().map(|slice| slice.amount).sum::<f64>().max(0.0)
     }
 
-    /// Returns the amounts of the window by seconds, the newest first.
+    /// Returns the amounts of the window by second, the newest first.
     pub(super) fn by_second(&mut self, now: Millis) -> Vec<u64> {
-        const SLICES: u64 = 1000 / SLICE.0;
+        const SLICES_PER_SECOND: u64 = 1000 / SLICE.0;
         self.sum(now);
         let newest = now.0 / SLICE.0;
         let mut seconds: Vec<f64> = Vec::new();
         for slice in &self.slices {
-            let second = (newest.saturating_sub(slice.number) / SLICES) as usize;
+            let second = (newest.saturating_sub(slice.number) / SLICES_PER_SECOND) as usize;
             if seconds.len() <= second {
                 seconds.resize(second + 1, 0.0);
             }
--- a/coordination/dispatch/src/stopping.rs
+++ b/coordination/dispatch/src/stopping.rs
@@ -1,95 +1,99 @@
-//! How an entry instance stops, and which calls it still begins meanwhile.
+//! The planned stop of an entry instance, and the calls that it still accepts meanwhile.
 //!
-//! A balancer goes on sending calls to an instance that stops, for as long as it has not noticed, and
-//! after that where too few others are in rotation. A call that is begun too late is cut off in the middle
-//! of its answer: it has run, its caller has nothing, and may not send it again. A call that is sent away
-//! although nobody else can take it is lost as well.
+//! A balancer keeps sending calls to a stopping instance until it has noticed the stop, and even
+//! then if too few others are in rotation. A call that is begun too late is cut off in the middle
+//! of its answer: it has run, its caller has no result, and may not send it again. A call that is
+//! refused although no other instance can take it is lost as well.
 
 use sill_base::{Map, Millis, Name, RecentTimes};
 
-/// Half of the span over which times are kept. A planned stop comes within seconds of a burst or a reclaim;
-/// what those did to the times must still be known then, and be forgotten afterwards.
+/// Half of the span over which call times are kept. A planned stop occurs within seconds of a burst
+/// or a reclaim; their effect on the times must still be known then, and be forgotten afterwards.
 const HALF_SPAN: Millis = Millis(15_000);
 
-/// The part of the calls of a route that took no longer than what one is expected to take. Judged by the longest
-/// time seen, callers would be sent away that nobody else can take where most instances stop at once; what
-/// exceeds this part has most of the stop left.
-const USUAL: f64 = 0.9;
+/// Quantile of a route's call times that counts as the usual time. By the longest time, callers
+/// would be refused that no other instance can take when most of them stop at once; calls beyond
+/// this quantile have most of the stop left.
+const USUAL_QUANTILE: f64 = 0.9;
 
-/// Factor, in percent, on the usual time of a call that is passed on as it comes although it may outlast the
-/// instance. One in ten takes longer than usual, mostly as its endpoint has just become slower; its answer
-/// would be cut in the middle.
-const PASSED_MARGIN: u64 = 150;
+/// Margin, in percent of the usual time, for a call whose answer is streamed although it may
+/// outlast the instance. One in ten takes longer than usual, mostly because its endpoint has just
+/// become slower; its answer would be cut in the middle.
+const PASSED_MARGIN_PERCENT: u64 = 150;
 
-/// The same for a call that is begun once the balancer has noticed. Its answer is held until it is whole, so
-/// one that takes longer is not cut, but has run in vain.
-const LATE_MARGIN: u64 = 200;
+/// Margin, in percent of the usual time, for a call that is begun after the balancer has noticed.
+/// Its answer is buffered until it is complete, so a call that takes longer is not cut, but has run
+/// in vain.
+const HELD_MARGIN_PERCENT: u64 = 200;
 
-/// Calls of a route that must have been seen before one is begun so.
-const ENOUGH: u32 = 20;
+/// Calls of a route that must have been recorded before one is begun after the balancer has
+/// noticed.
+const MIN_CALLS: u32 = 20;
 
-/// What calls of each route took of late.
+/// Recent call times by route.
 #[derive(Debug, Default)]
 pub struct CallTimes(Map<Name, RouteTimes>);
 
-/// What the calls of a route took of late.
+/// Recent call times of one route.
 #[derive(Debug, Default)]
 struct RouteTimes {
-    /// Until the answer was whole.
-    whole: RecentTimes,
-    /// Until its first part.
-    first: RecentTimes,
+    /// Times until the complete answer.
+    total: RecentTimes,
+    /// Times until the first part of the answer.
+    first_part: RecentTimes,
 }
 
-/// What is expected of a stream that has begun at an instance that stops.
+/// Forecast for a stream that has begun at a stopping instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamForecast {
-    /// What its route's streams usually take until the first part; none if too little is known.
+    /// Usual time until the first part on this route; `None` without recent calls.
     pub usual_first: Option<Millis>,
-    /// Time that it may still take; none if too little is known.
+    /// Expected time until the end of the stream; `None` without recent calls.
     pub remaining: Option<Millis>,
-    /// How its answer goes on.
+    /// How to deliver the answer.
     pub mode: AnswerMode,
 }
 
-/// When a stop is how far.
+/// Times of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopTimes {
-    /// When the balancer has noticed.
+    /// Time by which the balancer has noticed the stop.
     pub noticed_at: Millis,
-    /// When what still waits for its answer gets one that promises nothing. What still runs is cut shortly
-    /// after.
+    /// Time at which calls that still wait for an answer are answered without a definite outcome.
+    /// Calls that still run are cut shortly after.
     pub ends_at: Millis,
 }
 
 impl CallTimes {
-    /// Takes in the whole time of a call.
-    pub fn record_call(&mut self, now: Millis, route: &Name, whole: Millis) {
+    /// Records the time until the complete answer of a call.
+    pub fn record_call(&mut self, now: Millis, route: &Name, total: Millis) {
         if !self.0.contains_key(route) {
-            // Routes come and go with the settings; those of long ago are not asked for any more.
-            self.0.retain(|_, times| usual(now, &times.whole).is_some());
+            // Routes come and go with the settings; those without recent calls are dropped.
+            self.0.retain(|_, times| usual_time(now, &times.total).is_some());
         }
-        self.0.entry(route.clone()).or_default().whole.note(now, HALF_SPAN, whole);
+        self.0.entry(route.clone()).or_default().total.note(now, HALF_SPAN, total);
     }
 
-    /// Takes in the time until the first part of a call's answer. A route without a whole answer of late is not
-    /// kept for it.
+    /// Records the time until the first part of a call's answer. Routes without a recent complete
+    /// answer are ignored.
     pub fn record_first_part(&mut self, now: Millis, route: &Name, first: Millis) {
         if let Some(times) = self.0.get_mut(route) {
-            times.first.note(now, HALF_SPAN, first);
+            times.first_part.note(now, HALF_SPAN, first);
         }
     }
 
-    /// Returns what calls of a route usually take.
+    /// Returns the usual time of a route's calls; `None` without recent calls.
     pub fn usual_duration(&self, now: Millis, route: &Name) -> Option<Millis> {
-        self.0.get(route).and_then(|times| usual(now, &times.whole))
+        self.0.get(route).and_then(|times| usual_time(now, &times.total))
     }
 
-    /// Returns what to expect of a stream whose first part took so long, and of which the caller has nothing yet.
+    /// Returns the forecast for a stream whose first part took `first`, and of which nothing was
+    /// forwarded yet.
     ///
-    /// An endpoint that took longer than usual until the first part is taken to be slower by as much for the
-    /// rest. Where that may outlast the instance, the answer is held: nobody would get the end of it elsewhere. One of
-    /// which too little is known is passed on: it was begun before the stop, and most end in time.
+    /// If an endpoint was slower than usual until the first part, the rest is expected to be slower
+    /// by the same factor. If the rest may outlast the instance, the answer is buffered: its end
+    /// could not be fetched elsewhere. A stream of which too little is known is forwarded: it was
+    /// begun before the stop, and most streams end in time.
     pub fn forecast_stream(
         &self,
         now: Millis,
@@ -98,22 +102,24 @@
         stop: StopTimes,
     ) -> StreamForecast {
         let times = self.0.get(route);
-        let usual_first = times.and_then(|times| usual(now, &times.first));
-        let expected =
-            usual_first.zip(self.usual_duration(now, route)).map(|(usual_first, whole)| {
-                let slower = (first.0 as f64 / usual_first.0.max(1) as f64).max(1.0);
-                Millis(((whole - usual_first).0 as f64 * slower) as u64)
+        let usual_first = times.and_then(|times| usual_time(now, &times.first_part));
+        let remaining =
+            usual_first.zip(self.usual_duration(now, route)).map(|(usual_first, total)| {
+                let slowdown = (first.0 as f64 / usual_first.0.max(1) as f64).max(1.0);
+                Millis(((total - usual_first).0 as f64 * slowdown) as u64)
             });
-        let fits = |rest: Millis| now + with_margin(rest, PASSED_MARGIN) <= stop.ends_at;
-        let begin = if expected.is_none_or(fits) { AnswerMode::Passed } else { AnswerMode::Held };
-        StreamForecast { usual_first, remaining: expected, mode: begin }
+        let fits =
+            |remaining: Millis| now + with_margin(remaining, PASSED_MARGIN_PERCENT) <= stop.ends_at;
+        let mode = if remaining.is_none_or(fits) { AnswerMode::Passed } else { AnswerMode::Held };
+        StreamForecast { usual_first, remaining, mode }
     }
 
-    /// Returns how a call may begin now whose caller has an answer by `due` in any case.
+    /// Returns how to deliver the answer to a call that arrives now and ends by `due` at the
+    /// latest, or `None` to refuse it.
     ///
-    /// Until the balancer has noticed, a call that may outlast the instance is begun if what such calls usually take
-    /// fits with a margin. Afterwards a call is begun that must be over in time, and one that only usually is
-    /// as [`AnswerMode::Held`].
+    /// Until the balancer has noticed, a call that may outlast the instance is begun if the route's
+    /// usual time fits with a margin. Afterwards, a call that ends in time for certain is begun as
+    /// before, and one that usually does is begun as [`AnswerMode::Held`].
     pub fn answer_mode(
         &self,
         now: Millis,
@@ -124,60 +130,62 @@
         if due.max(now) <= stop.ends_at {
             return Some(AnswerMode::Passed);
         }
-        let usual = self.usual_duration(now, route)?;
-        let fits = |margin: u64| now + with_margin(usual, margin) <= stop.ends_at;
+        let usual_time = self.usual_duration(now, route)?;
+        let fits = |margin: u64| now + with_margin(usual_time, margin) <= stop.ends_at;
         if now < stop.noticed_at {
-            return fits(PASSED_MARGIN).then_some(AnswerMode::Passed);
+            return fits(PASSED_MARGIN_PERCENT).then_some(AnswerMode::Passed);
         }
-        let is_known = self.0.get(route).is_some_and(|times| times.whole.count() >= ENOUGH);
-        (is_known && fits(LATE_MARGIN)).then_some(AnswerMode::Held)
+        let has_enough_calls =
+            self.0.get(route).is_some_and(|times| times.total.count() >= MIN_CALLS);
+        (has_enough_calls && fits(HELD_MARGIN_PERCENT)).then_some(AnswerMode::Held)
     }
 }
 
-fn usual(now: Millis, times: &RecentTimes) -> Option<Millis> {
-    times.quantile(now, HALF_SPAN, USUAL)
+fn usual_time(now: Millis, times: &RecentTimes) -> Option<Millis> {
+    times.quantile(now, HALF_SPAN, USUAL_QUANTILE)
 }
 
 fn with_margin(time: Millis, percent: u64) -> Millis {
     Millis(time.0 * percent / 100)
 }
 
-/// How a call begins at an instance that stops.
+/// How a stopping instance delivers the answer to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerMode {
-    /// Its answer is passed on as it comes.
+    /// The answer is forwarded as it arrives.
     Passed,
-    /// Its answer is passed on once it is whole. If the instance ends before, the caller is told that the
-    /// outcome is unknown, and has no half of an answer.
+    /// The answer is buffered and forwarded once it is complete. If the instance ends before, the
+    /// caller is told that the outcome is unknown, and has no partial answer.
     Held,
 }
 
-/// Open connections of callers.
+/// Numbers of open connections of callers.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct OpenCalls {
-    /// Taken before the balancer had noticed.
+    /// Accepted before the balancer had noticed the stop.
     pub older: usize,
-    /// Taken since.
+    /// Accepted afterwards.
     pub later: usize,
 }
 
-/// What a stopping instance does with connections.
+/// How a stopping instance treats connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopPhase {
-    /// It takes them as before: until the balancer has noticed, it sends them here.
+    /// Connections are accepted as before: until the balancer has noticed, it sends them here.
     Announcing,
-    /// Each ends after the call that it carries. New ones are taken, as they are sent here only if too few
-    /// other instances are in rotation, and this one has to wait anyway.
+    /// Each connection is closed after its current call. New ones are accepted: they arrive only if
+    /// too few other instances are in rotation, and this one has to wait anyway.
     Draining,
-    /// All calls are refused, as new ones would put off the end for ever; those that are open are waited for.
-    /// The sooner it ends, the sooner it is back. It goes on listening: callers that find nobody try at once
-    /// with the few that stay. Three of 83 got some 900 calls a second, and answered one in ten.
+    /// All calls are refused, as new ones would postpone the end indefinitely; those in flight are
+    /// completed. The sooner the instance ends, the sooner it is back. It keeps listening: callers
+    /// that reach no instance retry at once with the few that remain. Three of 83 received some 900
+    /// calls a second, and answered one in ten.
     Refusing,
     /// The process may end.
     Ended,
 }
 
-/// A planned stop.
+/// The state of a planned stop.
 #[derive(Debug)]
 pub struct StopPlan {
     times: StopTimes,
@@ -190,7 +198,7 @@
         Self { times, phase: StopPhase::Announcing }
     }
 
-    /// Takes in what is open, and returns the phase. It never goes back.
+    /// Advances the stop, given the open connections, and returns the phase. Phases never go back.
     pub fn step(&mut self, now: Millis, open: OpenCalls) -> StopPhase {
         if now >= self.times.ends_at {
             self.phase = StopPhase::Ended;
--- a/coordination/dispatch/src/table.rs
+++ b/coordination/dispatch/src/table.rs
@@ -1,4 +1,4 @@
-//! Routes and accounts, looked up by what a call carries.
+//! Lookup of routes and accounts by the host, path and key of a call.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,14 +6,14 @@
 use sill_base::{Map, Name};
 use sill_tree::{Account, CallerBounds, Document, KeyHash, Pool, Route, Service, Share};
 
-/// The routes, pools and accounts of one revision.
+/// The routes, pools and accounts of one revision of the settings.
 #[derive(Debug, Default)]
 pub struct RouteTable {
-    /// The revision.
+    /// Revision of the settings.
     pub revision: u64,
-    /// Bounds on what callers send.
+    /// Bounds on what callers may send.
     pub bounds: CallerBounds,
-    /// Pools by name.
+    /// Pools of endpoints by service.
     pub pools: BTreeMap<Name, Pool>,
     /// Accounts by name.
     pub accounts: BTreeMap<Name, Arc<AccountEntry>>,
@@ -21,25 +21,25 @@
     by_key: Map<KeyHash, Arc<AccountEntry>>,
 }
 
-/// A route with its name.
+/// A route and its name.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteEntry {
-    /// Its name.
+    /// Name of the route in the settings.
     pub name: Name,
-    /// The route.
+    /// Host, path and services of the route.
     pub route: Route,
 }
 
-/// An account with its name.
+/// A client account and its name.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AccountEntry {
-    /// Its name.
+    /// Name of the account in the settings.
     pub name: Name,
-    /// The account.
+    /// Keys and limits of the account.
     pub account: Account,
 }
 
-/// A part of a table, ready to be joined with the others. Revisions share the parts that are the same.
+/// A part of a route table, ready to be joined with the others. Revisions share their equal parts.
 #[derive(Debug, Default)]
 pub struct TablePart {
     bounds: Option<CallerBounds>,
@@ -49,7 +49,7 @@
 }
 
 impl TablePart {
-    /// Makes the part that a document holds.
+    /// Creates the part for the entries of a document.
     pub fn of(document: Document) -> Self {
         let pools = document.services.into_iter().filter_map(|(name, service)| match service {
             Service::Pool(pool) => Some((name, pool)),
@@ -69,12 +69,12 @@
 }
 
 impl RouteTable {
-    /// Makes the table of a checked document.
+    /// Creates the table of a valid document.
     pub fn of(revision: u64, document: &Document) -> Self {
         Self::join(revision, &[Arc::new(TablePart::of(document.clone()))])
     }
 
-    /// Joins the parts of a checked document.
+    /// Joins the parts of a valid document.
     pub fn join(revision: u64, parts: &[Arc<TablePart>]) -> Self {
         let mut table = Self { revision, ..Self::default() };
         for part in parts {
@@ -98,29 +98,29 @@
         }
     }
 
-    /// Finds the route of a host with the longest path that begins `path`.
+    /// Returns the route of `host` with the longest path that is a prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteEntry>> {
         let of_host = self.by_host.get(host)?;
         let ends = path.char_indices().rev().filter(|(_, c)| *c == '/').map(|(i, _)| i + 1);
         ends.filter_map(|end| of_host.get(&path[..end])).next()
     }
 
-    /// Returns whether callers need keys.
+    /// Returns whether callers must present a key.
     pub fn has_accounts(&self) -> bool {
         !self.accounts.is_empty()
     }
 
-    /// Finds the account of a key.
+    /// Returns the account that a key belongs to.
     pub fn account_of(&self, key: &str) -> Option<&Arc<AccountEntry>> {
         self.by_key.get(&KeyHash::of(key))
     }
 }
 
 impl RouteEntry {
-    /// Returns the service for a draw between 0 and 1.
+    /// Returns the service for a random `draw` between 0 and 1.
     ///
-    /// Weights are taken as they are, also where a service has no endpoint at the moment: the
-    /// operator set them to move calls, and others would get more than it allowed.
+    /// The weights apply even if a service has no endpoint at the moment: the operator set them to
+    /// move calls, and other services would receive more than allowed.
     pub fn service(&self, draw: f64) -> &Name {
         let split = &self.route.split;
         let total: u32 = split.iter().map(|share| share.weight).sum();
--- a/coordination/dispatch/src/true_time.rs
+++ b/coordination/dispatch/src/true_time.rs
@@ -1,15 +1,15 @@
-//! True time of day out of many clocks of which some are wrong.
+//! True time of day from many clocks, some of which are wrong.
 
 use sill_base::{Map, Millis, Name};
 
-/// How long a reading counts.
-const FRESH: Millis = Millis(5000);
+/// How long a reading is valid.
+const READING_TTL: Millis = Millis(5000);
 
-/// Readings of the time of day at many instances, taken against the own steady clock.
+/// Readings of the time of day at many instances, relative to the local monotonic clock.
 ///
-/// Usage is charged by windows of the time of day. On some instances it jumps by seconds; a window
-/// cut by such a clock would be charged twice or not at all. The median is right as long as more
-/// than half of the clocks are.
+/// Usage is charged by windows of the time of day. On some instances the clock jumps by seconds; a
+/// window cut by such a clock would be charged twice or not at all. The median is right as long as
+/// more than half of the clocks are.
 #[derive(Debug, Default)]
 pub struct TrueTime {
     readings: Map<Name, Reading>,
@@ -17,26 +17,26 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Reading {
-    /// Time of day less steady time.
+    /// Time of day minus monotonic time.
     offset: Millis,
-    at: Millis,
+    taken_at: Millis,
 }
 
 impl TrueTime {
-    /// Takes in a reading.
+    /// Records the time of day at an instance.
     pub fn record(&mut self, now: Millis, instance: &Name, wall: Millis) {
-        self.readings.insert(instance.clone(), Reading { offset: wall - now, at: now });
+        self.readings.insert(instance.clone(), Reading { offset: wall - now, taken_at: now });
     }
 
-    /// Forgets old readings.
+    /// Drops readings that are no longer valid.
     pub fn expire(&mut self, now: Millis) {
-        self.readings.retain(|_, reading| now - reading.at < FRESH);
+        self.readings.retain(|_, reading| now - reading.taken_at < READING_TTL);
     }
 
-    /// Returns the time of day now, or none without a reading.
+    /// Returns the time of day, or `None` without a valid reading.
     pub fn time_of_day(&self, now: Millis) -> Option<Millis> {
-        let fresh = self.readings.values().filter(|reading| now - reading.at < FRESH);
-        let mut offsets: Vec<Millis> = fresh.map(|reading| reading.offset).collect();
+        let valid = self.readings.values().filter(|reading| now - reading.taken_at < READING_TTL);
+        let mut offsets: Vec<Millis> = valid.map(|reading| reading.offset).collect();
         offsets.sort();
         offsets.get(offsets.len() / 2).map(|offset| now + *offset)
     }
--- a/coordination/dispatch/tests/limit_restarts.rs
+++ b/coordination/dispatch/tests/limit_restarts.rs
@@ -10,87 +10,88 @@
 use sill_wire::Incarnation;
 use sill_wire::link::{EntryReport, LIMIT_WINDOW, Totals};
 
-/// What may come on top of a limit, as the users state it.
+/// Amount, and factor, by which a limit may be exceeded, as the users state them.
 const SLACK: f64 = 140_000.0;
 const OVERSHOOT: f64 = 1.1;
 
-/// What the account of the incident may use in a second, and a large one, for which the slack is little.
+/// Limits in tokens per second: a typical one, and a large one, in relation to which the slack is
+/// little.
 const RATES: [f64; 2] = [116_000.0, 280_000.0];
 
-const STEP: u64 = 10;
-const POLL: u64 = 250;
-const ADD_UP: u64 = 100;
+const STEP_MS: u64 = 10;
+const POLL_MS: u64 = 250;
+const AGGREGATION_MS: u64 = 100;
 
-/// Time that a report takes by way of another control instance, and totals on their way back.
-const PASSED_ON: u64 = 200;
+/// Delay of a report that another control instance forwards, and of the totals in return.
+const FORWARDING_MS: u64 = 200;
 
-/// Time for which what is killed is down.
-const DOWN: u64 = 500;
+/// Time for which a killed process is down.
+const DOWNTIME_MS: u64 = 500;
 
-/// Time that new control instances take until one leads.
-const ELECTION: u64 = 200;
+/// Time until one of the restarted control instances leads.
+const ELECTION_MS: u64 = 200;
 
-/// Time from the first word of a control instance until the settings are in force.
-const SETTINGS: u64 = 20;
+/// Time from the first reply of a control instance until the settings are in force.
+const SETTINGS_MS: u64 = 20;
 
-/// Time that calls wait for the first totals at an entry instance that has settings.
-const TOTALS_WAIT: u64 = 1200;
+/// Time for which calls wait for the first totals at an entry instance that has settings.
+const TOTALS_WAIT_MS: u64 = 1200;
 
-/// When the account begins to send more.
-const JUMP: u64 = 12_000;
+/// Time at which the demand of the account jumps.
+const JUMP_MS: u64 = 12_000;
 
-const END: u64 = 32_000;
+const END_MS: u64 = 32_000;
 
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    /// A part of the entry instances is killed.
+    /// Some of the entry instances are killed.
     Entries { at: u64, share: f64 },
     /// All control instances are killed.
     Control { at: u64 },
-    /// The first entry instances are cut off from control.
+    /// The first entry instances are cut off from the control instances.
     Cut { from: u64, until: u64, entries: usize },
 }
 
 struct Case {
     name: &'static str,
     entries: usize,
-    /// What the account asks for from the jump on, in parts of its limit.
+    /// Demand from the jump on, in multiples of the limit.
     asked: f64,
     faults: &'static [Fault],
 }
 
 struct Entry {
     name: Name,
-    life: u64,
+    incarnation: u64,
     sequence: u64,
     shares: LimitShares,
     up_at: u64,
-    /// When its settings are in force; none before its first word of a control instance.
+    /// When the settings are in force; `None` before the first reply of a control instance.
     ready_at: Option<u64>,
     has_limits: bool,
     next_poll: u64,
-    /// Calls that wait for the first totals.
+    /// Calls that wait for the first totals, by their tokens.
     waiting: Vec<f64>,
 }
 
 struct Leader {
     started: u64,
-    ledger: ReportStore,
-    adder: TotalsAggregator,
+    reports: ReportStore,
+    aggregator: TotalsAggregator,
     leads_at: u64,
     has_begun: bool,
     newest: Option<(Totals, u64)>,
 }
 
-struct World {
+struct Simulation {
     rng: Rng,
-    /// Tokens that the account may use in a second.
+    /// Limit of the account in tokens per second.
     rate: f64,
     entries: Vec<Entry>,
     leader: Leader,
-    passed_on: VecDeque<(u64, EntryReport)>,
+    forwarded: VecDeque<(u64, EntryReport)>,
     admitted: Vec<(u64, f64)>,
-    /// Calls from the jump on, and those of them that were refused.
+    /// Calls from the jump on, and how many of them were refused.
     asked: usize,
     refused: usize,
 }
@@ -111,21 +112,21 @@
 }
 
 impl Entry {
-    fn new(index: usize, life: u64, up_at: u64) -> Self {
+    fn new(index: usize, incarnation: u64, up_at: u64) -> Self {
         Self {
             name: format!("e{index}").into(),
-            life,
+            incarnation,
             sequence: 0,
             shares: LimitShares::new(LimitBounds { slack: SLACK }),
             up_at,
             ready_at: None,
             has_limits: false,
-            next_poll: up_at + index as u64 * 37 % POLL,
+            next_poll: up_at + index as u64 * 37 % POLL_MS,
             waiting: Vec::new(),
         }
     }
 
-    /// Returns the time of its own clock, which begins with it.
+    /// Returns the time since the start of the process, as its clock shows it.
     fn clock(&self, now: u64) -> Millis {
         Millis(now.saturating_sub(self.up_at))
     }
@@ -134,10 +135,10 @@
         now >= self.up_at && self.ready_at.is_some_and(|at| now >= at)
     }
 
-    /// Returns whether calls wait no longer for totals.
-    fn is_settled(&self, now: u64) -> bool {
+    /// Returns whether calls no longer wait for totals.
+    fn has_waited(&self, now: u64) -> bool {
         let has_totals = self.shares.entries_and_totals_age(self.clock(now)).1.is_some();
-        has_totals || self.ready_at.is_some_and(|at| now >= at + TOTALS_WAIT)
+        has_totals || self.ready_at.is_some_and(|at| now >= at + TOTALS_WAIT_MS)
     }
 
     fn report(&mut self, now: u64) -> EntryReport {
@@ -145,7 +146,7 @@
         let clock = self.clock(now);
         EntryReport {
             entry: self.name.clone(),
-            incarnation: Incarnation(self.life),
+            incarnation: Incarnation(self.incarnation),
             domain: "a".into(),
             sequence: self.sequence,
             wall: Millis(now),
@@ -162,37 +163,37 @@
 
 impl Leader {
     fn new(started: u64) -> Self {
-        let (ledger, adder) = (ReportStore::default(), TotalsAggregator::default());
-        let leads_at = started + ELECTION;
-        Self { started, ledger, adder, leads_at, has_begun: false, newest: None }
+        let (reports, aggregator) = (ReportStore::default(), TotalsAggregator::default());
+        let leads_at = started + ELECTION_MS;
+        Self { started, reports, aggregator, leads_at, has_begun: false, newest: None }
     }
 
-    /// Returns the time of its own clock, which begins with it.
+    /// Returns the time since the start of the process, as its clock shows it.
     fn clock(&self, now: u64) -> Millis {
         Millis(now.saturating_sub(self.started))
     }
 
     fn step(&mut self, now: u64) {
-        if now < self.leads_at || !now.is_multiple_of(ADD_UP) {
+        if now < self.leads_at || !now.is_multiple_of(AGGREGATION_MS) {
             return;
         }
         if !std::mem::replace(&mut self.has_begun, true) {
-            self.adder.begin(self.clock(now), None);
+            self.aggregator.begin(self.clock(now), None);
         }
-        if let Some(totals) = self.adder.aggregate(self.clock(now), &self.ledger) {
+        if let Some(totals) = self.aggregator.aggregate(self.clock(now), &self.reports) {
             self.newest = Some((totals, now));
         }
     }
 }
 
-impl World {
+impl Simulation {
     fn new(entries: usize, rate: f64, run: u64) -> Self {
         Self {
             rng: seeded(seed(run)),
             rate,
             entries: (0..entries).map(|index| Entry::new(index, 1, 0)).collect(),
             leader: Leader::new(0),
-            passed_on: VecDeque::new(),
+            forwarded: VecDeque::new(),
             admitted: Vec::new(),
             asked: 0,
             refused: 0,
@@ -200,43 +201,43 @@
     }
 
     fn run(&mut self, case: &Case) {
-        for now in (0..END).step_by(STEP as usize) {
-            self.strike(now, case);
+        for now in (0..END_MS).step_by(STEP_MS as usize) {
+            self.apply_faults(now, case);
             self.leader.step(now);
-            while self.passed_on.front().is_some_and(|(due, _)| *due <= now) {
-                let (_, report) = self.passed_on.pop_front().expect("one is due");
-                self.leader.ledger.record(self.leader.clock(now), report, false);
+            while self.forwarded.front().is_some_and(|(due, _)| *due <= now) {
+                let (_, report) = self.forwarded.pop_front().expect("a report is due");
+                self.leader.reports.record(self.leader.clock(now), report, false);
             }
             for index in 0..self.entries.len() {
                 self.poll(now, index, case);
             }
             for index in 0..self.entries.len() {
                 let entry = &mut self.entries[index];
-                if entry.is_settled(now) {
+                if entry.has_waited(now) {
                     let waiting = std::mem::take(&mut entry.waiting);
                     waiting.into_iter().for_each(|tokens| self.admit(now, index, tokens));
                 }
             }
-            // Traffic starts some seconds after the instances do.
+            // Traffic starts some seconds after the instances.
             if now >= 4000 {
                 self.calls(now, case);
             }
         }
     }
 
-    fn strike(&mut self, now: u64, case: &Case) {
+    fn apply_faults(&mut self, now: u64, case: &Case) {
         for fault in case.faults {
             match *fault {
                 Fault::Entries { at, share } if at == now => {
                     let killed = (share * self.entries.len() as f64).round() as usize;
                     for index in 0..killed {
-                        let life = self.entries[index].life + 1;
-                        self.entries[index] = Entry::new(index, life, now + DOWN);
+                        let incarnation = self.entries[index].incarnation + 1;
+                        self.entries[index] = Entry::new(index, incarnation, now + DOWNTIME_MS);
                     }
                 }
                 Fault::Control { at } if at == now => {
-                    self.leader = Leader::new(now + DOWN);
-                    self.passed_on.clear();
+                    self.leader = Leader::new(now + DOWNTIME_MS);
+                    self.forwarded.clear();
                 }
                 _ => {}
             }
@@ -249,7 +250,7 @@
             _ => false,
         });
         // Control instances that were killed answer nobody until one of them leads.
-        let is_answered = now + ELECTION >= self.leader.leads_at;
+        let is_answered = now + ELECTION_MS >= self.leader.leads_at;
         let entry = &mut self.entries[index];
         if now >= entry.up_at && !entry.has_limits && entry.ready_at.is_some_and(|at| now >= at) {
             let clock = entry.clock(now);
@@ -259,31 +260,31 @@
         if now < entry.up_at || now < entry.next_poll {
             return;
         }
-        entry.next_poll = now + POLL;
+        entry.next_poll = now + POLL_MS;
         if is_cut || !is_answered {
             return;
         }
         let report = entry.report(now);
         let is_direct = index.is_multiple_of(2);
         if is_direct {
-            self.leader.ledger.record(self.leader.clock(now), report, true);
+            self.leader.reports.record(self.leader.clock(now), report, true);
         } else {
-            self.passed_on.push_back((now + PASSED_ON, report));
+            self.forwarded.push_back((now + FORWARDING_MS, report));
         }
         if let Some((totals, at)) = &self.leader.newest {
-            let late = if is_direct { 0 } else { PASSED_ON };
-            let age = Millis(now - at + late);
+            let delay = if is_direct { 0 } else { FORWARDING_MS };
+            let age = Millis(now - at + delay);
             let entry = &mut self.entries[index];
             let clock = entry.clock(now);
             entry.shares.set_totals(clock, &Totals { age, ..totals.clone() });
         }
-        self.entries[index].ready_at.get_or_insert(now + SETTINGS);
+        self.entries[index].ready_at.get_or_insert(now + SETTINGS_MS);
     }
 
     fn calls(&mut self, now: u64, case: &Case) {
         const MEAN: f64 = 8400.0;
-        let demand = if now < JUMP { 0.55 } else { case.asked };
-        let calls = demand * self.rate / MEAN * STEP as f64 / 1000.0;
+        let demand = if now < JUMP_MS { 0.55 } else { case.asked };
+        let calls = demand * self.rate / MEAN * STEP_MS as f64 / 1000.0;
         let whole = calls as usize + usize::from(self.rng.random::<f64>() < calls.fract());
         for _ in 0..whole {
             self.call(now);
@@ -300,7 +301,7 @@
         }
         let index = ready[self.rng.random_range(0..ready.len())];
         let entry = &mut self.entries[index];
-        if entry.shares.needs_totals(&account(), tokens) && !entry.is_settled(now) {
+        if entry.shares.needs_totals(&account(), tokens) && !entry.has_waited(now) {
             entry.waiting.push(tokens);
         } else {
             self.admit(now, index, tokens);
@@ -310,17 +311,17 @@
     fn admit(&mut self, now: u64, index: usize, tokens: f64) {
         let entry = &mut self.entries[index];
         let clock = entry.clock(now);
-        let is_let_in = entry.shares.admit(clock, &account(), tokens).is_ok();
-        if is_let_in {
+        let is_admitted = entry.shares.admit(clock, &account(), tokens).is_ok();
+        if is_admitted {
             self.admitted.push((now, tokens));
         }
-        if now >= JUMP {
+        if now >= JUMP_MS {
             self.asked += 1;
-            self.refused += usize::from(!is_let_in);
+            self.refused += usize::from(!is_admitted);
         }
     }
 
-    /// Returns the most tokens admitted in any window.
+    /// Returns the largest number of tokens admitted in any window.
     fn busiest_window(&self) -> f64 {
         let (mut most, mut sum, mut first) = (0.0, 0.0, 0);
         for (at, tokens) in &self.admitted {
@@ -334,23 +335,24 @@
         most
     }
 
-    /// Returns what was admitted in a span, in parts of what the account is owed in it.
+    /// Returns the tokens admitted in a span, as a part of the limit.
     fn used(&self, from: u64, until: u64) -> f64 {
         let within = self.admitted.iter().filter(|(at, _)| (from..until).contains(at));
         within.map(|(_, tokens)| tokens).sum::<f64>() / (self.rate * (until - from) as f64 / 1000.0)
     }
 }
 
-fn stays_within_its_limit(cases: &[Case]) {
+fn assert_stays_within_limit(cases: &[Case]) {
     let mut broken = Vec::new();
     for case in cases {
         let name = case.name;
         for (rate, run) in RATES.into_iter().flat_map(|rate| (0..4).map(move |run| (rate, run))) {
-            let mut world = World::new(case.entries, rate, run);
-            world.run(case);
-            let (part, used) = (world.busiest_window() / allowed(rate), world.used(JUMP, END));
+            let mut simulation = Simulation::new(case.entries, rate, run);
+            simulation.run(case);
+            let (part, used) =
+                (simulation.busiest_window() / allowed(rate), simulation.used(JUMP_MS, END_MS));
             let line = format!(
-                "{name} at {rate}/s, run {run}: {part:.3} of what is allowed, uses {used:.2}"
+                "{name} at {rate}/s, run {run}: {part:.3} of allowed, {used:.2} of limit used"
             );
             println!("{line}");
             if part > 1.0 || used < 0.8 {
@@ -358,15 +360,15 @@
             }
         }
     }
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(broken.is_empty(), "limit exceeded, or less than 0.8 of it used: {broken:#?}");
 }
 
-/// Control instances restart beside a demand beyond the limit: the first sums of the new leader are made of a few
-/// reports, and lack those that are cut off.
+/// Control instances restart while demand exceeds the limit. The first totals of the new leader are
+/// made of a few reports, and lack the entry instances that are cut off.
 #[test]
-fn a_restart_of_control_does_not_raise_a_limit() {
+fn a_restart_of_control_instances_does_not_raise_a_limit() {
     const CUT: Fault = Fault::Cut { from: 13_000, until: 20_000, entries: 3 };
-    stays_within_its_limit(&[
+    assert_stays_within_limit(&[
         Case { name: "control", entries: 8, asked: 4.4, faults: &[Fault::Control { at: 14_100 }] },
         Case { name: "cut", entries: 8, asked: 4.4, faults: &[CUT] },
         Case {
@@ -387,10 +389,11 @@
     ]);
 }
 
-/// Entry instances restart beside a demand beyond the limit: each life began its count of what it admitted anew.
+/// Entry instances restart while demand exceeds the limit. Each new process began its count of
+/// admitted tokens at zero.
 #[test]
 fn restarts_of_entry_instances_do_not_raise_a_limit() {
-    stays_within_its_limit(&[
+    assert_stays_within_limit(&[
         Case {
             name: "six in ten, twice",
             entries: 8,
@@ -434,10 +437,10 @@
     ]);
 }
 
-/// Instances restart beside an account that keeps to its limit: counted for more than it used, its callers would get
-/// 429 after each deploy.
+/// Instances restart while an account stays within its limit. If it were counted for more than it
+/// used, its callers would receive 429 after each deployment.
 #[test]
-fn restarts_refuse_nobody_who_keeps_to_a_limit() {
+fn restarts_do_not_refuse_accounts_within_their_limit() {
     const ENTRIES: &[Fault] =
         &[Fault::Entries { at: 17_000, share: 0.6 }, Fault::Entries { at: 21_000, share: 0.6 }];
     const CONTROL: &[Fault] = &[Fault::Control { at: 17_000 }];
@@ -455,10 +458,15 @@
         case("many, all", 94, ALL),
     ];
     for case in cases {
-        let mut world = World::new(case.entries, RATES[0], 1);
-        world.run(&case);
-        let refused = world.refused as f64 / world.asked as f64;
-        println!("{}, {} entries: {refused:.4} refused", case.name, case.entries);
-        assert!(refused <= 0.01, "{}: {refused:.4} refused of {}", case.name, world.asked);
+        let mut simulation = Simulation::new(case.entries, RATES[0], 1);
+        simulation.run(&case);
+        let refused = simulation.refused as f64 / simulation.asked as f64;
+        println!("{}, {} entries: {refused:.4} of calls refused", case.name, case.entries);
+        assert!(
+            refused <= 0.01,
+            "{}: {refused:.4} of {} calls refused",
+            case.name,
+            simulation.asked
+        );
     }
 }
--- a/coordination/dispatch/tests/loads.rs
+++ b/coordination/dispatch/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Loads of endpoints, passed on between many entry instances.
+//! Distribution of endpoint loads among many entry instances.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 
 const SLOTS: u32 = 24;
 
-fn word(endpoint: &str, born: u64, running: u32, age: u64) -> LoadWord {
+fn load(endpoint: &str, born: u64, running: u32, age: u64) -> LoadWord {
     let born = Incarnation(born);
     LoadWord { endpoint: endpoint.into(), born, running, queued: 0, age: Millis(age) }
 }
@@ -43,7 +43,7 @@
     Pool::new(PoolCfg { service, domain, is_engine: true, cache_tokens: 500_000, seed })
 }
 
-/// Where a call went that was answered by `e1`.
+/// Returns the placement of a call that `e1` answered.
 fn place() -> Placement {
     Placement {
         endpoint: "e1".into(),
@@ -56,78 +56,85 @@
 }
 
 #[test]
-fn the_newest_load_is_told_once_to_each_reader() {
+fn the_newest_load_is_sent_once_to_each_reader() {
     let mut loads = EndpointLoads::default();
-    loads.record(Millis(1000), vec![word("e1", 0, 5, 100), word("e2", 0, 7, 0)]);
-    let (seen, told) = loads.newer_than(Millis(1000), 0);
-    assert_eq!(told.len(), 2);
+    loads.record(Millis(1000), vec![load("e1", 0, 5, 100), load("e2", 0, 7, 0)]);
+    let (seen, received) = loads.newer_than(Millis(1000), 0);
+    assert_eq!(received.len(), 2);
     assert!(loads.newer_than(Millis(1000), seen).1.is_empty());
-    // An older word comes later, through another entry instance.
-    loads.record(Millis(1050), vec![word("e1", 0, 1, 300)]);
+    // An older load arrives later, by way of another entry instance.
+    loads.record(Millis(1050), vec![load("e1", 0, 1, 300)]);
     assert!(loads.newer_than(Millis(1050), seen).1.is_empty());
-    loads.record(Millis(1100), vec![word("e1", 0, 9, 0)]);
-    let (_, told) = loads.newer_than(Millis(1150), seen);
-    assert_eq!(told, [word("e1", 0, 9, 50)]);
+    loads.record(Millis(1100), vec![load("e1", 0, 9, 0)]);
+    let (_, received) = loads.newer_than(Millis(1150), seen);
+    assert_eq!(received, [load("e1", 0, 9, 50)]);
 }
 
 #[test]
-fn a_frozen_or_false_word_has_a_bounded_effect() {
-    // An entry instance freezes and tells loads of long ago, an endpoint has started again, or a word names
-    // an endpoint that nobody knows. None of them may make a busy endpoint look idle.
+fn stale_and_false_loads_are_ignored() {
+    // An entry instance freezes and reports old loads, an endpoint has restarted, or a report names
+    // an unknown endpoint. None of these may make a busy endpoint look idle.
     struct Case {
         name: &'static str,
-        word: LoadWord,
+        load: LoadWord,
     }
     let cases = [
-        Case { name: "older than what it told here", word: word("e1", 3, 0, 500) },
-        Case { name: "of an earlier life", word: word("e1", 2, 0, 0) },
-        Case { name: "of an unknown endpoint", word: word("e9", 3, 0, 0) },
+        Case { name: "older than the load reported here", load: load("e1", 3, 0, 500) },
+        Case { name: "of an earlier incarnation", load: load("e1", 2, 0, 0) },
+        Case { name: "of an unknown endpoint", load: load("e9", 3, 0, 0) },
     ];
-    for Case { name, word } in cases {
+    for Case { name, load } in cases {
         let mut pool = pool(1);
         pool.update_endpoint(Millis(1000), &fact(&"e1".into(), 3));
         let place = place();
         pool.record_load(Millis(1200), &place, 20, 0);
-        pool.record_remote_load(Millis(1300), &word);
-        let told: Vec<LoadWord> = pool.recent_loads(Millis(1300), Millis(600)).collect();
-        assert_eq!(told, [LoadWord { age: Millis(100), ..self::word("e1", 3, 20, 0) }], "{name}");
+        pool.record_remote_load(Millis(1300), &load);
+        let received: Vec<LoadWord> = pool.recent_loads(Millis(1300), Millis(600)).collect();
+        assert_eq!(
+            received,
+            [LoadWord { age: Millis(100), ..self::load("e1", 3, 20, 0) }],
+            "{name}"
+        );
     }
     let mut loads = EndpointLoads::default();
-    loads.record(Millis(5000), vec![word("e1", 0, 5, 4000)]);
-    assert!(loads.newer_than(Millis(5000), 0).1.is_empty(), "it is too old to say anything");
-    loads.record(Millis(5000), vec![word("e1", 0, 5, 0)]);
+    loads.record(Millis(5000), vec![load("e1", 0, 5, 4000)]);
+    assert!(loads.newer_than(Millis(5000), 0).1.is_empty(), "a load of 4 s ago was sent");
+    loads.record(Millis(5000), vec![load("e1", 0, 5, 0)]);
     loads.record(Millis(6500), Vec::new());
-    assert!(loads.newer_than(Millis(6500), 0).1.is_empty(), "it has become too old");
+    assert!(
+        loads.newer_than(Millis(6500), 0).1.is_empty(),
+        "a load was sent 1.5 s after it was recorded"
+    );
 }
 
 #[test]
-fn an_endpoint_that_refuses_as_full_is_full_whatever_load_it_tells() {
-    // An endpoint refuses a call and names its load in the same answer. Taken for idle, it would get the
-    // caller's next try, and refuse that as well.
+fn an_endpoint_that_refuses_as_full_counts_as_full_whatever_load_it_reports() {
+    // An endpoint refuses a call and reports its load in the same answer. If that load counted, the
+    // endpoint would look idle, receive the retry, and refuse that as well.
     let mut pool = pool(1);
     pool.update_endpoint(Millis(1000), &fact(&"e1".into(), 3));
     let place = place();
     pool.record_load(Millis(1200), &place, 2, 0);
     pool.mark_full(Millis(1200), &place);
-    let told: Vec<LoadWord> = pool.recent_loads(Millis(1200), Millis(600)).collect();
-    assert_eq!(told, [LoadWord { queued: SLOTS, ..word("e1", 3, SLOTS, 0) }]);
+    let received: Vec<LoadWord> = pool.recent_loads(Millis(1200), Millis(600)).collect();
+    assert_eq!(received, [LoadWord { queued: SLOTS, ..load("e1", 3, SLOTS, 0) }]);
 }
 
-/// Many entry instances before a few endpoints that tell their load with each answer.
-struct World {
+/// Many entry instances and a few endpoints that report their load with each answer.
+struct Simulation {
     entries: Vec<Pool>,
-    passes_on: bool,
+    has_distribution: bool,
     loads: EndpointLoads,
     seen: Vec<u64>,
     running: BTreeMap<Name, u32>,
-    /// Calls by when they end.
+    /// Calls in flight by the time of their end.
     open: BTreeMap<(Millis, u64), (usize, Placement, Name)>,
-    /// How many ran at the endpoint when each call came, beyond its slots.
+    /// For each call, the requests without a slot at its endpoint when it arrived.
     waited: Vec<u32>,
 }
 
-impl World {
-    fn new(entries: usize, endpoints: usize, passes_on: bool) -> Self {
+impl Simulation {
+    fn new(entries: usize, endpoints: usize, has_distribution: bool) -> Self {
         let names: Vec<Name> = (0..endpoints).map(|i| format!("e{i}").into()).collect();
         let entries = (0..entries).map(|i| {
             let mut pool = pool(i as u64);
@@ -140,13 +147,13 @@
         let seen = vec![0; entries.len()];
         let running = names.into_iter().map(|name| (name, 0)).collect();
         let (loads, open, waited) = (EndpointLoads::default(), BTreeMap::new(), Vec::new());
-        Self { entries, passes_on, loads, seen, running, open, waited }
+        Self { entries, has_distribution, loads, seen, running, open, waited }
     }
 
     fn end_calls(&mut self, now: Millis) {
         while let Some(entry) = self.open.first_entry().filter(|entry| entry.key().0 <= now) {
             let (i, place, attempt) = entry.remove();
-            *self.running.get_mut(&place.endpoint).expect("it is there") -= 1;
+            *self.running.get_mut(&place.endpoint).expect("the endpoint exists") -= 1;
             self.entries[i].finish_attempt(now, &place, &attempt, Outcome::Finished);
         }
     }
@@ -165,49 +172,51 @@
             exclude: Vec::new(),
         };
         let PlacementDecision::Endpoint(place) = self.entries[i].place(now, &ask) else { return };
-        let running = self.running.get_mut(&place.endpoint).expect("it is there");
+        let running = self.running.get_mut(&place.endpoint).expect("the endpoint exists");
         self.waited.push(running.saturating_sub(SLOTS - 1));
         *running += 1;
         let running = *running;
         self.entries[i].record_first_part(now, &place, &attempt);
         self.entries[i].record_load(now, &place, running, 0);
-        let takes = Millis(rng.random_range(500..2500));
-        self.open.insert((now + takes, number), (i, place, attempt));
+        let duration = Millis(rng.random_range(500..2500));
+        self.open.insert((now + duration, number), (i, place, attempt));
     }
 
     fn poll(&mut self, now: Millis, i: usize) {
-        if !self.passes_on {
+        if !self.has_distribution {
             return;
         }
-        let words: Vec<LoadWord> = self.entries[i].recent_loads(now, Millis(600)).collect();
-        self.loads.record(now, words);
-        let (seen, told) = self.loads.newer_than(now, self.seen[i]);
+        let loads: Vec<LoadWord> = self.entries[i].recent_loads(now, Millis(600)).collect();
+        self.loads.record(now, loads);
+        let (seen, received) = self.loads.newer_than(now, self.seen[i]);
         self.seen[i] = seen;
-        told.iter().for_each(|word| self.entries[i].record_remote_load(now, word));
+        received.iter().for_each(|load| self.entries[i].record_remote_load(now, load));
     }
 }
 
-/// Returns the part of calls that met an endpoint without a free slot.
-fn play(passes_on: bool) -> f64 {
+/// Returns the part of the calls that arrived at an endpoint without a free slot.
+fn simulate(has_distribution: bool) -> f64 {
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut world = World::new(94, 20, passes_on);
+    let mut simulation = Simulation::new(94, 20, has_distribution);
     for number in 0..6000_u64 {
         let now = Millis(1000 + number * 5);
-        world.end_calls(now);
-        world.call(now, number, &mut rng);
+        simulation.end_calls(now);
+        simulation.call(now, number, &mut rng);
         let polls = (0..94).filter(|i| (now.0 / 5 + i).is_multiple_of(50));
-        polls.for_each(|i| world.poll(now, i as usize));
+        polls.for_each(|i| simulation.poll(now, i as usize));
     }
-    let late = world.waited.iter().filter(|waited| **waited > 0).count();
-    late as f64 / world.waited.len() as f64
+    let waiting = simulation.waited.iter().filter(|waited| **waited > 0).count();
+    waiting as f64 / simulation.waited.len() as f64
 }
 
-/// Ninety-four entry instances place 200 calls a second at twenty endpoints that have slots for 1.6 times as
-/// many. Each has an answer from an endpoint every nine seconds only; going by that, endpoints without a free
-/// slot and nearly idle ones look the same, and callers wait for their first words beside idle engines.
+/// 94 entry instances place 200 calls per second at twenty endpoints that have slots for 1.6 times
+/// as many. Each receives an answer from a given endpoint only every nine seconds. By these alone,
+/// full and nearly idle endpoints look alike, and calls queue while other engines are idle.
 #[test]
 fn calls_of_many_entry_instances_find_free_slots() {
-    let (alone, together) = (play(false), play(true));
-    println!("calls without a free slot: {alone:.3} alone, {together:.3} with loads passed on");
+    let (alone, together) = (simulate(false), simulate(true));
+    println!(
+        "calls without a free slot: {alone:.3} without distributed loads, {together:.3} with them"
+    );
     assert!(together < 0.02, "{together:.3} of the calls met an endpoint without a free slot");
 }
--- a/coordination/dispatch/tests/registry.rs
+++ b/coordination/dispatch/tests/registry.rs
@@ -1,4 +1,4 @@
-//! What control instances know of endpoints, and what they tell each other.
+//! What control instances know of endpoints, and what they send each other.
 
 mod support;
 
@@ -6,52 +6,55 @@
 use sill_dispatch::Registry;
 use sill_wire::Incarnation;
 use sill_wire::link::{Cursor, EndpointFact, EndpointState};
-use support::born;
+use support::heartbeat;
 
-/// How often endpoints make themselves heard.
-const HEARTBEAT: Millis = Millis(1200);
+/// Interval between the heartbeats of an endpoint.
+const HEARTBEAT_INTERVAL: Millis = Millis(1200);
 
-/// Returns a heartbeat of an endpoint that doesn't tell its life.
+/// Returns a heartbeat of an endpoint that does not report its incarnation.
 fn fact(sequence: u64, state: EndpointState) -> EndpointFact {
-    born(0, sequence, state)
+    heartbeat(0, sequence, state)
 }
 
-fn registry(life: u64) -> Registry {
-    Registry::new(Incarnation(life), HEARTBEAT)
+fn registry(incarnation: u64) -> Registry {
+    Registry::new(Incarnation(incarnation), HEARTBEAT_INTERVAL)
 }
 
-/// Passes on what one heard, as control instances do.
-fn pass_on(from: &mut Registry, to: &mut Registry, now: Millis) {
+/// Sends the heartbeats received at one control instance to another one.
+fn forward(from: &mut Registry, to: &mut Registry, now: Millis) {
     for fact in from.take_direct(now) {
         to.merge(now, fact);
     }
 }
 
-/// Returns what an entry instance that knows nothing would be told.
-fn told(registry: &Registry, now: Millis) -> Vec<(Name, EndpointState)> {
+/// Returns the endpoint states that an entry instance without any state would receive.
+fn sent_states(registry: &Registry, now: Millis) -> Vec<(Name, EndpointState)> {
     let facts = registry.newer_than(now, Cursor::default());
     facts.into_iter().map(|fact| (fact.endpoint, fact.state)).collect()
 }
 
-/// An endpoint tells one control instance that it is ready, and a moment later another one that it
-/// ends. The second has not heard of it yet. Were its word dropped, entry instances would send it
-/// requests until it falls silent; each waits for its deadline in vain.
+/// An endpoint reports to one control instance that it is ready, and a moment later to another one
+/// that it ends. The second one does not know it yet. If the end were dropped, entry instances
+/// would send requests to the endpoint until it counts as silent, and each would time out.
 #[test]
-fn an_end_that_comes_before_the_beginning_is_kept() {
+fn an_end_received_before_the_first_heartbeat_is_kept() {
     let (mut a, mut b) = (registry(1), registry(2));
     a.record_heartbeat(Millis(1000), fact(1, EndpointState::Ready));
-    assert!(b.record_end(Millis(1100), &"e1".into(), None), "it is news to the others");
-    pass_on(&mut b, &mut a, Millis(1150));
-    pass_on(&mut a, &mut b, Millis(1200));
+    assert!(
+        b.record_end(Millis(1100), &"e1".into(), None),
+        "the end must be forwarded to other control instances"
+    );
+    forward(&mut b, &mut a, Millis(1150));
+    forward(&mut a, &mut b, Millis(1200));
     for registry in [&a, &b] {
-        assert_eq!(told(registry, Millis(1200)), [("e1".into(), EndpointState::Gone)]);
+        assert_eq!(sent_states(registry, Millis(1200)), [("e1".into(), EndpointState::Gone)]);
     }
 }
 
-/// Heartbeats are late or overtake each other. One from before the endpoint said that it leaves must
-/// not bring it back.
+/// Heartbeats are delayed or reordered. One from before the endpoint reported that it leaves must
+/// not make it ready again.
 #[test]
-fn an_endpoint_that_leaves_never_comes_back() {
+fn a_leaving_endpoint_never_becomes_ready_again() {
     struct Case {
         name: &'static str,
         then: EndpointFact,
@@ -64,42 +67,43 @@
             expected: EndpointState::Leaving,
         },
         Case {
-            name: "a newer one that says ready",
+            name: "a newer heartbeat, ready",
             then: fact(9, EndpointState::Ready),
             expected: EndpointState::Leaving,
         },
-        Case {
-            name: "that it ends",
-            then: fact(3, EndpointState::Gone),
-            expected: EndpointState::Gone,
-        },
+        Case { name: "the end", then: fact(3, EndpointState::Gone), expected: EndpointState::Gone },
     ];
     for case in cases {
         let mut registry = registry(1);
         registry.record_heartbeat(Millis(1000), fact(1, EndpointState::Ready));
         registry.record_heartbeat(Millis(2000), fact(2, EndpointState::Leaving));
         registry.record_heartbeat(Millis(2100), case.then);
-        assert_eq!(told(&registry, Millis(2100)), [("e1".into(), case.expected)], "{}", case.name);
+        assert_eq!(
+            sent_states(&registry, Millis(2100)),
+            [("e1".into(), case.expected)],
+            "{}",
+            case.name
+        );
     }
 }
 
-/// An endpoint behind a cut is not heard of for a while. It counts as silent, so that requests go
-/// elsewhere, and is back with its first heartbeat after the cut.
+/// No heartbeats arrive from an endpoint that is cut off. It counts as silent, so that requests go
+/// elsewhere, and is ready again with its first heartbeat after the partition.
 #[test]
-fn a_silent_endpoint_is_back_once_it_is_heard_of() {
+fn a_silent_endpoint_is_ready_again_after_its_next_heartbeat() {
     let mut registry = registry(1);
     registry.record_heartbeat(Millis(1000), fact(1, EndpointState::Ready));
     assert!(!registry.expire(Millis(4000)));
     assert!(registry.expire(Millis(5000)));
-    assert_eq!(told(&registry, Millis(5000)), [("e1".into(), EndpointState::Silent)]);
+    assert_eq!(sent_states(&registry, Millis(5000)), [("e1".into(), EndpointState::Silent)]);
     assert!(registry.record_heartbeat(Millis(6000), fact(5, EndpointState::Ready)));
-    assert_eq!(told(&registry, Millis(6000)), [("e1".into(), EndpointState::Ready)]);
+    assert_eq!(sent_states(&registry, Millis(6000)), [("e1".into(), EndpointState::Ready)]);
 }
 
-/// A control instance that is cut off from an endpoint's failure domain must not have others believe
-/// that the endpoint is silent.
+/// A control instance that is cut off from an endpoint's failure domain must not make others
+/// believe that the endpoint is silent.
 #[test]
-fn silence_is_not_passed_on() {
+fn silence_is_not_forwarded_to_other_control_instances() {
     let (mut a, mut b) = (registry(1), registry(2));
     for registry in [&mut a, &mut b] {
         registry.record_heartbeat(Millis(1000), fact(1, EndpointState::Ready));
@@ -108,71 +112,83 @@
     a.all(Millis(6000)).into_iter().for_each(|fact| {
         b.merge(Millis(6000), fact);
     });
-    assert_eq!(told(&b, Millis(6000)), [("e1".into(), EndpointState::Ready)]);
+    assert_eq!(sent_states(&b, Millis(6000)), [("e1".into(), EndpointState::Ready)]);
 }
 
-/// An entry instance that follows another life of a control instance gets everything; one that is up
-/// to date gets nothing.
+/// An entry instance whose cursor is of another incarnation of the control instance receives
+/// everything; one that is up to date receives nothing.
 #[test]
-fn only_what_changed_is_told() {
+fn only_changed_endpoints_are_sent() {
     let mut registry = registry(1);
     registry.record_heartbeat(Millis(1000), fact(1, EndpointState::Ready));
     let cursor = registry.cursor();
     registry.record_heartbeat(Millis(2200), fact(2, EndpointState::Ready));
     assert!(registry.newer_than(Millis(2200), cursor).is_empty());
-    let of_other_life = Cursor { life: Incarnation(7), ..cursor };
-    assert_eq!(registry.newer_than(Millis(2200), of_other_life).len(), 1);
+    let of_other_incarnation = Cursor { life: Incarnation(7), ..cursor };
+    assert_eq!(registry.newer_than(Millis(2200), of_other_incarnation).len(), 1);
 }
 
-/// An endpoint crashes and starts again under the name that it had, and counts its heartbeats from one.
-/// Compared by that count alone, the new life is ignored for as long as the old one lasted, and its callers
-/// find one endpoint less; or a heartbeat of the old life that was held up by a cut comes last, and
-/// requests go to an address where nothing listens any more.
+/// An endpoint crashes, restarts under the same name, and counts its heartbeats from one. Compared
+/// by that count alone, the new incarnation is ignored for as long as the old one lasted, and
+/// callers have one endpoint less; or a delayed heartbeat of the old incarnation arrives last, and
+/// requests are sent to an address where nothing listens.
 #[test]
-fn a_restart_under_the_same_name_replaces_the_old_life() {
+fn a_restart_under_the_same_name_replaces_the_old_incarnation() {
     struct Case {
         name: &'static str,
-        words: Vec<EndpointFact>,
+        heartbeats: Vec<EndpointFact>,
         expected: (u64, EndpointState),
     }
     let cases = [
         Case {
-            name: "the new life counts anew",
-            words: vec![born(5, 90, EndpointState::Ready), born(7, 1, EndpointState::Ready)],
+            name: "the new incarnation counts from one",
+            heartbeats: vec![
+                heartbeat(5, 90, EndpointState::Ready),
+                heartbeat(7, 1, EndpointState::Ready),
+            ],
             expected: (7, EndpointState::Ready),
         },
         Case {
-            name: "the old life had left",
-            words: vec![born(5, 90, EndpointState::Leaving), born(7, 1, EndpointState::Ready)],
+            name: "the old incarnation was leaving",
+            heartbeats: vec![
+                heartbeat(5, 90, EndpointState::Leaving),
+                heartbeat(7, 1, EndpointState::Ready),
+            ],
             expected: (7, EndpointState::Ready),
         },
         Case {
-            name: "the old life is heard last",
-            words: vec![
-                born(5, 1, EndpointState::Ready),
-                born(7, 1, EndpointState::Ready),
-                born(5, 91, EndpointState::Leaving),
+            name: "a heartbeat of the old incarnation arrives last",
+            heartbeats: vec![
+                heartbeat(5, 1, EndpointState::Ready),
+                heartbeat(7, 1, EndpointState::Ready),
+                heartbeat(5, 91, EndpointState::Leaving),
             ],
             expected: (7, EndpointState::Ready),
         },
         Case {
-            name: "the old life ends last",
-            words: vec![born(7, 1, EndpointState::Ready), born(5, 91, EndpointState::Gone)],
+            name: "the end of the old incarnation arrives last",
+            heartbeats: vec![
+                heartbeat(7, 1, EndpointState::Ready),
+                heartbeat(5, 91, EndpointState::Gone),
+            ],
             expected: (7, EndpointState::Ready),
         },
         Case {
-            name: "the new life leaves",
-            words: vec![born(5, 90, EndpointState::Ready), born(7, 1, EndpointState::Leaving)],
+            name: "the new incarnation leaves",
+            heartbeats: vec![
+                heartbeat(5, 90, EndpointState::Ready),
+                heartbeat(7, 1, EndpointState::Leaving),
+            ],
             expected: (7, EndpointState::Leaving),
         },
     ];
     for case in cases {
         let (mut a, mut b) = (registry(1), registry(2));
-        for (i, word) in case.words.into_iter().enumerate() {
+        for (i, fact) in case.heartbeats.into_iter().enumerate() {
             let now = Millis(1000 + i as u64);
-            a.record_heartbeat(now, word);
-            // Each change is passed on at once; all of them once more, in the end, by another way.
-            pass_on(&mut a, &mut b, now);
+            a.record_heartbeat(now, fact);
+            // Each change is sent at once, and all of them again at the end.
+            forward(&mut a, &mut b, now);
         }
         a.all(Millis(1100)).into_iter().for_each(|fact| {
             b.merge(Millis(1100), fact);
@@ -185,30 +201,31 @@
     }
 }
 
-/// An endpoint says that it ends to a control instance that has not heard of it, and doesn't tell which
-/// life that is. Taken for an old one, the end is dropped, and its requests go nowhere.
+/// An endpoint reports its end to a control instance that does not know it, without its
+/// incarnation. If that counted as an old incarnation, the end would be dropped and requests would
+/// be lost.
 #[test]
-fn an_end_without_a_life_means_the_life_that_is_known() {
+fn an_end_without_an_incarnation_ends_the_known_one() {
     let (mut a, mut b) = (registry(1), registry(2));
-    a.record_heartbeat(Millis(1000), born(5, 1, EndpointState::Ready));
+    a.record_heartbeat(Millis(1000), heartbeat(5, 1, EndpointState::Ready));
     b.record_end(Millis(1100), &"e1".into(), None);
-    pass_on(&mut b, &mut a, Millis(1150));
-    assert_eq!(told(&a, Millis(1200)), [("e1".into(), EndpointState::Gone)]);
+    forward(&mut b, &mut a, Millis(1150));
+    assert_eq!(sent_states(&a, Millis(1200)), [("e1".into(), EndpointState::Gone)]);
 }
 
-/// Something else writes heartbeats under the name of an endpoint, for another service. Taken in, they
-/// take the endpoint away from its callers.
+/// Another sender uses the name of an endpoint in heartbeats for another service. If these were
+/// merged, the endpoint would be lost to its callers.
 #[test]
-fn an_endpoint_keeps_its_service_and_failure_domain_for_life() {
-    let foreign = [
-        EndpointFact { service: "other".into(), ..born(5, 2, EndpointState::Ready) },
-        EndpointFact { domain: "elsewhere".into(), ..born(5, 2, EndpointState::Gone) },
+fn an_incarnation_can_not_change_its_service_or_failure_domain() {
+    let contradictory = [
+        EndpointFact { service: "other".into(), ..heartbeat(5, 2, EndpointState::Ready) },
+        EndpointFact { domain: "elsewhere".into(), ..heartbeat(5, 2, EndpointState::Gone) },
     ];
-    for word in foreign {
+    for fact in contradictory {
         let mut registry = registry(1);
-        registry.record_heartbeat(Millis(1000), born(5, 1, EndpointState::Ready));
-        assert!(registry.is_contradictory(&word));
-        assert!(!registry.merge(Millis(1100), word));
-        assert_eq!(told(&registry, Millis(1200)), [("e1".into(), EndpointState::Ready)]);
+        registry.record_heartbeat(Millis(1000), heartbeat(5, 1, EndpointState::Ready));
+        assert!(registry.is_contradictory(&fact));
+        assert!(!registry.merge(Millis(1100), fact));
+        assert_eq!(sent_states(&registry, Millis(1200)), [("e1".into(), EndpointState::Ready)]);
     }
 }
--- a/coordination/dispatch/tests/settings.rs
+++ b/coordination/dispatch/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that come in pieces: out of order, damaged, and overtaken on their way.
+//! Settings whose pieces arrive out of order, damaged, or after a newer revision.
 
 use rand::rngs::SmallRng;
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -38,7 +38,7 @@
     (manifest, pieces.into_iter().map(|piece| (piece.id.clone(), piece)).collect())
 }
 
-/// Checks that a table has each route as its document does.
+/// Checks that the table contains every route of the document.
 fn check(table: &RouteTable, document: &Document, routes: usize) {
     for i in 0..routes {
         let found = table.find(&format!("h{}", i % 3), &format!("/p{i}/x"));
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn a_garbled_piece_costs_itself_only() {
-    // Bits flip on the way, or a control instance hands out another piece than was asked for. Were it
-    // taken in, calls would go by settings that nobody wrote; were all given up, a restarted instance
-    // would refuse calls for as long as it takes to fetch everything again.
+fn only_a_corrupt_piece_is_fetched_again() {
+    // Bits flip in transit, or a control instance returns another piece than was requested. If it
+    // were accepted, calls would follow settings that nobody wrote; if all pieces were dropped, a
+    // restarted instance would refuse calls until it has fetched everything again.
     let document = document(700);
     let (manifest, pieces) = cut(1, &document);
     let mut assembly = SettingsAssembly::default();
@@ -65,15 +65,15 @@
     }
     assert!(assembly.take_complete().is_none());
     assert_eq!(assembly.missing(), [missing[3].clone()]);
-    assembly.add_piece(&pieces[&missing[3]]).expect("it is whole");
-    let whole = assembly.take_complete().expect("nothing lacks");
-    check(&RouteTable::join(1, &whole.parts), &document, 700);
+    assembly.add_piece(&pieces[&missing[3]]).expect("the piece is intact");
+    let complete = assembly.take_complete().expect("all pieces were added");
+    check(&RouteTable::join(1, &complete.parts), &document, 700);
 }
 
 #[test]
-fn a_revision_that_can_not_be_read_is_left_until_a_newer_one_comes() {
-    // A newer control instance knows a field that this program doesn't. The settings in force stay, and
-    // the instance must not ask for the same piece for ever.
+fn an_unreadable_revision_is_abandoned_until_a_newer_one() {
+    // A newer control instance sends a field that this program does not know. The settings in force
+    // stay, and the instance must not request the same piece forever.
     let text = "{\"field_of_tomorrow\":1}";
     let piece = Piece::of(text);
     let manifest = |revision| Manifest {
@@ -83,49 +83,50 @@
     };
     let mut assembly = SettingsAssembly::default();
     assert!(assembly.offer(manifest(5)));
-    let fault = assembly.add_piece(&piece).expect_err("the field is not known");
+    let fault = assembly.add_piece(&piece).expect_err("the field is unknown");
     assert!(matches!(fault, PieceError::Unreadable(_)), "{fault}");
     assembly.abandon_wanted();
     assert!(assembly.missing().is_empty() && assembly.take_complete().is_none());
-    assert!(!assembly.offer(manifest(5)), "it was given up");
+    assert!(!assembly.offer(manifest(5)), "an abandoned revision was accepted again");
     assert!(assembly.offer(manifest(6)));
 }
 
 #[test]
-fn pieces_of_overtaken_revisions_do_not_pile_up() {
-    // A reader that is cut off before the last piece of each large change runs out of memory.
+fn pieces_of_superseded_revisions_do_not_accumulate() {
+    // A reader that is cut off before the last piece of each large change must not run out of
+    // memory.
     const ROUTES: usize = 700;
     let mut document = document(ROUTES);
     let (manifest, pieces) = cut(1, &document);
     let in_force = pieces.len();
     let mut assembly = SettingsAssembly::default();
     assembly.offer(manifest);
-    pieces.values().for_each(|piece| assembly.add_piece(piece).expect("it is whole"));
-    assembly.take_complete().expect("nothing lacks");
+    pieces.values().for_each(|piece| assembly.add_piece(piece).expect("the piece is intact"));
+    assembly.take_complete().expect("all pieces were added");
     for revision in 2..60 {
         document.routes.values_mut().for_each(|route| route.max_attempts += 1);
         let (manifest, pieces) = cut(revision, &document);
         let wanted = manifest.pieces.len();
         assembly.offer(manifest);
         for id in assembly.missing().iter().skip(1) {
-            assembly.add_piece(&pieces[id]).expect("it is whole");
+            assembly.add_piece(&pieces[id]).expect("the piece is intact");
         }
         assert!(assembly.take_complete().is_none());
         let bound = in_force + wanted;
-        assert!(assembly.len() <= bound, "{} pieces, {bound} at most", assembly.len());
+        assert!(assembly.len() <= bound, "{} pieces held, {bound} at most", assembly.len());
     }
-    assert!(!assembly.is_empty(), "what is in force is forgotten");
+    assert!(!assembly.is_empty(), "the pieces of the revision in force were dropped");
 }
 
 #[test]
-fn random_series_of_changes_end_in_the_newest_and_fetch_what_changed() {
-    // Changes come in quick succession while pieces arrive late, twice, damaged or not at all. Routes of
-    // an older revision must never come back, and what didn't change must not be fetched again.
+fn random_changes_end_in_the_newest_revision_and_fetch_only_what_changed() {
+    // Changes follow quickly while pieces arrive late, twice, damaged or not at all. Routes of an
+    // older revision must never return, and unchanged pieces must not be fetched again.
     for case in 0..cases(60) {
         let mut rng = SmallRng::seed_from_u64(seed(1) + u64::from(case));
         let mut assembly = SettingsAssembly::default();
         let mut document = document(600);
-        let (mut held, mut fetched) = (0, 0);
+        let (mut newest, mut fetched) = (0, 0);
         let (mut manifest, mut pieces) = cut(1, &document);
         let all = pieces.len();
         assembly.offer(manifest.clone());
@@ -141,27 +142,33 @@
                     };
                     fetched += usize::from(assembly.add_piece(&piece).is_ok());
                 }
-                if let Some(whole) = assembly.take_complete() {
-                    assert!(whole.manifest.revision.0 > held, "case {case}: it went back");
-                    held = whole.manifest.revision.0;
-                    check(&RouteTable::join(held, &whole.parts), &document, 600);
+                if let Some(complete) = assembly.take_complete() {
+                    assert!(
+                        complete.manifest.revision.0 > newest,
+                        "case {case}: an older revision was completed"
+                    );
+                    newest = complete.manifest.revision.0;
+                    check(&RouteTable::join(newest, &complete.parts), &document, 600);
                 }
             }
             let old = manifest.clone();
             let keys: Vec<Name> = document.routes.keys().cloned().collect();
-            let changed = keys.choose(&mut rng).expect("there are routes");
-            document.routes.get_mut(changed).expect("it is there").max_attempts += 1;
+            let changed = keys.choose(&mut rng).expect("the document has routes");
+            document.routes.get_mut(changed).expect("the route exists").max_attempts += 1;
             (manifest, pieces) = cut(revision, &document);
             assert!(assembly.offer(manifest.clone()), "case {case}");
-            assert!(!assembly.offer(old), "case {case}: an older one came late");
+            assert!(!assembly.offer(old), "case {case}: an older revision was accepted");
         }
         for id in assembly.missing() {
             fetched += 1;
-            assembly.add_piece(&pieces[&id]).expect("it is whole");
+            assembly.add_piece(&pieces[&id]).expect("the piece is intact");
         }
-        let whole = assembly.take_complete().expect("nothing lacks");
-        assert_eq!(whole.manifest.revision, Revision(39), "case {case}");
-        check(&RouteTable::join(39, &whole.parts), &document, 600);
-        assert!(fetched <= all + 38, "case {case}: {fetched} pieces for {all} and 38 changes");
+        let complete = assembly.take_complete().expect("all pieces were added");
+        assert_eq!(complete.manifest.revision, Revision(39), "case {case}");
+        check(&RouteTable::join(39, &complete.parts), &document, 600);
+        assert!(
+            fetched <= all + 38,
+            "case {case}: {fetched} pieces fetched for {all} and 38 changes"
+        );
     }
 }
--- a/coordination/dispatch/tests/shares.rs
+++ b/coordination/dispatch/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Limits of client accounts over many entry instances that hear of each other late.
+//! Limits of client accounts over many entry instances whose reports reach each other late.
 
 use rand::Rng as _;
 use sill_base::random::{Rng, seed, seeded};
@@ -8,37 +8,37 @@
 use sill_wire::Incarnation;
 use sill_wire::link::{AccountTotal, EntryReport, LIMIT_WINDOW, Totals};
 
-/// What may come on top of a limit, as the users state it.
+/// Amount, and factor, by which a limit may be exceeded, as the users state them.
 const SLACK: f64 = 140_000.0;
 const OVERSHOOT: f64 = 1.1;
 
-/// How often a report reaches the leader and totals come back, and how old they are then.
-const EXCHANGE: u64 = 250;
-const AGE: u64 = 600;
+/// Interval between reports to the leader, which returns totals, and the age of totals on arrival.
+const EXCHANGE_MS: u64 = 250;
+const TOTALS_AGE_MS: u64 = 600;
 
-/// Time between two steps.
-const STEP: u64 = 10;
+/// Time between two steps of the simulation.
+const STEP_MS: u64 = 10;
 
-struct Load {
+struct Scenario {
     name: &'static str,
     entries: usize,
-    /// Tokens that the account may use in a second.
+    /// Limit of the account in tokens per second.
     rate: f64,
-    /// Demand in parts of the limit, up to and from the tenth second.
+    /// Demand before and after the tenth second, in multiples of the limit.
     before: f64,
     after: f64,
-    /// Whether prompts are of very different sizes, up to 54,000 tokens.
+    /// Whether prompts differ widely in size, up to 54,000 tokens.
     has_tail: bool,
     cut: Option<Cut>,
 }
 
-/// Entry instances that neither report nor hear anything for a while.
+/// Entry instances that can neither send reports nor receive totals for a while.
 #[derive(Debug, Clone, Copy)]
 struct Cut {
     entries: usize,
     from: u64,
     until: u64,
-    /// When another control instance begins to lead, which has never heard of them.
+    /// When another control instance begins to lead that has no reports of them.
     new_leader: Option<u64>,
 }
 
@@ -48,17 +48,17 @@
     tokens: f64,
 }
 
-struct World {
+struct Simulation {
     rng: Rng,
     shares: Vec<LimitShares>,
-    ledger: ReportStore,
-    adder: TotalsAggregator,
+    reports: ReportStore,
+    aggregator: TotalsAggregator,
     newest: Option<Totals>,
-    on_the_way: Vec<(u64, Totals)>,
+    in_flight: Vec<(u64, Totals)>,
     admitted: Vec<Admitted>,
     asked: usize,
     refused: usize,
-    /// What callers were told that were refused.
+    /// Times after which refused callers were asked to retry.
     waits: Vec<Millis>,
 }
 
@@ -74,23 +74,23 @@
     RouteTable::of(1, &document)
 }
 
-impl World {
-    fn new(load: &Load) -> Self {
-        Self::with_seed(load, seed(7))
+impl Simulation {
+    fn new(scenario: &Scenario) -> Self {
+        Self::with_seed(scenario, seed(7))
     }
 
-    fn with_seed(load: &Load, seed: u64) -> Self {
+    fn with_seed(scenario: &Scenario, seed: u64) -> Self {
         let mut shares: Vec<LimitShares> =
-            (0..load.entries).map(|_| LimitShares::new(LimitBounds { slack: SLACK })).collect();
-        shares.iter_mut().for_each(|shares| shares.set_limits(Millis::ZERO, &table(load.rate)));
+            (0..scenario.entries).map(|_| LimitShares::new(LimitBounds { slack: SLACK })).collect();
+        shares.iter_mut().for_each(|shares| shares.set_limits(Millis::ZERO, &table(scenario.rate)));
         let rng = seeded(seed);
         Self {
             rng,
             shares,
-            ledger: ReportStore::default(),
-            adder: TotalsAggregator::default(),
+            reports: ReportStore::default(),
+            aggregator: TotalsAggregator::default(),
             newest: None,
-            on_the_way: Vec::new(),
+            in_flight: Vec::new(),
             admitted: Vec::new(),
             asked: 0,
             refused: 0,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Tokens of a call: most have a few thousand, a few have tens of thousands.
+    /// Returns the tokens of a call: most have a few thousand, a few have tens of thousands.
     fn tokens(&mut self, has_tail: bool) -> f64 {
         if !has_tail {
             return 1000.0;
@@ -107,25 +107,25 @@
         (2500.0 / (1.0 - draw).powf(0.75)).min(54_000.0)
     }
 
-    fn run(&mut self, load: &Load, seconds: u64) {
-        let mean = if load.has_tail { 8400.0 } else { 1000.0 };
-        for now in (0..seconds * 1000).step_by(STEP as usize) {
-            let demand = if now < 10_000 { load.before } else { load.after };
-            let calls = demand * load.rate / mean * STEP as f64 / 1000.0;
-            let whole = calls as usize + usize::from(self.rng.random::<f64>() < calls.fract());
-            for _ in 0..whole {
-                self.call(now, load);
+    fn run(&mut self, scenario: &Scenario, seconds: u64) {
+        let mean = if scenario.has_tail { 8400.0 } else { 1000.0 };
+        for now in (0..seconds * 1000).step_by(STEP_MS as usize) {
+            let demand = if now < 10_000 { scenario.before } else { scenario.after };
+            let calls = demand * scenario.rate / mean * STEP_MS as f64 / 1000.0;
+            let count = calls as usize + usize::from(self.rng.random::<f64>() < calls.fract());
+            for _ in 0..count {
+                self.call(now, scenario);
             }
-            if now % EXCHANGE == 0 {
-                self.exchange(now, load);
+            if now % EXCHANGE_MS == 0 {
+                self.exchange(now, scenario);
             }
         }
     }
 
-    fn call(&mut self, now: u64, load: &Load) {
-        let tokens = self.tokens(load.has_tail);
-        // Callers are not spread evenly: the first entry instance has twice as many.
-        let entry = self.rng.random_range(0..=load.entries) % load.entries;
+    fn call(&mut self, now: u64, scenario: &Scenario) {
+        let tokens = self.tokens(scenario.has_tail);
+        // Callers are not spread evenly: the first entry instance receives twice as many.
+        let entry = self.rng.random_range(0..=scenario.entries) % scenario.entries;
         self.asked += 1;
         match self.shares[entry].admit(Millis(now), &account(), tokens) {
             Ok(()) => self.admitted.push(Admitted { at: now, tokens }),
@@ -136,25 +136,28 @@
         }
     }
 
-    fn exchange(&mut self, now: u64, load: &Load) {
-        let cut = load.cut.filter(|cut| (cut.from..cut.until).contains(&now));
-        let first_heard = cut.map_or(0, |cut| cut.entries);
-        if load.cut.and_then(|cut| cut.new_leader) == Some(now) {
-            self.ledger = ReportStore::default();
-            self.adder = TotalsAggregator::default();
-            self.adder.begin(Millis(now), self.newest.as_ref());
+    fn exchange(&mut self, now: u64, scenario: &Scenario) {
+        let cut = scenario.cut.filter(|cut| (cut.from..cut.until).contains(&now));
+        let first_reachable = cut.map_or(0, |cut| cut.entries);
+        if scenario.cut.and_then(|cut| cut.new_leader) == Some(now) {
+            self.reports = ReportStore::default();
+            self.aggregator = TotalsAggregator::default();
+            self.aggregator.begin(Millis(now), self.newest.as_ref());
         }
-        for entry in first_heard..load.entries {
+        for entry in first_reachable..scenario.entries {
             let report = self.report(now, entry);
-            self.ledger.record(Millis(now), report, true);
+            self.reports.record(Millis(now), report, true);
         }
-        if let Some(totals) = self.adder.aggregate(Millis(now), &self.ledger) {
+        if let Some(totals) = self.aggregator.aggregate(Millis(now), &self.reports) {
             self.newest = Some(totals.clone());
-            self.on_the_way.push((now + AGE, Totals { age: Millis(AGE - 250), ..totals }));
+            self.in_flight
+                .push((now + TOTALS_AGE_MS, Totals { age: Millis(TOTALS_AGE_MS - 250), ..totals }));
         }
-        while self.on_the_way.first().is_some_and(|(due, _)| *due <= now) {
-            let (_, totals) = self.on_the_way.remove(0);
-            self.shares[first_heard..].iter_mut().for_each(|s| s.set_totals(Millis(now), &totals));
+        while self.in_flight.first().is_some_and(|(due, _)| *due <= now) {
+            let (_, totals) = self.in_flight.remove(0);
+            self.shares[first_reachable..]
+                .iter_mut()
+                .for_each(|s| s.set_totals(Millis(now), &totals));
         }
     }
 
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Returns the most tokens admitted in any window.
+    /// Returns the largest number of tokens admitted in any window.
     fn busiest_window(&self) -> f64 {
         let span = LIMIT_WINDOW.0;
         let sums = self.admitted.iter().map(|first| {
@@ -187,14 +190,15 @@
     }
 }
 
-/// One account sends four times its limit through all entry instances, among it prompts of tens of
-/// thousands of tokens. Each entry instance lets one prompt pass as long as it has anything left; all
-/// together go far beyond the limit, and the other accounts of the shared engines wait for it.
+/// One account sends four times its limit through all entry instances, including prompts of tens of
+/// thousands of tokens. If each entry instance admitted a prompt as long as its bucket holds
+/// anything, all together would far exceed the limit, and the other accounts of the shared engines
+/// would wait.
 #[test]
 fn an_account_stays_within_its_limit_over_all_entry_instances() {
-    let loads = [
-        Load {
-            name: "seven, jump",
+    let scenarios = [
+        Scenario {
+            name: "seven entry instances, jump in demand",
             rate: 100_000.0,
             entries: 7,
             before: 0.55,
@@ -202,8 +206,8 @@
             has_tail: true,
             cut: None,
         },
-        Load {
-            name: "eight, always",
+        Scenario {
+            name: "eight, constant demand",
             rate: 100_000.0,
             entries: 8,
             before: 4.2,
@@ -211,8 +215,8 @@
             has_tail: true,
             cut: None,
         },
-        Load {
-            name: "eighty, jump",
+        Scenario {
+            name: "eighty, jump in demand",
             rate: 100_000.0,
             entries: 80,
             before: 0.55,
@@ -220,8 +224,8 @@
             has_tail: false,
             cut: None,
         },
-        Load {
-            name: "cut to a third",
+        Scenario {
+            name: "a third of the rate",
             rate: 36_000.0,
             entries: 8,
             before: 3.0,
@@ -229,7 +233,7 @@
             has_tail: true,
             cut: None,
         },
-        Load {
+        Scenario {
             name: "eight, small",
             rate: 100_000.0,
             entries: 8,
@@ -239,24 +243,30 @@
             cut: None,
         },
     ];
-    for load in loads {
-        let owed = load.rate * LIMIT_WINDOW.as_secs_f64();
-        let allowed = (owed + load.rate) * OVERSHOOT + SLACK;
-        let mut world = World::new(&load);
-        world.run(&load, 30);
-        let busiest = world.busiest_window();
-        assert!(busiest <= allowed, "{}: {busiest:.0} tokens, allowed {allowed:.0}", load.name);
-        let late = world.admitted.iter().filter(|a| a.at >= 20_000).map(|a| a.tokens).sum::<f64>();
-        let part = late / (load.rate * 10.0);
-        assert!(part > 0.8, "{}: only {part:.2} of the limit was used", load.name);
+    for scenario in scenarios {
+        let window_limit = scenario.rate * LIMIT_WINDOW.as_secs_f64();
+        let allowed = (window_limit + scenario.rate) * OVERSHOOT + SLACK;
+        let mut simulation = Simulation::new(&scenario);
+        simulation.run(&scenario, 30);
+        let busiest = simulation.busiest_window();
+        assert!(
+            busiest <= allowed,
+            "{}: {busiest:.0} tokens admitted in a window, {allowed:.0} allowed",
+            scenario.name
+        );
+        let admitted_late =
+            simulation.admitted.iter().filter(|a| a.at >= 20_000).map(|a| a.tokens).sum::<f64>();
+        let part = admitted_late / (scenario.rate * 10.0);
+        assert!(part > 0.8, "{}: only {part:.2} of the limit was admitted", scenario.name);
     }
 }
 
-/// An account jumps to several times its limit. What is admitted after the last reports is unseen, and a
-/// prompt of tens of thousands of tokens may be let through by each entry instance at once while all
-/// believe that they are far below the limit. With these seeds the limit was passed by up to 1.2%.
+/// An account jumps to several times its limit. Tokens admitted after the last reports are not in
+/// the totals, and each entry instance may admit a prompt of tens of thousands of tokens while all
+/// of them count the account as far below its limit. With these seeds the limit was exceeded by up
+/// to 1.2%.
 #[test]
-fn a_jump_does_not_pass_the_limit_while_it_is_unseen() {
+fn a_jump_in_demand_does_not_exceed_the_limit_before_it_is_reported() {
     struct Case {
         seeds: &'static [u64],
         entries: usize,
@@ -270,24 +280,27 @@
     for Case { seeds, entries, after, has_tail } in cases {
         for seed in seeds {
             let (name, rate, before) = ("jump", 100_000.0, 0.55);
-            let load = Load { name, rate, entries, before, after, has_tail, cut: None };
+            let scenario = Scenario { name, rate, entries, before, after, has_tail, cut: None };
             let allowed = rate * (LIMIT_WINDOW.as_secs_f64() + 1.0) * OVERSHOOT + SLACK;
-            let mut world = World::with_seed(&load, *seed);
-            world.run(&load, 30);
-            let busiest = world.busiest_window();
-            assert!(busiest <= allowed, "seed {seed}: {busiest:.0} tokens, allowed {allowed:.0}");
+            let mut simulation = Simulation::with_seed(&scenario, *seed);
+            simulation.run(&scenario, 30);
+            let busiest = simulation.busiest_window();
+            assert!(
+                busiest <= allowed,
+                "seed {seed}: {busiest:.0} tokens admitted in a window, {allowed:.0} allowed"
+            );
         }
     }
 }
 
-/// Three of eight entry instances are cut off when an account begins to send far more than its limit.
-/// They go on with their shares, while the others divided the whole limit among themselves; the engines
-/// then served a third more for the account than its limit, and others waited. It is the same where a
-/// new leader comes meanwhile that has never heard of them.
+/// Three of eight entry instances are cut off when an account begins to send far more than its
+/// limit. They continue with their shares while the others divide the whole limit among themselves;
+/// the engines then served a third more for the account than its limit, and others waited. The same
+/// happens if a new leader without their reports takes over meanwhile.
 #[test]
-fn what_is_cut_off_and_what_is_not_stay_within_a_limit_together() {
+fn both_sides_of_a_partition_stay_within_a_limit_together() {
     let cut = Cut { entries: 3, from: 9750, until: 16_750, new_leader: None };
-    let load = |name, cut| Load {
+    let scenario = |name, cut| Scenario {
         name,
         rate: 112_000.0,
         entries: 8,
@@ -296,61 +309,71 @@
         has_tail: true,
         cut: Some(cut),
     };
-    let loads = [
-        load("cut", cut),
-        load("cut, and a new leader", Cut { new_leader: Some(13_000), ..cut }),
-        load("long cut", Cut { until: 24_000, ..cut }),
+    let scenarios = [
+        scenario("cut", cut),
+        scenario("cut, and a new leader", Cut { new_leader: Some(13_000), ..cut }),
+        scenario("long cut", Cut { until: 24_000, ..cut }),
     ];
-    for load in loads {
-        let owed = load.rate * LIMIT_WINDOW.as_secs_f64();
-        let allowed = (owed + load.rate) * OVERSHOOT + SLACK;
-        let mut world = World::new(&load);
-        world.run(&load, 40);
-        let busiest = world.busiest_window();
-        println!("{}: {:.2} of what is allowed", load.name, busiest / allowed);
-        assert!(busiest <= allowed, "{}: {busiest:.0} tokens, allowed {allowed:.0}", load.name);
+    for scenario in scenarios {
+        let window_limit = scenario.rate * LIMIT_WINDOW.as_secs_f64();
+        let allowed = (window_limit + scenario.rate) * OVERSHOOT + SLACK;
+        let mut simulation = Simulation::new(&scenario);
+        simulation.run(&scenario, 40);
+        let busiest = simulation.busiest_window();
+        println!("{}: {:.2} of the allowed tokens admitted", scenario.name, busiest / allowed);
+        assert!(
+            busiest <= allowed,
+            "{}: {busiest:.0} tokens admitted in a window, {allowed:.0} allowed",
+            scenario.name
+        );
     }
 }
 
-/// An account asks for nine tenths of its limit through eight, ninety-four or 360 entry instances. It keeps to what
-/// it was promised, and its callers must not get 429; a twelfth of them did where each entry instance went by a
-/// share that is smaller than one call.
+/// An account requests nine tenths of its limit through 8, 94 or 360 entry instances. It stays
+/// within its limit, so its callers must not receive 429. A twelfth of them did when each entry
+/// instance admitted by a share smaller than one call.
 #[test]
-fn what_an_account_is_owed_is_let_in_by_any_number_of_entry_instances() {
+fn demand_within_a_limit_is_admitted_by_any_number_of_entry_instances() {
     for entries in [8, 94, 360] {
-        let (name, rate, has_tail) = ("owed", 74_000.0, false);
-        let load = Load { name, rate, entries, before: 0.9, after: 0.9, has_tail, cut: None };
-        let mut world = World::new(&load);
-        world.run(&load, 40);
-        let refused = world.refused as f64 / world.asked as f64;
-        assert!(refused <= 0.01, "{entries}: {refused:.3} refused of {}", world.asked);
+        let (name, rate, has_tail) = ("nine tenths", 74_000.0, false);
+        let scenario =
+            Scenario { name, rate, entries, before: 0.9, after: 0.9, has_tail, cut: None };
+        let mut simulation = Simulation::new(&scenario);
+        simulation.run(&scenario, 40);
+        let refused = simulation.refused as f64 / simulation.asked as f64;
+        assert!(refused <= 0.01, "{entries}: {refused:.3} of {} calls refused", simulation.asked);
     }
 }
 
-/// An account jumps to four times its limit, with prompts that no share of an entry instance ever holds. Each of
-/// them lets one in on credit; of hundreds that alone was twice the limit, and the other accounts waited.
+/// An account jumps to four times its limit, with prompts larger than any share of an entry
+/// instance. Each instance admits one of them on credit; with hundreds of instances that alone was
+/// twice the limit, and the other accounts waited.
 #[test]
 fn many_entry_instances_stay_within_a_limit_together() {
     for entries in [94, 360] {
         for seed in 1000..1010 {
             let (name, rate, after, has_tail) = ("jump", 100_000.0, 4.2, true);
-            let load = Load { name, rate, entries, before: 0.55, after, has_tail, cut: None };
+            let scenario =
+                Scenario { name, rate, entries, before: 0.55, after, has_tail, cut: None };
             let allowed = rate * (LIMIT_WINDOW.as_secs_f64() + 1.0) * OVERSHOOT + SLACK;
-            let mut world = World::with_seed(&load, seed);
-            world.run(&load, 25);
-            let busiest = world.busiest_window();
+            let mut simulation = Simulation::with_seed(&scenario, seed);
+            simulation.run(&scenario, 25);
+            let busiest = simulation.busiest_window();
             let case = format!("{entries} entry instances, seed {seed}");
-            assert!(busiest <= allowed, "{case}: {busiest:.0} tokens, allowed {allowed:.0}");
+            assert!(
+                busiest <= allowed,
+                "{case}: {busiest:.0} tokens admitted in a window, {allowed:.0} allowed"
+            );
         }
     }
 }
 
-/// A caller is refused for a limit that the account passes by little. The entry instance that it came to is deep in
-/// debt for one large prompt; told to wait for that, the caller would come back seconds after there is room, and
-/// be late for nothing.
+/// A caller is refused while the account exceeds its limit by little. The bucket of the entry
+/// instance is deep in debt for one large prompt. If the caller waited until that is paid, it would
+/// retry seconds after there is room, and be late for nothing.
 #[test]
-fn the_wait_told_is_until_the_account_has_room() {
-    let load = Load {
+fn the_retry_time_does_not_include_the_debt_of_one_entry_instance() {
+    let scenario = Scenario {
         name: "a little over",
         rate: 74_000.0,
         entries: 94,
@@ -359,38 +382,39 @@
         has_tail: true,
         cut: None,
     };
-    let mut world = World::new(&load);
-    world.run(&load, 30);
-    let mut waits = std::mem::take(&mut world.waits);
+    let mut simulation = Simulation::new(&scenario);
+    simulation.run(&scenario, 30);
+    let mut waits = std::mem::take(&mut simulation.waits);
     waits.sort_unstable();
-    let middle = waits[waits.len() / 2];
+    let median = waits[waits.len() / 2];
     // In a second the account may use more than the largest prompt takes.
-    assert!(middle <= Millis(1000), "{middle} ms at the middle of {waits:?}");
+    assert!(median <= Millis(1000), "median retry time of {median} ms in {waits:?}");
 }
 
 #[test]
-fn a_refused_account_is_told_when_there_is_room_everywhere() {
-    // Callers come back too early, again and again, while the bucket of the instance that refuses them is full.
+fn the_retry_time_covers_what_all_entry_instances_admitted() {
+    // Guards against callers that retry too early, again and again, because the bucket of the
+    // instance that refuses them is full.
     struct Case {
         name: &'static str,
-        /// What all have let in beyond what the account is owed, in seconds of its rate.
-        beyond_s: f64,
+        /// Amount admitted by all entry instances beyond the window limit, in seconds of the rate.
+        excess_s: f64,
     }
     const RATE: f64 = 50_000.0;
     const COST: f64 = 1000.0;
     let cases = [
-        Case { name: "by a little", beyond_s: 1.0 },
-        Case { name: "by seconds", beyond_s: 3.0 },
-        Case { name: "by more than is told at most", beyond_s: 30.0 },
+        Case { name: "by a little", excess_s: 1.0 },
+        Case { name: "by seconds", excess_s: 3.0 },
+        Case { name: "by more than the longest retry time", excess_s: 30.0 },
     ];
-    for Case { name, beyond_s } in cases {
+    for Case { name, excess_s } in cases {
         let mut shares = LimitShares::new(LimitBounds { slack: SLACK });
         shares.set_limits(Millis::ZERO, &table(RATE));
-        let owed = RATE * LIMIT_WINDOW.as_secs_f64() + RATE;
+        let window_limit = RATE * LIMIT_WINDOW.as_secs_f64() + RATE;
         let total = AccountTotal {
             account: account(),
             asked_per_s: RATE,
-            admitted: owed + beyond_s * RATE,
+            admitted: window_limit + excess_s * RATE,
             admitted_per_s: RATE,
             held: 0.0,
             untold_s: None,
@@ -399,23 +423,24 @@
         let now = Millis(10_000);
         shares.set_totals(now, &totals);
         let over = shares.admit(now, &account(), COST).expect_err(name);
-        assert!(over.balance > COST, "{name}: its own bucket has no room: {over:?}");
-        let room_in = Millis((beyond_s * 1000.0) as u64).min(Millis(5000));
+        assert!(over.balance > COST, "{name}: the own bucket has no room: {over:?}");
+        let room_in = Millis((excess_s * 1000.0) as u64).min(Millis(5000));
         assert!(
             over.retry_after >= room_in,
-            "{name}: {} ms told, room in {room_in} ms",
+            "{name}: retry after {} ms, room in {room_in} ms",
             over.retry_after
         );
     }
 }
 
-/// Totals stop for a while: each entry instance took the room that they tell of for itself.
+/// Totals are not renewed for a while. Each entry instance must not take all the room that they
+/// show for itself.
 #[test]
-fn room_that_older_totals_tell_of_is_not_taken_by_each() {
+fn room_in_old_totals_is_not_taken_by_each_entry_instance() {
     const RATE: f64 = 280_000.0;
     const COST: f64 = 2000.0;
     const ENTRIES: usize = 5;
-    // What callers ask for since, which the average in the totals does not show yet.
+    // The demand since, which the average in the totals does not show yet.
     const ASKED_PER_S: f64 = 3.5 * RATE;
     let total = AccountTotal {
         account: account(),
@@ -445,16 +470,16 @@
         }
     }
     let allowed = RATE * (LIMIT_WINDOW.as_secs_f64() + 1.0) * OVERSHOOT + SLACK;
-    assert!(admitted <= allowed, "{admitted:.0} tokens, allowed {allowed:.0}");
+    assert!(admitted <= allowed, "{admitted:.0} tokens admitted, {allowed:.0} allowed");
 }
 
-/// An account that uses half of its limit is spread over entry instances, none of which has a share
-/// as large as one of its prompts. Refused for that, its callers would get 429 although they keep to
-/// what they were promised.
+/// An account that uses half of its limit is spread over entry instances whose shares are all
+/// smaller than one of its prompts. If they refused calls for that, callers would receive 429
+/// although the account stays within its limit.
 #[test]
 fn an_account_far_below_its_limit_is_not_refused() {
-    let loads = [
-        Load {
+    let scenarios = [
+        Scenario {
             name: "eight",
             rate: 100_000.0,
             entries: 8,
@@ -463,7 +488,7 @@
             has_tail: true,
             cut: None,
         },
-        Load {
+        Scenario {
             name: "eighty",
             rate: 100_000.0,
             entries: 80,
@@ -473,10 +498,15 @@
             cut: None,
         },
     ];
-    for load in loads {
-        let mut world = World::new(&load);
-        world.run(&load, 60);
-        let refused = world.refused as f64 / world.asked as f64;
-        assert!(refused < 0.03, "{}: {refused:.3} refused of {}", load.name, world.asked);
+    for scenario in scenarios {
+        let mut simulation = Simulation::new(&scenario);
+        simulation.run(&scenario, 60);
+        let refused = simulation.refused as f64 / simulation.asked as f64;
+        assert!(
+            refused < 0.03,
+            "{}: {refused:.3} of {} calls refused",
+            scenario.name,
+            simulation.asked
+        );
     }
 }
--- a/coordination/dispatch/tests/stopping.rs
+++ b/coordination/dispatch/tests/stopping.rs
@@ -1,11 +1,11 @@
-//! How an entry instance stops, and which calls it still begins meanwhile.
+//! The planned stop of an entry instance, and the calls that it still accepts meanwhile.
 
 use sill_base::Millis;
 use sill_dispatch::{AnswerMode, CallTimes, OpenCalls, StopPhase, StopPlan, StopTimes};
 
-/// What an instance has seen: plain calls of 20 to 60 ms, and streams of 0.5 to 2.7 s, of which one in
-/// twenty took 9 s; of one route few calls.
-fn seen() -> CallTimes {
+/// Returns recorded call times: plain calls of 20 to 60 ms, and streams of 0.5 to 2.7 s, of which
+/// one in twenty took 9 s; one route has few calls.
+fn recorded_times() -> CallTimes {
     let mut times = CallTimes::default();
     for turn in 0..20 {
         let stream = if turn == 7 { 9000 } else { 500 + 115 * turn };
@@ -18,18 +18,18 @@
     times
 }
 
-/// The balancer still sends calls to an instance that stops, because it has not noticed, or too few others
-/// of its failure domain are in rotation. A stream that is begun too late is cut in the middle: the caller
-/// waited in vain, and may not send it again. A call that is refused although it could be answered is lost
-/// as well, if nobody else can take it.
+/// The balancer still sends calls to a stopping instance, because it has not noticed the stop or
+/// too few others of its failure domain are in rotation. A stream that is begun too late is cut in
+/// the middle: the caller waited in vain, and may not send it again. A call that is refused
+/// although it could be answered is lost as well, if no other instance can take it.
 #[test]
 fn a_call_is_begun_only_if_it_ends_before_the_instance() {
     struct Case {
         name: &'static str,
         route: &'static str,
-        /// Time until the instance ends, and until the caller has an answer in any case.
+        /// Time until the instance ends, and until the call ends at the latest, in ms.
         left: (u64, u64),
-        /// Whether the balancer has noticed.
+        /// Whether the balancer has noticed the stop.
         is_noticed: bool,
         expected: Option<AnswerMode>,
     }
@@ -50,7 +50,7 @@
         case("one with a short timeout", "chat", (2300, 2200), YES),
         case("a short call, late", "lookup", (100, 1500), YES),
         case("a short call, at the end", "lookup", (50, 1500), NO),
-        case("a call that was never seen", "new", (4000, 15_000), NO),
+        case("a call of a route without recorded calls", "new", (4000, 15_000), NO),
         case("one that is answered in time in any case", "new", (4000, 3000), YES),
         noticed("a stream that may be longer than usual", "chat", (5000, 15_000), NO),
         noticed("a stream with a short timeout", "chat", (4000, 3900), YES),
@@ -59,27 +59,28 @@
         noticed("a short call, at the end", "lookup", (100, 1500), NO),
         noticed("a stream that is usually over", "chat", (7000, 15_000), HELD),
         noticed("one of a route with few calls", "rare", (1400, 1500), NO),
-        noticed("one that ends with the instance", "lookup", (1500, 1500), YES),
+        noticed("one that ends exactly with the instance", "lookup", (1500, 1500), YES),
         noticed("one that is over too late by a moment", "lookup", (1499, 1500), HELD),
     ];
     for case in cases {
         let now = Millis(5000);
         let noticed_at = if case.is_noticed { now } else { now + Millis(1) };
         let stop = StopTimes { noticed_at, ends_at: now + Millis(case.left.0) };
-        let begin = seen().answer_mode(now, &case.route.into(), now + Millis(case.left.1), stop);
+        let begin =
+            recorded_times().answer_mode(now, &case.route.into(), now + Millis(case.left.1), stop);
         assert_eq!(begin, case.expected, "{}", case.name);
     }
 }
 
-/// A stream is begun as an instance stops, and its endpoint has become slower than it was. Passed on, it is cut in
-/// the middle at the end of the process; held without need, its caller waits for an answer that could be read
-/// meanwhile.
+/// A stream begins while the instance stops, and its endpoint has become slower. If the stream is
+/// forwarded, it is cut in the middle at the end of the process; if it is buffered without need,
+/// its caller waits for an answer that could be read meanwhile.
 #[test]
-fn a_stream_is_held_if_its_first_part_tells_that_it_outlasts_the_instance() {
+fn a_stream_is_buffered_if_it_is_expected_to_outlast_the_instance() {
     struct Case {
         name: &'static str,
         route: &'static str,
-        /// Time that the first part took, and that is left.
+        /// Time that the first part took, and time until the instance ends, in ms.
         times: (u64, u64),
         expected: AnswerMode,
     }
@@ -92,24 +93,24 @@
         case("as usual, and little is left", (400, 3000), AnswerMode::Held),
         Case {
             route: "new",
-            ..case("of a route that is not known", (400, 6500), AnswerMode::Passed)
+            ..case("of a route without recorded calls", (400, 6500), AnswerMode::Passed)
         },
     ];
-    let mut times = seen();
+    let mut times = recorded_times();
     for turn in 0..20 {
         times.record_first_part(Millis(1000), &"chat".into(), Millis(100 + 15 * turn));
     }
     for Case { name, route, times: (first, left), expected } in cases {
         let now = Millis(5000);
         let stop = StopTimes { noticed_at: now, ends_at: now + Millis(left) };
-        let rest = times.forecast_stream(now, &route.into(), Millis(first), stop);
-        assert_eq!(rest.mode, expected, "{name}: {rest:?}");
+        let forecast = times.forecast_stream(now, &route.into(), Millis(first), stop);
+        assert_eq!(forecast.mode, expected, "{name}: {forecast:?}");
     }
 }
 
 /// A reclaim made streams slow for some seconds. Long after it, calls must not be refused for that.
 #[test]
-fn long_times_of_long_ago_are_forgotten() {
+fn old_call_times_are_forgotten() {
     let mut times = CallTimes::default();
     for _ in 0..10 {
         times.record_call(Millis(2000), &"chat".into(), Millis(6000));
@@ -125,21 +126,21 @@
     assert!(fits(&times, Millis(37_000)));
 }
 
-/// Callers keep coming to an instance that stops, for as long as too few others are in rotation. Were it to
-/// serve them until its time is up, it would be back seconds later than it could be, and its process might be
-/// killed in the middle of a call.
+/// Callers keep arriving at a stopping instance for as long as too few others are in rotation. If
+/// it served them until its time is up, it would return seconds later than possible, and its
+/// process might be killed in the middle of a call.
 #[test]
-fn a_stop_waits_for_what_it_took_and_takes_no_more_once_the_rest_is_over() {
+fn a_stop_completes_older_calls_and_then_refuses_new_ones() {
     struct Case {
         name: &'static str,
-        /// When, how many connections of before and since the notice are open, and the phase.
+        /// Time in ms, open connections from before and after the notice, and the expected phase.
         steps: &'static [(u64, usize, usize, StopPhase)],
     }
     use StopPhase::{Announcing, Draining, Ended, Refusing};
     let cases = [
         Case { name: "nothing open", steps: &[(0, 0, 0, Announcing), (2300, 0, 0, Ended)] },
         Case {
-            name: "older ones, then none",
+            name: "older connections, then none",
             steps: &[
                 (0, 3, 0, Announcing),
                 (2299, 3, 0, Announcing),
@@ -150,21 +151,21 @@
             ],
         },
         Case {
-            name: "it does not take up again",
+            name: "a later call does not reopen it",
             steps: &[(2300, 1, 1, Draining), (2400, 0, 1, Refusing), (2500, 1, 1, Refusing)],
         },
         Case {
-            name: "no longer than its time",
+            name: "it ends in time with calls open",
             steps: &[(2300, 1, 0, Draining), (7499, 1, 0, Draining), (7500, 1, 0, Ended)],
         },
-        Case { name: "late from the first look", steps: &[(9000, 4, 0, Ended)] },
+        Case { name: "first step after the end", steps: &[(9000, 4, 0, Ended)] },
     ];
     for case in cases {
         let times = StopTimes { noticed_at: Millis(2300), ends_at: Millis(7500) };
         let mut plan = StopPlan::new(times);
         for (at, older, later, expected) in case.steps {
             let open = OpenCalls { older: *older, later: *later };
-            assert_eq!(plan.step(Millis(*at), open), *expected, "{} at {at}", case.name);
+            assert_eq!(plan.step(Millis(*at), open), *expected, "{} at {at} ms", case.name);
         }
     }
 }
