--- a/coordination/dispatch/tests/stopping_load.rs
+++ b/coordination/dispatch/tests/stopping_load.rs
@@ -1,4 +1,4 @@
-//! What callers get while most entry instances of a failure domain stop at once.
+//! Outcomes of calls while most entry instances of a failure domain stop at once.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -7,44 +7,44 @@
 
 const INSTANCES: usize = 40;
 const STOPPING: usize = 37;
-const SIGNAL: u64 = 20_000;
-const NOTICE: u64 = 2300;
-const LIMIT: u64 = 7500;
-/// Time from the end of a process until callers are served there again.
-const BACK: u64 = 1500;
-/// Time for which traffic is played, and from which on calls count.
-const PLAYED: u64 = 40_000;
-const COUNTED: u64 = 19_000;
-const STEP: u64 = 10;
-const CALLS_EACH_STEP: usize = 4;
-/// Pause after a refusal.
-const PAUSE: u64 = 50;
-
-/// Whether an instance that stops begins a call.
+const STOP_AT_MS: u64 = 20_000;
+const NOTICE_MS: u64 = 2300;
+const STOP_LIMIT_MS: u64 = 7500;
+/// Time from the end of a process until it serves callers again.
+const RESTART_MS: u64 = 1500;
+/// Duration of the simulated traffic, and the time from which on calls are counted.
+const DURATION_MS: u64 = 40_000;
+const COUNTED_FROM_MS: u64 = 19_000;
+const STEP_MS: u64 = 10;
+const CALLS_PER_STEP: usize = 4;
+/// Pause of a caller after a refusal.
+const RETRY_PAUSE_MS: u64 = 50;
+
+/// Rule by which a stopping instance begins calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Policy {
-    /// As it is.
-    Judged,
-    /// Every call, whatever is left, and all the time until the limit.
+    /// The rule in use: by the call times of the route.
+    ByCallTimes,
+    /// Every call until the end, however little time is left.
     All,
     /// Every call until the balancer has noticed, and none afterwards.
     UntilNoticed,
 }
 
-/// How calls of a route go.
-struct Kind {
+/// Timeout and durations of the calls of a route, in ms.
+struct CallKind {
     route: &'static str,
     timeout: u64,
-    /// The shortest, and what a slow one takes more.
-    usual: (u64, u64),
-    /// One in so many takes up to twice its timeout.
+    /// Shortest duration, and the largest addition to it.
+    durations: (u64, u64),
+    /// One call in so many takes up to twice its timeout.
     slow_one_in: u32,
 }
 
-const KINDS: [Kind; 3] = [
-    Kind { route: "report", timeout: 12_000, usual: (800, 3200), slow_one_in: 40 },
-    Kind { route: "tag", timeout: 3000, usual: (80, 500), slow_one_in: 100 },
-    Kind { route: "lookup", timeout: 1000, usual: (20, 60), slow_one_in: 200 },
+const CALL_KINDS: [CallKind; 3] = [
+    CallKind { route: "report", timeout: 12_000, durations: (800, 3200), slow_one_in: 40 },
+    CallKind { route: "tag", timeout: 3000, durations: (80, 500), slow_one_in: 100 },
+    CallKind { route: "lookup", timeout: 1000, durations: (20, 60), slow_one_in: 200 },
 ];
 
 struct Running {
@@ -61,14 +61,14 @@
     running: Vec<Running>,
     stop: Option<StopPlan>,
     phase: Option<StopPhase>,
-    gone_until: u64,
+    down_until: u64,
 }
 
-/// A call that still looks for an instance.
+/// A call that is not accepted by an instance yet.
 struct Waiting {
     at: u64,
     kind: usize,
-    took: u64,
+    duration: u64,
     due: u64,
     tries: u32,
 }
@@ -79,14 +79,16 @@
     refused: u32,
     out_of_time: u32,
     cut: u32,
-    /// Of these, begun once the balancer had noticed.
+    /// Those cut calls that were begun after the balancer had noticed.
     cut_later: u32,
-    /// Told that the outcome is unknown, as the instance ends.
+    /// Calls answered with an unknown outcome because the instance ends.
     failed: u32,
 }
 
-const TIMES: StopTimes =
-    StopTimes { noticed_at: Millis(SIGNAL + NOTICE), ends_at: Millis(SIGNAL + LIMIT) };
+const TIMES: StopTimes = StopTimes {
+    noticed_at: Millis(STOP_AT_MS + NOTICE_MS),
+    ends_at: Millis(STOP_AT_MS + STOP_LIMIT_MS),
+};
 
 impl Instance {
     fn open(&self) -> OpenCalls {
@@ -94,15 +96,15 @@
         OpenCalls { older: self.running.len() - later, later }
     }
 
-    /// Ends what is over, and the process if that is due.
+    /// Ends finished calls, and the process if it is due.
     fn step(&mut self, now: u64, policy: Policy, counts: &mut Counts) {
-        let (over, running) = std::mem::take(&mut self.running)
+        let (finished, running) = std::mem::take(&mut self.running)
             .into_iter()
             .partition(|call: &Running| call.ends.min(call.due) <= now);
         self.running = running;
-        for call in over {
+        for call in finished {
             let is_in_time = call.ends <= call.due;
-            let route = Name::from(KINDS[call.kind].route);
+            let route = Name::from(CALL_KINDS[call.kind].route);
             self.times.record_call(Millis(now), &route, Millis(now - call.began));
             count(
                 call.began,
@@ -127,40 +129,42 @@
                     count(call.began, &mut counts.cut_later);
                 }
             }
-            (self.stop, self.phase, self.gone_until) = (None, None, now + BACK);
+            (self.stop, self.phase, self.down_until) = (None, None, now + RESTART_MS);
         }
     }
 
-    /// Returns how it begins the call.
-    fn begins(&self, now: u64, call: &Waiting, policy: Policy) -> Option<AnswerMode> {
-        if now < self.gone_until || self.phase == Some(StopPhase::Refusing) {
+    /// Returns how the instance would deliver the answer to the call, if it begins it.
+    fn answer_mode(&self, now: u64, call: &Waiting, policy: Policy) -> Option<AnswerMode> {
+        if now < self.down_until || self.phase == Some(StopPhase::Refusing) {
             return None;
         }
-        let route = KINDS[call.kind].route.into();
+        let route = CALL_KINDS[call.kind].route.into();
         match policy {
             _ if self.stop.is_none() => Some(AnswerMode::Passed),
-            Policy::Judged => self.times.answer_mode(Millis(now), &route, Millis(call.due), TIMES),
+            Policy::ByCallTimes => {
+                self.times.answer_mode(Millis(now), &route, Millis(call.due), TIMES)
+            }
             Policy::All => Some(AnswerMode::Passed),
-            Policy::UntilNoticed => (now < SIGNAL + NOTICE).then_some(AnswerMode::Passed),
+            Policy::UntilNoticed => (now < STOP_AT_MS + NOTICE_MS).then_some(AnswerMode::Passed),
         }
     }
 }
 
 fn count(at: u64, counter: &mut u32) {
-    *counter += u32::from(at >= COUNTED);
+    *counter += u32::from(at >= COUNTED_FROM_MS);
 }
 
 fn arrive(rng: &mut StdRng, at: u64) -> Waiting {
-    let kind = rng.random_range(0..KINDS.len());
-    let Kind { timeout, usual: (least, more), slow_one_in, .. } = KINDS[kind];
-    let took = match rng.random_ratio(1, slow_one_in) {
+    let kind = rng.random_range(0..CALL_KINDS.len());
+    let CallKind { timeout, durations: (least, more), slow_one_in, .. } = CALL_KINDS[kind];
+    let duration = match rng.random_ratio(1, slow_one_in) {
         true => rng.random_range(least + more..timeout * 2),
         false => least + rng.random_range(0..more),
     };
-    Waiting { at, kind, took, due: at + timeout, tries: 2 }
+    Waiting { at, kind, duration, due: at + timeout, tries: 2 }
 }
 
-fn play(seed: u64, policy: Policy) -> Counts {
+fn simulate(seed: u64, policy: Policy) -> Counts {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut counts = Counts::default();
     let new = || Instance {
@@ -168,12 +172,12 @@
         running: Vec::new(),
         stop: None,
         phase: None,
-        gone_until: 0,
+        down_until: 0,
     };
     let mut instances: Vec<Instance> = (0..INSTANCES).map(|_| new()).collect();
     let mut waiting: Vec<Waiting> = Vec::new();
-    for now in (0..PLAYED).step_by(STEP as usize) {
-        if now == SIGNAL {
+    for now in (0..DURATION_MS).step_by(STEP_MS as usize) {
+        if now == STOP_AT_MS {
             for instance in &mut instances[..STOPPING] {
                 instance.stop = Some(StopPlan::new(TIMES));
             }
@@ -181,21 +185,21 @@
         for instance in &mut instances {
             instance.step(now, policy, &mut counts);
         }
-        waiting.extend((0..CALLS_EACH_STEP).map(|_| arrive(&mut rng, now)));
+        waiting.extend((0..CALLS_PER_STEP).map(|_| arrive(&mut rng, now)));
         let (due, later) = waiting.into_iter().partition(|call| call.at <= now);
         waiting = later;
         for call in due {
             // Fewer than half are in rotation, so the balancer uses all of them.
             let instance = &mut instances[rng.random_range(0..INSTANCES)];
-            if let Some(begin) = instance.begins(now, &call, policy) {
-                let ends = now + call.took;
-                let is_later = instance.stop.is_some() && now >= SIGNAL + NOTICE;
+            if let Some(begin) = instance.answer_mode(now, &call, policy) {
+                let ends = now + call.duration;
+                let is_later = instance.stop.is_some() && now >= STOP_AT_MS + NOTICE_MS;
                 let is_held = begin == AnswerMode::Held;
                 let Waiting { kind, due, .. } = call;
                 let running = Running { ends, due, began: now, is_later, is_held, kind };
                 instance.running.push(running);
             } else if call.tries > 1 {
-                waiting.push(Waiting { at: now + PAUSE, tries: call.tries - 1, ..call });
+                waiting.push(Waiting { at: now + RETRY_PAUSE_MS, tries: call.tries - 1, ..call });
             } else {
                 count(now, &mut counts.refused);
             }
@@ -204,20 +208,22 @@
     counts
 }
 
-/// An operator restarts nearly all entry instances at once. The balancer finds too few in rotation, and sends
-/// callers to all of them, also those that stop. An instance that refuses every call that might outlast it
-/// turns away callers whom nobody else can take; one that takes every call cuts those that are not over when
-/// its time is up, and is back later for all others. Callers notice either as a failed request.
+/// An operator restarts nearly all entry instances at once. The balancer finds too few in rotation,
+/// and sends callers to all of them, including stopping ones. An instance that refuses every call
+/// that might outlast it turns away callers that no other instance can take; one that accepts every
+/// call cuts those that still run when its time is up, and returns later for all others. Callers
+/// see either as a failed request.
 #[test]
 fn most_instances_may_stop_at_once_without_cuts_and_without_needless_refusals() {
     for seed in 1..=5 {
-        let [judged, all, until_noticed] =
-            [Policy::Judged, Policy::All, Policy::UntilNoticed].map(|policy| play(seed, policy));
-        let told = format!("seed {seed}: {judged:?}, {all:?}, {until_noticed:?}");
-        assert_eq!(judged.cut_later, 0, "{told}");
-        assert!(all.cut_later > 0, "the load must be one that brings cuts about; {told}");
-        assert!(judged.served > until_noticed.served, "{told}");
-        assert!(judged.served > all.served, "{told}");
-        println!("{told}");
+        let [by_call_times, all, until_noticed] =
+            [Policy::ByCallTimes, Policy::All, Policy::UntilNoticed]
+                .map(|policy| simulate(seed, policy));
+        let results = format!("seed {seed}: {by_call_times:?}, {all:?}, {until_noticed:?}");
+        assert_eq!(by_call_times.cut_later, 0, "{results}");
+        assert!(all.cut_later > 0, "the load must cause cuts if every call is begun; {results}");
+        assert!(by_call_times.served > until_noticed.served, "{results}");
+        assert!(by_call_times.served > all.served, "{results}");
+        println!("{results}");
     }
 }
--- a/coordination/dispatch/tests/support/mod.rs
+++ b/coordination/dispatch/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this crate share.
+//! Helpers shared by the tests of this crate.
 
 use std::net::SocketAddr;
 
@@ -6,11 +6,11 @@
 use sill_wire::Incarnation;
 use sill_wire::link::{EndpointFact, EndpointState};
 
-/// Returns a heartbeat of one life of the endpoint `e1`.
-pub fn born(at: u64, sequence: u64, state: EndpointState) -> EndpointFact {
+/// Returns a heartbeat of the endpoint `e1`.
+pub fn heartbeat(born: u64, sequence: u64, state: EndpointState) -> EndpointFact {
     EndpointFact {
         endpoint: "e1".into(),
-        born: Incarnation(at),
+        born: Incarnation(born),
         service: "desk".into(),
         domain: "a".into(),
         address: SocketAddr::from(([10, 0, 0, 1], 80)),
