--- a/bench/load/src/experiment/limits.rs
+++ b/bench/load/src/experiment/limits.rs
@@ -187,7 +187,7 @@
             }
             let mut actions = Vec::new();
             self.limiters[i].step(self.now, Event::Tick, &mut actions);
-            for Action::Exchange { with, report } in actions {
+            for Action::Exchange { peer: with, report } in actions {
                 let peer = self.find(&with);
                 if self.cut_off[peer] == self.cut_off[i] {
                     self.exchange(i, peer, report);
--- a/bench/load/src/experiment/overload.rs
+++ b/bench/load/src/experiment/overload.rs
@@ -3,7 +3,7 @@
 
 use serde::Serialize;
 use sill_base::Millis;
-use sill_route::{ByPriority, PolicyCfg};
+use sill_route::{PolicyCfg, PriorityBounds};
 
 use super::figures::{Figures, Row, Span};
 use super::pool::{Callers, Pool, PoolCfg, Wave};
@@ -53,14 +53,15 @@
 /// Runs all ways.
 pub fn run(seed: u64) -> Vec<OverloadRun> {
     let no_refusal = PolicyCfg {
-        load_factor: ByPriority::UNBOUNDED,
-        wait_factor: ByPriority::UNBOUNDED,
-        pool_factor: ByPriority::UNBOUNDED,
+        load_factor: PriorityBounds::UNBOUNDED,
+        wait_factor: PriorityBounds::UNBOUNDED,
+        pool_factor: PriorityBounds::UNBOUNDED,
         ..PolicyCfg::default()
     };
     let impatient = Callers { patience: Millis(8_000), tries: 6, ..Callers::default() };
     let careless = Callers { retry_budget: false, obey_retry_after: false, ..impatient };
-    let no_pool_bound = PolicyCfg { pool_factor: ByPriority::UNBOUNDED, ..PolicyCfg::default() };
+    let no_pool_bound =
+        PolicyCfg { pool_factor: PriorityBounds::UNBOUNDED, ..PolicyCfg::default() };
     let ways = [
         ("all rules", PolicyCfg::default(), impatient),
         ("no bound on the pool", no_pool_bound, impatient),
--- a/bench/load/src/experiment/pool.rs
+++ b/bench/load/src/experiment/pool.rs
@@ -10,7 +10,8 @@
 use sill_base::random::{self, Rng};
 use sill_base::{Machine, Millis, Name, Set};
 use sill_route::{
-    Ask, Choice, Event, Outcome, PolicyCfg, RetryBudget, RetryCfg, Router, RouterCfg, Target,
+    Choice, Event, Outcome, PolicyCfg, RetryBudget, RetryCfg, RouteRequest, Router, RouterCfg,
+    Target,
 };
 use sill_wire::Priority;
 use sill_wire::prefix::BLOCK_TOKENS;
@@ -285,9 +286,9 @@
         }
     }
 
-    fn ask(&self, job: usize) -> Ask {
+    fn ask(&self, job: usize) -> RouteRequest {
         let Job { wanted, emitted, moved, attempt, .. } = &self.jobs[job];
-        Ask {
+        RouteRequest {
             request: format!("{job}-{attempt}").into(),
             target: Target::Model(MODEL.into()),
             blocks: wanted.blocks.clone(),
@@ -300,7 +301,7 @@
         }
     }
 
-    fn send(&mut self, job: usize, ask: Ask, name: &Name) {
+    fn send(&mut self, job: usize, ask: RouteRequest, name: &Name) {
         let endpoint = self.endpoint(name);
         let entry = self.jobs[job].entry;
         let run = Run {
@@ -424,7 +425,7 @@
     fn finished(&mut self, endpoint: usize, run: &Run) {
         self.ended(run.job, endpoint, Outcome::Finished);
         let entry = self.jobs[run.job].entry;
-        self.budgets[entry].succeeded(&MODEL.into(), &Target::Model(MODEL.into()));
+        self.budgets[entry].record_success(&MODEL.into(), &Target::Model(MODEL.into()));
         let job = &mut self.jobs[run.job];
         job.closed = true;
         let first = job.first_token.unwrap_or(self.now);
@@ -462,7 +463,7 @@
         }
         let entry = self.jobs[job].entry;
         let (account, target) = (MODEL.into(), Target::Model(MODEL.into()));
-        let leave = self.budgets[entry].may_retry(&account, &target);
+        let leave = self.budgets[entry].try_spend(&account, &target);
         if leave || !self.cfg.callers.retry_budget {
             self.jobs[job].attempt += 1;
             self.at(self.now + MILLI, Due::Again(job));
--- a/bench/load/src/experiment/route.rs
+++ b/bench/load/src/experiment/route.rs
@@ -47,7 +47,7 @@
         ("cost", with(Policy::Cost)),
         ("cost, plain prefill", PolicyCfg { prefill_weight: 1.0, ..PolicyCfg::default() }),
         ("cost, no home", PolicyCfg { home_share: 0.0, ..PolicyCfg::default() }),
-        ("cost, no crowding", PolicyCfg { crowding: Millis::ZERO, ..PolicyCfg::default() }),
+        ("cost, no crowding", PolicyCfg { load_cost: Millis::ZERO, ..PolicyCfg::default() }),
         ("cost, no price", PolicyCfg { price_weight: 0.0, ..PolicyCfg::default() }),
         ("cost, no risk", PolicyCfg { risk_weight: 0.0, ..PolicyCfg::default() }),
     ]
--- a/coordination/dispatch/src/budget.rs
+++ b/coordination/dispatch/src/budget.rs
@@ -70,13 +70,13 @@
         let fixed = bounds.allowance * PART / f64::from(entries);
         let saved = bounds.share * SAVED * budget.requests;
         budget.budget.set_reserve((earned * (fixed + saved)).max(LEAST_RESERVE));
-        budget.budget.succeeded(&Name::default(), &Target::Service(service.clone()));
+        budget.budget.record_success(&Name::default(), &Target::Service(service.clone()));
     }
 
     /// Returns whether a retry may be sent to a service, and counts it if so.
     pub fn may_retry(&mut self, now: Millis, service: &Name) -> bool {
         let target = Target::Service(service.clone());
-        self.open(now, service).budget.may_retry(&Name::default(), &target)
+        self.open(now, service).budget.try_spend(&Name::default(), &target)
     }
 
     fn open(&mut self, now: Millis, service: &Name) -> &mut Budget {
--- a/coordination/dispatch/src/pool.rs
+++ b/coordination/dispatch/src/pool.rs
@@ -7,8 +7,8 @@
 use rustc_hash::FxHasher;
 use sill_base::{Machine, Map, Millis, Name};
 use sill_route::{
-    Ask, ByPriority, Choice, Drawn, Event, Outcome, PolicyCfg, RefusalReason, Router, RouterCfg,
-    Target,
+    Choice, Event, Outcome, PolicyCfg, PriorityBounds, RefusalReason, RouteRequest, Router,
+    RouterCfg, SampleSize, Target,
 };
 use sill_wire::link::{EndpointFact, EndpointState, EngineSpeed, LoadWord};
 use sill_wire::prefix::BLOCK_TOKENS;
@@ -29,7 +29,7 @@
 
 /// Endpoints that a call is compared at, beside its home and those that hold its prompt. Of two drawn the idler
 /// one is nearly as good as the idlest of all, and not everybody's choice until its next word.
-const DRAWN: Option<Drawn> = Some(Drawn { here: 2.0, elsewhere: 1.0 });
+const DRAWN: Option<SampleSize> = Some(SampleSize { local: 2.0, remote: 1.0 });
 
 /// Blocks of prompts that one pool remembers; at 64 tokens a block, 4 million tokens.
 const MAX_BLOCKS: usize = 1 << 16;
@@ -341,8 +341,8 @@
         self.endpoints.get(endpoint).is_some_and(|k| k.fact.state == EndpointState::Ready)
     }
 
-    fn ask(&self, ask: &PlaceAsk) -> Ask {
-        Ask {
+    fn ask(&self, ask: &PlaceAsk) -> RouteRequest {
+        RouteRequest {
             request: ask.attempt.clone(),
             target: Target::Service(self.cfg.service.clone()),
             blocks: blocks(&ask.prompt),
@@ -407,16 +407,16 @@
     PolicyCfg {
         announcement_ttl: Millis::MAX,
         max_blocks: MAX_BLOCKS,
-        load_factor: ByPriority { low: 1.5, normal: 1.5, high: 1.5 },
-        pool_factor: ByPriority { low: 1.4, normal: 1.4, high: 1.4 },
-        first_token: None,
+        load_factor: PriorityBounds { low: 1.5, normal: 1.5, high: 1.5 },
+        pool_factor: PriorityBounds { low: 1.4, normal: 1.4, high: 1.4 },
+        ttft_target: None,
         spill_below: 1.4,
-        wait_factor: ByPriority::UNBOUNDED,
+        wait_factor: PriorityBounds::UNBOUNDED,
         slow_start: Millis(500),
-        elsewhere: ELSEWHERE,
-        drawn: DRAWN,
+        cross_domain_cost: ELSEWHERE,
+        sample_size: DRAWN,
         prefill_tokens_per_s: PREFILL_TOKENS_PER_S,
-        decode: DECODE,
+        decode_per_token: DECODE,
         ..PolicyCfg::default()
     }
 }
@@ -425,13 +425,13 @@
 fn plain_policy() -> PolicyCfg {
     PolicyCfg {
         announcement_ttl: Millis::MAX,
-        load_factor: ByPriority { low: 4.0, normal: 4.0, high: 4.0 },
-        pool_factor: ByPriority { low: 4.0, normal: 4.0, high: 4.0 },
-        first_token: None,
+        load_factor: PriorityBounds { low: 4.0, normal: 4.0, high: 4.0 },
+        pool_factor: PriorityBounds { low: 4.0, normal: 4.0, high: 4.0 },
+        ttft_target: None,
         spill_below: 4.0,
-        wait_factor: ByPriority::UNBOUNDED,
+        wait_factor: PriorityBounds::UNBOUNDED,
         slow_start: Millis(500),
-        elsewhere: Millis(10),
+        cross_domain_cost: Millis(10),
         ..PolicyCfg::default()
     }
 }
--- a/coordination/dispatch/src/share.rs
+++ b/coordination/dispatch/src/share.rs
@@ -138,7 +138,7 @@
         let is_far_below = account.is_far_below(unseen, amount, self.bounds);
         // A prompt may be larger than what a small share ever holds; it then takes a full bucket and
         // goes into debt. Were any rest enough, each entry instance could go into debt at once.
-        let is_open = account.bucket.covers(now, saved, amount);
+        let is_open = account.bucket.can_cover(now, saved, amount);
         // Prompts that no share ever holds go into debt, each entry instance with one of its own; of hundreds
         // of them that alone is more than the limit.
         let is_over = account.presumed_total(unseen) + amount > account.most(self.bounds);
--- a/coordination/dispatch/src/share/account.rs
+++ b/coordination/dispatch/src/share/account.rs
@@ -144,7 +144,7 @@
     /// a restart.
     fn drop_burst(&mut self) {
         if !std::mem::replace(&mut self.has_heard, true) {
-            self.bucket.empty();
+            self.bucket.drain();
         }
     }
 
@@ -192,7 +192,7 @@
         amount: f64,
         bounds: LimitBounds,
     ) -> (Millis, Millis) {
-        let here = self.bucket.holds_in(amount);
+        let here = self.bucket.time_to_balance(amount);
         let beyond = (self.presumed_total(unseen) + amount - self.free(bounds)).max(0.0);
         let everywhere = Millis((beyond / self.limit.rate.max(1e-9) * 1000.0) as u64);
         (here, everywhere)
@@ -248,7 +248,7 @@
     }
 
     pub(super) fn spend(&mut self, now: Millis, amount: f64) {
-        self.bucket.take(amount);
+        self.bucket.charge(amount);
         self.recent.add(now, RECENT, amount);
         self.admitted.add(now, amount);
         self.since_total += amount;
--- a/coordination/limit/src/bucket.rs
+++ b/coordination/limit/src/bucket.rs
@@ -42,13 +42,13 @@
     }
 
     /// Returns whether a request may pass.
-    pub fn is_open(&mut self, now: Millis, burst: Millis) -> bool {
+    pub fn can_admit(&mut self, now: Millis, burst: Millis) -> bool {
         self.fill(now, burst);
         self.balance > 0.0
     }
 
     /// Returns whether it holds what a request costs, or is full where it never holds so much.
-    pub fn covers(&mut self, now: Millis, burst: Millis, cost: f64) -> bool {
+    pub fn can_cover(&mut self, now: Millis, burst: Millis, cost: f64) -> bool {
         self.fill(now, burst);
         self.balance >= cost.min(self.rate * burst.as_secs_f64())
     }
@@ -59,12 +59,12 @@
     }
 
     /// Takes all that it holds.
-    pub fn empty(&mut self) {
+    pub fn drain(&mut self) {
         self.balance = self.balance.min(0.0);
     }
 
     /// Takes what a request costs.
-    pub fn take(&mut self, cost: f64) {
+    pub fn charge(&mut self, cost: f64) {
         self.balance -= cost;
     }
 
@@ -82,12 +82,12 @@
     }
 
     /// Returns when the bucket holds something again.
-    pub fn open_in(&self) -> Millis {
-        self.holds_in(0.0)
+    pub fn time_to_admit(&self) -> Millis {
+        self.time_to_balance(0.0)
     }
 
     /// Returns when the bucket holds an amount.
-    pub fn holds_in(&self, amount: f64) -> Millis {
+    pub fn time_to_balance(&self, amount: f64) -> Millis {
         const LONGEST: f64 = 60_000.0;
         let missing = (amount - self.balance).max(0.0) / self.rate.max(1e-9);
         Millis((missing * 1000.0).min(LONGEST) as u64)
--- a/coordination/limit/src/demand.rs
+++ b/coordination/limit/src/demand.rs
@@ -52,8 +52,8 @@
     pub(crate) fn update(&mut self, now: Millis, cfg: &SplitCfg) -> Rates {
         let passed = now.since(self.since).as_secs_f64();
         if passed > 0.0 {
-            let span = cfg.average.as_secs_f64();
-            let needed = cfg.average_requests / self.average.requests.max(1e-9);
+            let span = cfg.averaging_window.as_secs_f64();
+            let needed = cfg.min_averaged_requests / self.average.requests.max(1e-9);
             let keep = (-passed / needed.clamp(span, 5.0 * span)).exp();
             let asked = std::mem::take(&mut self.asked);
             self.average = self.average.zip(asked, |a, n| a * keep + n / passed * (1.0 - keep));
--- a/coordination/limit/src/exchange.rs
+++ b/coordination/limit/src/exchange.rs
@@ -13,7 +13,7 @@
 use crate::demand::Rates;
 use crate::limiter::{Action, LimiterCfg, Split, SplitCfg};
 use crate::tree::{Members, Peer, Place};
-use crate::weaken::Weakening;
+use crate::weakening::Weakening;
 
 /// The shares of one entry instance.
 #[derive(Debug)]
@@ -179,7 +179,7 @@
             if is_root && !(turn as u64 + self.sequence).is_multiple_of(2) {
                 continue;
             }
-            out.push(Action::Exchange { with: with.clone(), report: report.clone() });
+            out.push(Action::Exchange { peer: with.clone(), report: report.clone() });
         }
     }
 
@@ -268,7 +268,7 @@
                 continue;
             }
             let turns = if matches!(source, Peer::Domain(_)) { 2 } else { 1 };
-            if now.since(received.at) <= self.cfg.fresh_for * turns {
+            if now.since(received.at) <= self.cfg.stale_after * turns {
                 add(&mut live, &received.sums);
                 continue;
             }
@@ -349,7 +349,7 @@
             return false;
         };
         let limit = match self.place.has_neighbours {
-            true => self.cfg.alone_after,
+            true => self.cfg.isolated_after,
             false => self.cfg.domain_dead_after - self.cfg.silent_after,
         };
         now.since(newest) > limit
@@ -427,7 +427,7 @@
     }
 
     fn is_fresh(&self, now: Millis, cfg: &SplitCfg) -> bool {
-        now.since(self.at) <= cfg.fresh_for
+        now.since(self.at) <= cfg.stale_after
     }
 }
 
--- a/coordination/limit/src/lib.rs
+++ b/coordination/limit/src/lib.rs
@@ -5,7 +5,7 @@
 mod exchange;
 pub mod limiter;
 pub mod tree;
-pub mod weaken;
+pub mod weakening;
 
 pub use bucket::Bucket;
 pub use demand::Rates;
@@ -13,4 +13,4 @@
     AccountLimit, Action, Cost, Event, Limiter, LimiterCfg, Split, SplitCfg, Verdict,
 };
 pub use tree::{Members, Peer};
-pub use weaken::Weakening;
+pub use weakening::Weakening;
--- a/coordination/limit/src/limiter.rs
+++ b/coordination/limit/src/limiter.rs
@@ -9,7 +9,7 @@
 use crate::demand::{Demand, Rates};
 use crate::exchange::Exchange;
 use crate::tree::{Members, Peer};
-use crate::weaken::Weakening;
+use crate::weakening::Weakening;
 
 /// Settings of a limiter.
 #[derive(Debug, Clone)]
@@ -42,17 +42,17 @@
     /// Time between two ticks.
     pub tick: Millis,
     /// Span of the demand's moving average.
-    pub average: Millis,
+    pub averaging_window: Millis,
     /// Requests that the average spans at least, where they come slowly, within five times the span.
-    pub average_requests: f64,
+    pub min_averaged_requests: f64,
     /// Time for which an unused share is saved up.
     pub burst: Millis,
     /// Time without a report after which an entry instance's part of the limit is held fixed.
-    pub fresh_for: Millis,
+    pub stale_after: Millis,
     /// Time without a report after which an entry instance counts as silent.
     pub silent_after: Millis,
     /// Time without any word after which an entry instance gives its share up, if it has neighbours.
-    pub alone_after: Millis,
+    pub isolated_after: Millis,
     /// Time after which a silent one counts as dead, where others of its failure domain are heard.
     pub dead_after: Millis,
     /// Time after which a whole silent failure domain counts as dead.
@@ -108,7 +108,7 @@
     /// Give a report to a peer and take in its answer.
     Exchange {
         /// The peer.
-        with: Peer,
+        peer: Peer,
         /// The report.
         report: DemandReport,
     },
@@ -171,8 +171,8 @@
         let mut buckets = [state.requests.as_mut(), state.tokens.as_mut()];
         let mut wait = None;
         for bucket in buckets.iter_mut().flatten() {
-            if !bucket.is_open(now, burst) {
-                wait = wait.max(Some(bucket.open_in()));
+            if !bucket.can_admit(now, burst) {
+                wait = wait.max(Some(bucket.time_to_admit()));
             }
         }
         if let Some(wait) = wait {
@@ -183,7 +183,7 @@
                 continue;
             };
             if counts {
-                bucket.take(cost);
+                bucket.charge(cost);
             }
             bucket.meter(cost);
         }
@@ -196,7 +196,7 @@
     }
 
     /// Returns whether this one adds up the demand of its failure domain.
-    pub fn speaks_for_domain(&self) -> bool {
+    pub fn is_domain_root(&self) -> bool {
         self.exchange.is_root()
     }
 
@@ -293,12 +293,12 @@
             split: Split::Demand,
             floor: 0.005,
             tick: Millis(1_000),
-            average: Millis(1_000),
-            average_requests: 20.0,
+            averaging_window: Millis(1_000),
+            min_averaged_requests: 20.0,
             burst: Millis(250),
-            fresh_for: Millis(1_250),
+            stale_after: Millis(1_250),
             silent_after: Millis(3_000),
-            alone_after: Millis(5_000),
+            isolated_after: Millis(5_000),
             dead_after: Millis(30_000),
             domain_dead_after: Millis(21_600_000),
         }
--- a/coordination/limit/tests/support/mod.rs
+++ b/coordination/limit/tests/support/mod.rs
@@ -168,7 +168,7 @@
             }
             let mut actions = Vec::new();
             self.limiters[i].step(self.now, Event::Tick, &mut actions);
-            for Action::Exchange { with, report } in actions {
+            for Action::Exchange { peer: with, report } in actions {
                 let Some(peer) = self.find(&with) else {
                     continue;
                 };
--- a/coordination/route/benches/choose.rs
+++ b/coordination/route/benches/choose.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use sill_base::{Machine, Millis, Name};
-use sill_route::{Ask, Choice, Event, Policy, PolicyCfg, Router, RouterCfg, Target};
+use sill_route::{Choice, Event, Policy, PolicyCfg, RouteRequest, Router, RouterCfg, Target};
 use sill_wire::{Announcement, Priority};
 
 use common::announcement;
@@ -23,9 +23,9 @@
     }
 }
 
-fn ask(number: u64) -> Ask {
+fn ask(number: u64) -> RouteRequest {
     let prefix = number % PREFIXES;
-    Ask {
+    RouteRequest {
         request: format!("r-{number}").into(),
         target: Target::Model("m".into()),
         blocks: (0..BLOCKS).map(|b| prefix << 32 | b).chain([number << 40]).collect(),
@@ -57,7 +57,7 @@
             router.step(now, ended, &mut Vec::new());
         }
     }
-    let asks: Vec<Ask> = (0..CHOICES).map(ask).collect();
+    let asks: Vec<RouteRequest> = (0..CHOICES).map(ask).collect();
     let began = Instant::now();
     let mut chosen = 0;
     for ask in &asks {
--- a/coordination/route/benches/state.rs
+++ b/coordination/route/benches/state.rs
@@ -6,15 +6,15 @@
 use std::time::Instant;
 
 use sill_base::{Machine, Millis, Name};
-use sill_route::{Ask, Choice, Event, Outcome, PolicyCfg, Router, RouterCfg, Target};
+use sill_route::{Choice, Event, Outcome, PolicyCfg, RouteRequest, Router, RouterCfg, Target};
 use sill_wire::Priority;
 
 use common::announcement;
 
 const PAGE: usize = 4096;
 
-fn ask(number: u64, prompt: u64, blocks: u64) -> Ask {
-    Ask {
+fn ask(number: u64, prompt: u64, blocks: u64) -> RouteRequest {
+    RouteRequest {
         request: format!("r-{number}").into(),
         target: Target::Model("m".into()),
         blocks: (0..blocks).map(|b| prompt << 20 | b).collect(),
@@ -57,7 +57,11 @@
         router.step(Millis(2_000), ended, &mut Vec::new());
     }
     let grown = resident().saturating_sub(before);
-    println!("{:>9} blocks: {:>7.1} bytes each", router.blocks(), grown as f64 / blocks as f64);
+    println!(
+        "{:>9} blocks: {:>7.1} bytes each",
+        router.block_count(),
+        grown as f64 / blocks as f64
+    );
     grown as f64 / blocks as f64
 }
 
@@ -65,7 +69,7 @@
     let before = resident();
     let router = router(endpoints, 1);
     let grown = resident().saturating_sub(before);
-    println!("{:>9} endpoints: {:>7.0} bytes each", router.endpoints(), grown / endpoints);
+    println!("{:>9} endpoints: {:>7.0} bytes each", router.endpoint_count(), grown / endpoints);
 }
 
 /// Announcements once a second, and requests of 100 blocks that end after four seconds.
--- a/coordination/route/src/endpoint.rs
+++ b/coordination/route/src/endpoint.rs
@@ -5,9 +5,9 @@
 use sill_base::{Map, Millis, Name};
 use sill_wire::{Announcement, Incarnation};
 
-use crate::ask::Outcome;
 use crate::home;
 use crate::policy::PolicyCfg;
+use crate::request::Outcome;
 
 /// Ended requests kept to correct a lagging report, at most.
 const MAX_ENDED: usize = 1024;
@@ -151,7 +151,7 @@
 
     pub(crate) fn decode_ms(&self, cfg: &PolicyCfg) -> f64 {
         match self.announcement.decode_ms {
-            0 => cfg.decode.0 as f64,
+            0 => cfg.decode_per_token.0 as f64,
             ms => f64::from(ms),
         }
     }
@@ -184,7 +184,7 @@
             Outcome::Finished => self.failures = 0,
             Outcome::Cancelled => {}
             Outcome::Failed => {
-                let span = cfg.suspect * (1 << self.failures.min(5));
+                let span = cfg.failure_backoff * (1 << self.failures.min(5));
                 self.suspect_until = now + span;
                 self.failures += 1;
             }
--- a/coordination/route/src/prefix.rs
+++ b/coordination/route/src/prefix.rs
@@ -52,7 +52,7 @@
         }
         self.known[slot].capacity = blocks;
         let excess = self.known[slot].used_at.len().saturating_sub(blocks);
-        self.forget_oldest(slot, excess);
+        self.evict_oldest(slot, excess);
     }
 
     /// Notes that an endpoint holds blocks. Later blocks are useless without the earlier ones, so
@@ -69,7 +69,7 @@
         }
         let excess = known.used_at.len().saturating_sub(known.capacity);
         known.compact();
-        self.forget_oldest(slot, excess);
+        self.evict_oldest(slot, excess);
         self.forget_stale(slot, now);
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Forgets the blocks of an endpoint that were used longest ago.
-    pub fn forget_oldest(&mut self, slot: usize, count: usize) {
+    pub fn evict_oldest(&mut self, slot: usize, count: usize) {
         for _ in 0..count {
             let Some(block) = self.known.get_mut(slot).and_then(Known::pop_oldest) else {
                 return;
@@ -143,7 +143,7 @@
     fn forget_stale(&mut self, slot: usize, now: Millis) {
         let before_s = (now.since(self.ttl).0 / 1000) as u32;
         while self.known[slot].order.front().is_some_and(|(_, stamp)| stamp.at_s < before_s) {
-            self.forget_oldest(slot, 1);
+            self.evict_oldest(slot, 1);
         }
     }
 
@@ -185,7 +185,7 @@
 
 impl Depths {
     /// Returns how many leading blocks an endpoint holds.
-    pub fn of(&self, slot: usize) -> u32 {
+    pub fn get(&self, slot: usize) -> u32 {
         self.by_slot.get(slot).copied().unwrap_or(0)
     }
 }
--- a/coordination/route/src/ask.rs
+++ b/coordination/route/src/request.rs
@@ -18,7 +18,7 @@
 
 /// A request that needs an endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct RouteRequest {
     /// The request, as named in logs.
     pub request: Name,
     /// What has to serve it.
@@ -41,14 +41,14 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Choice {
     /// Send it there.
-    Endpoint(Chosen),
+    Endpoint(ChosenEndpoint),
     /// Don't send it now.
     Refuse(Refusal),
 }
 
 /// A chosen endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Chosen {
+pub struct ChosenEndpoint {
     /// Its name.
     pub endpoint: Name,
     /// Its life.
@@ -107,7 +107,7 @@
         /// The endpoint.
         endpoint: Name,
         /// The request as it was asked.
-        ask: Ask,
+        ask: RouteRequest,
     },
     /// The first token of an answer came.
     FirstToken {
--- a/coordination/route/src/retry.rs
+++ b/coordination/route/src/retry.rs
@@ -6,7 +6,7 @@
 
 use sill_base::{Map, Name};
 
-use crate::ask::Target;
+use crate::request::Target;
 
 /// Figures of a retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -44,7 +44,7 @@
     }
 
     /// Notes an answer that came whole.
-    pub fn succeeded(&mut self, account: &Name, target: &Target) {
+    pub fn record_success(&mut self, account: &Name, target: &Target) {
         let pair = Pair { account: account.clone(), target: target.clone() };
         let Some(spent) = self.spent.get_mut(&pair) else {
             return;
@@ -56,7 +56,7 @@
     }
 
     /// Returns whether a retry may be sent, and counts it if so.
-    pub fn may_retry(&mut self, account: &Name, target: &Target) -> bool {
+    pub fn try_spend(&mut self, account: &Name, target: &Target) -> bool {
         let pair = Pair { account: account.clone(), target: target.clone() };
         let is_new = !self.spent.contains_key(&pair);
         if is_new && self.spent.len() >= self.cfg.max_pairs {
--- a/coordination/route/src/router.rs
+++ b/coordination/route/src/router.rs
@@ -7,17 +7,17 @@
 use sill_wire::prefix::BLOCK_TOKENS;
 use sill_wire::{Announcement, Incarnation, Role};
 
-use crate::ask::{Ask, Choice, Chosen, Event, Refusal, RefusalReason, Target};
 use crate::endpoint::Endpoint;
 use crate::home;
 use crate::newest::Newest;
-use crate::policy::{ByPriority, Drawn, PolicyCfg};
+use crate::policy::{PolicyCfg, PriorityBounds, SampleSize};
 use crate::prefix::{Depths, PrefixIndex};
+use crate::request::{Choice, ChosenEndpoint, Event, Refusal, RefusalReason, RouteRequest, Target};
 use crate::risk::Waves;
 use crate::score::{Candidate, Scorer};
 use crate::survey::Survey;
 use crate::view::PoolView;
-use crate::weaken::Weakening;
+use crate::weakening::Weakening;
 
 /// Settings of a router.
 #[derive(Debug, Clone)]
@@ -83,19 +83,19 @@
     pub fn weaken(&mut self, weakening: Weakening) {
         self.weakening = Some(weakening);
         if weakening == Weakening::UnboundedLoad {
-            self.policy.load_factor = ByPriority::UNBOUNDED;
-            self.policy.wait_factor = ByPriority::UNBOUNDED;
-            self.policy.pool_factor = ByPriority::UNBOUNDED;
+            self.policy.load_factor = PriorityBounds::UNBOUNDED;
+            self.policy.wait_factor = PriorityBounds::UNBOUNDED;
+            self.policy.pool_factor = PriorityBounds::UNBOUNDED;
         }
     }
 
     /// Returns the number of endpoints it knows.
-    pub fn endpoints(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
     /// Returns the number of cached blocks it remembers over all endpoints.
-    pub fn blocks(&self) -> usize {
+    pub fn block_count(&self) -> usize {
         self.prefixes.len()
     }
 
@@ -106,16 +106,16 @@
         };
         let mut depths = Depths::default();
         self.prefixes.depths(blocks, self.slots, &mut depths);
-        u64::from(depths.of(endpoint.slot)) * BLOCK_TOKENS as u64
+        u64::from(depths.get(endpoint.slot)) * BLOCK_TOKENS as u64
     }
 
     /// Chooses an endpoint, or says why there is none. The caller reports a request that it sends
     /// by [`Event::Sent`].
-    pub fn choose(&mut self, now: Millis, ask: &Ask) -> Choice {
+    pub fn choose(&mut self, now: Millis, ask: &RouteRequest) -> Choice {
         let mut depths = std::mem::take(&mut self.depths);
         self.prefixes.depths(&ask.blocks, self.slots, &mut depths);
-        let mut choice = self.choose_by(now, ask, &depths, self.policy.drawn);
-        if matches!(choice, Choice::Refuse(_)) && self.policy.drawn.is_some() {
+        let mut choice = self.choose_by(now, ask, &depths, self.policy.sample_size);
+        if matches!(choice, Choice::Refuse(_)) && self.policy.sample_size.is_some() {
             // Those that were not drawn may have room.
             choice = self.choose_by(now, ask, &depths, None);
         }
@@ -127,13 +127,13 @@
     }
 
     /// Returns what is believed of the endpoints that serve a request's target.
-    pub fn view(&self, now: Millis, ask: &Ask) -> PoolView {
+    pub fn view(&self, now: Millis, ask: &RouteRequest) -> PoolView {
         let mut view = PoolView::default();
         let serves = |e: &&Endpoint| ask.target.is_served_by(&e.announcement);
         for endpoint in self.endpoints.values().filter(serves) {
             let candidate = self.candidate(now, ask, endpoint, 0, None);
             match self.check(now, ask, &candidate) {
-                Err(Unfit::No) => view.unfit += 1,
+                Err(Unfit::No) => view.ineligible += 1,
                 _ => view.count(now, &candidate, &self.policy),
             }
         }
@@ -143,16 +143,16 @@
     fn choose_by(
         &mut self,
         now: Millis,
-        ask: &Ask,
+        ask: &RouteRequest,
         depths: &Depths,
-        drawn: Option<Drawn>,
+        drawn: Option<SampleSize>,
     ) -> Choice {
         let mut scorer = Scorer::new(&self.policy, ask, self.survey.dearest);
         let mut reason = RefusalReason::NoEndpoint;
         let home = self.home(now, ask);
         let mut has_healthy = false;
         for endpoint in self.endpoints.values() {
-            let cached = u64::from(depths.of(endpoint.slot)) * BLOCK_TOKENS as u64;
+            let cached = u64::from(depths.get(endpoint.slot)) * BLOCK_TOKENS as u64;
             let candidate = self.candidate(now, ask, endpoint, cached, home);
             let fit = self.check(now, ask, &candidate);
             has_healthy |= !candidate.suspect && !matches!(fit, Err(Unfit::No));
@@ -188,7 +188,7 @@
     }
 
     /// Returns the number of the endpoint where all entry instances look for the prompt.
-    fn home(&self, now: Millis, ask: &Ask) -> Option<usize> {
+    fn home(&self, now: Millis, ask: &RouteRequest) -> Option<usize> {
         let block = home::deciding_block(&ask.blocks)?;
         let may_be = |e: &&Endpoint| {
             let a = &e.announcement;
@@ -201,7 +201,7 @@
     fn candidate<'a>(
         &self,
         now: Millis,
-        ask: &Ask,
+        ask: &RouteRequest,
         endpoint: &'a Endpoint,
         cached: u64,
         home: Option<usize>,
@@ -240,7 +240,12 @@
         endpoint.slots()
     }
 
-    fn check(&self, now: Millis, ask: &Ask, candidate: &Candidate<'_>) -> Result<(), Unfit> {
+    fn check(
+        &self,
+        now: Millis,
+        ask: &RouteRequest,
+        candidate: &Candidate<'_>,
+    ) -> Result<(), Unfit> {
         let endpoint = candidate.endpoint;
         let a = &endpoint.announcement;
         let skips = |weakening| self.weakening == Some(weakening);
@@ -271,7 +276,7 @@
         Refusal { reason, retry_after: Millis(base + self.rng.random_range(0..2 * base)) }
     }
 
-    fn check_choice(&self, now: Millis, chosen: &Chosen) {
+    fn check_choice(&self, now: Millis, chosen: &ChosenEndpoint) {
         let Some(word) = self.newest.get(&chosen.endpoint) else {
             return;
         };
@@ -388,7 +393,7 @@
         self.newest.forget(now, self.policy.tombstone_ttl, is_known);
     }
 
-    fn sent(&mut self, now: Millis, name: &Name, ask: &Ask) {
+    fn sent(&mut self, now: Millis, name: &Name, ask: &RouteRequest) {
         let cached = self.cached_tokens(name, &ask.blocks);
         let Some(endpoint) = self.endpoints.get_mut(name) else {
             return;
@@ -414,7 +419,7 @@
         endpoint.next_event = Some(end.max(expected));
         let lost = batch.sequence.saturating_sub(expected);
         if self.weakening != Some(Weakening::IgnoreGaps) {
-            self.prefixes.forget_oldest(slot, lost as usize);
+            self.prefixes.evict_oldest(slot, lost as usize);
         }
         for event in batch.events {
             match event {
@@ -464,7 +469,7 @@
 }
 
 /// Returns whether a role takes a whole request. An answer of one token needs no decoding.
-fn takes(role: Role, ask: &Ask) -> bool {
+fn takes(role: Role, ask: &RouteRequest) -> bool {
     match role {
         Role::Mixed => true,
         Role::Prefill => ask.max_tokens <= 1,
--- a/coordination/route/src/score.rs
+++ b/coordination/route/src/score.rs
@@ -4,9 +4,9 @@
 use sill_base::Millis;
 use sill_base::random::Rng;
 
-use crate::ask::{Ask, Chosen};
 use crate::endpoint::Endpoint;
 use crate::policy::{Policy, PolicyCfg};
+use crate::request::{ChosenEndpoint, RouteRequest};
 
 /// An endpoint that may be chosen, with what the choice depends on.
 #[derive(Debug, Clone, Copy)]
@@ -40,7 +40,7 @@
 /// Keeps the best candidates so far.
 pub(crate) struct Scorer<'a, 'p> {
     cfg: &'p PolicyCfg,
-    ask: &'p Ask,
+    ask: &'p RouteRequest,
     dearest: f64,
     best: Option<Scored<'a>>,
     /// The best of those that are not late.
@@ -65,7 +65,7 @@
 
 impl Candidate<'_> {
     /// Returns the time until a slot is free, from the requests that stand before the others.
-    fn queue_ms(&self, cfg: &PolicyCfg, ask: &Ask) -> f64 {
+    fn queue_ms(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> f64 {
         let before = f64::from(self.active) + 1.0 - self.usable_slots;
         let answer_ms = f64::from(ask.max_tokens) * self.endpoint.decode_ms(cfg);
         let for_slot = before.max(0.0) * answer_ms / self.usable_slots;
@@ -80,31 +80,31 @@
 
     /// Returns whether a request of this priority would find too little room, or wait too long for
     /// the prompts before it.
-    fn is_late(&self, cfg: &PolicyCfg, ask: &Ask) -> bool {
-        let slots = (self.slots * cfg.load_factor.of(ask.priority)).max(1.0);
+    fn is_late(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> bool {
+        let slots = (self.slots * cfg.load_factor.bound(ask.priority)).max(1.0);
         let whole_ms = self.endpoint.prefill_ms(ask.prompt_tokens, cfg) + cfg.wait_base.0 as f64;
         let wait_ms = self.endpoint.prefill_ms(self.presumed_tokens, cfg);
-        let waits = wait_ms > whole_ms * cfg.wait_factor.of(ask.priority);
+        let waits = wait_ms > whole_ms * cfg.wait_factor.bound(ask.priority);
         let is_busy = f64::from(self.active) >= slots && !self.is_prompt(cfg, ask);
         is_busy || (waits && cfg.policy == Policy::Cost)
     }
 
     /// Returns whether the first token is expected in the time that a request of this priority may take of a
     /// loaded pool.
-    fn is_prompt(&self, cfg: &PolicyCfg, ask: &Ask) -> bool {
-        cfg.first_token.is_some_and(|wanted| {
-            self.ttft_ms(cfg, ask) <= wanted.0 as f64 * cfg.wait_factor.of(ask.priority)
+    fn is_prompt(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> bool {
+        cfg.ttft_target.is_some_and(|wanted| {
+            self.ttft_ms(cfg, ask) <= wanted.0 as f64 * cfg.wait_factor.bound(ask.priority)
         })
     }
 
     /// Returns the time for the part of the prompt that is not known to be cached.
-    fn prefill_ms(&self, cfg: &PolicyCfg, ask: &Ask) -> f64 {
+    fn prefill_ms(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> f64 {
         self.endpoint.prefill_ms(ask.prompt_tokens.saturating_sub(self.cached), cfg)
     }
 
     /// Returns the time for the prompt with what its home is presumed to hold. A presumption may
     /// order endpoints, but must not let in a request that then misses its deadline.
-    fn presumed_prefill_ms(&self, cfg: &PolicyCfg, ask: &Ask) -> f64 {
+    fn presumed_prefill_ms(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> f64 {
         let presumed = match self.is_home {
             true => (ask.prompt_tokens as f64 * cfg.home_share) as u64,
             false => 0,
@@ -113,27 +113,27 @@
         self.endpoint.prefill_ms(ask.prompt_tokens.saturating_sub(cached), cfg)
     }
 
-    fn ttft_ms(&self, cfg: &PolicyCfg, ask: &Ask) -> f64 {
+    fn ttft_ms(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> f64 {
         self.queue_ms(cfg, ask) + self.prefill_ms(cfg, ask)
     }
 
     /// Returns the expected time to the whole answer.
-    pub(crate) fn answer_ms(&self, cfg: &PolicyCfg, ask: &Ask) -> f64 {
+    pub(crate) fn answer_ms(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> f64 {
         self.ttft_ms(cfg, ask) + f64::from(ask.max_tokens) * self.endpoint.decode_ms(cfg)
     }
 
     /// Returns the expected cost: waiting, the prompt's rest, slower tokens in a fuller batch, the
     /// price of the time taken, and the work that a reclaim would destroy.
-    fn cost(&self, cfg: &PolicyCfg, ask: &Ask, dearest: f64) -> f64 {
+    fn cost(&self, cfg: &PolicyCfg, ask: &RouteRequest, dearest: f64) -> f64 {
         let prefill = self.presumed_prefill_ms(cfg, ask);
         let answer = self.answer_ms(cfg, ask);
-        let crowding = f64::from(self.active) / self.usable_slots * cfg.crowding.0 as f64;
+        let crowding = f64::from(self.active) / self.usable_slots * cfg.load_cost.0 as f64;
         let price = self.endpoint.announcement.price as f64 / dearest.max(1.0);
         let busy = prefill + answer / self.usable_slots;
         let at_stake = ask.prompt_tokens + u64::from(ask.max_tokens) / 2;
         let chance = (self.reclaim_per_s * answer / 1000.0).min(1.0);
         let risk = chance * self.endpoint.prefill_ms(at_stake, cfg);
-        let elsewhere = if self.elsewhere { cfg.elsewhere.0 as f64 } else { 0.0 };
+        let elsewhere = if self.elsewhere { cfg.cross_domain_cost.0 as f64 } else { 0.0 };
         self.queue_ms(cfg, ask)
             + prefill * cfg.prefill_weight
             + crowding
@@ -144,7 +144,7 @@
 }
 
 impl<'a, 'p> Scorer<'a, 'p> {
-    pub(crate) fn new(cfg: &'p PolicyCfg, ask: &'p Ask, dearest: u64) -> Self {
+    pub(crate) fn new(cfg: &'p PolicyCfg, ask: &'p RouteRequest, dearest: u64) -> Self {
         Self {
             cfg,
             ask,
@@ -185,7 +185,7 @@
     pub(crate) fn best(self) -> Option<Scored<'a>> {
         let load = self.active / self.slots.max(1.0);
         let best = self.best?;
-        let is_loaded = load >= self.cfg.pool_factor.of(self.ask.priority);
+        let is_loaded = load >= self.cfg.pool_factor.bound(self.ask.priority);
         if is_loaded
             && self.cfg.policy == Policy::Cost
             && !best.candidate.is_prompt(self.cfg, self.ask)
@@ -219,14 +219,14 @@
     }
 
     /// Turns it into the router's answer.
-    pub(crate) fn chosen(&self, cfg: &PolicyCfg, ask: &Ask) -> Chosen {
+    pub(crate) fn chosen(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> ChosenEndpoint {
         let Candidate { endpoint, cached, active, .. } = self.candidate;
         let a = &endpoint.announcement;
         let why = format!(
             "cached {cached} of {} tokens, {active} active on {} slots, cost {:.0} ms",
             ask.prompt_tokens, a.slots, self.rank.cost
         );
-        Chosen {
+        ChosenEndpoint {
             endpoint: a.name.clone(),
             incarnation: a.incarnation,
             address: a.address.clone(),
--- a/coordination/route/src/survey.rs
+++ b/coordination/route/src/survey.rs
@@ -3,7 +3,7 @@
 use sill_base::{Map, Millis, Name};
 
 use crate::endpoint::Endpoint;
-use crate::policy::{Drawn, PolicyCfg};
+use crate::policy::{PolicyCfg, SampleSize};
 
 /// Time between two surveys. A pass over all endpoints for each announcement would grow with the square of
 /// their number.
@@ -71,10 +71,10 @@
     }
 
     /// Returns the chance that an endpoint is drawn for a request.
-    pub(crate) fn chance(&self, drawn: Drawn, is_elsewhere: bool) -> f64 {
+    pub(crate) fn chance(&self, drawn: SampleSize, is_elsewhere: bool) -> f64 {
         let (drawn, of) = match is_elsewhere {
-            true => (drawn.elsewhere, self.staying.elsewhere),
-            false => (drawn.here, self.staying.here),
+            true => (drawn.remote, self.staying.elsewhere),
+            false => (drawn.local, self.staying.here),
         };
         drawn / f64::from(of.max(1))
     }
--- a/coordination/route/src/view.rs
+++ b/coordination/route/src/view.rs
@@ -15,15 +15,15 @@
     /// Of these, those that failed lately.
     pub suspect: u32,
     /// Endpoints that may not be given work: leaving, expired, excluded or in another role.
-    pub unfit: u32,
+    pub ineligible: u32,
     /// Requests at the ready endpoints, as reported and corrected by our own dispatches.
     pub active: u32,
     /// Of these, our own.
-    pub own: u32,
+    pub own_active: u32,
     /// Slots of the ready endpoints.
     pub slots: u32,
     /// Age of the oldest load report among the ready endpoints.
-    pub oldest: Millis,
+    pub oldest_load_age: Millis,
 }
 
 impl PoolView {
@@ -34,8 +34,8 @@
         self.full += u32::from(candidate.is_full(cfg));
         self.suspect += u32::from(candidate.suspect);
         self.active += candidate.active;
-        self.own += endpoint.own();
+        self.own_active += endpoint.own();
         self.slots += candidate.slots as u32;
-        self.oldest = self.oldest.max(now - endpoint.sampled());
+        self.oldest_load_age = self.oldest_load_age.max(now - endpoint.sampled());
     }
 }
--- a/coordination/route/tests/choice.rs
+++ b/coordination/route/tests/choice.rs
@@ -4,7 +4,8 @@
 
 use sill_base::{Machine, Millis};
 use sill_route::{
-    Ask, Choice, Event, PoolView, RefusalReason, RetryBudget, RetryCfg, Router, RouterCfg, Target,
+    Choice, Event, PoolView, RefusalReason, RetryBudget, RetryCfg, RouteRequest, Router, RouterCfg,
+    Target,
 };
 use sill_wire::{Announcement, Load, Priority};
 
@@ -16,7 +17,7 @@
     name: &'static str,
     endpoints: Vec<Announcement>,
     cached_at: Option<&'static str>,
-    ask: Ask,
+    ask: RouteRequest,
     expected: Result<&'static str, RefusalReason>,
 }
 
@@ -60,7 +61,7 @@
             name: "low priority is refused first",
             endpoints: vec![busy("x", "a", 4), busy("y", "a", 3)],
             cached_at: None,
-            ask: Ask { priority: Priority::Low, ..plain() },
+            ask: RouteRequest { priority: Priority::Low, ..plain() },
             expected: Err(RefusalReason::Full),
         },
         Case {
@@ -81,7 +82,7 @@
             name: "high priority may queue a little",
             endpoints: vec![busy("x", "a", 4)],
             cached_at: None,
-            ask: Ask { priority: Priority::High, ..plain() },
+            ask: RouteRequest { priority: Priority::High, ..plain() },
             expected: Ok("x"),
         },
         Case {
@@ -104,7 +105,7 @@
             name: "a deadline that can't be met is refused at once",
             endpoints: vec![endpoint("x", "a")],
             cached_at: None,
-            ask: Ask { deadline: NOW + Millis(1000), ..plain() },
+            ask: RouteRequest { deadline: NOW + Millis(1000), ..plain() },
             expected: Err(RefusalReason::Deadline),
         },
         Case {
@@ -122,7 +123,7 @@
             name: "nothing serves it",
             endpoints: vec![endpoint("x", "a")],
             cached_at: None,
-            ask: Ask { target: Target::Model("other".into()), ..plain() },
+            ask: RouteRequest { target: Target::Model("other".into()), ..plain() },
             expected: Err(RefusalReason::NoEndpoint),
         },
     ]
@@ -183,7 +184,8 @@
         }
         let mut taken = 0;
         for request in 0..40 {
-            let ask = Ask { prompt_tokens: 8, max_tokens: 200, priority, ..ask(request, 1, 0) };
+            let ask =
+                RouteRequest { prompt_tokens: 8, max_tokens: 200, priority, ..ask(request, 1, 0) };
             let Choice::Endpoint(chosen) = router.choose(NOW, &ask) else { continue };
             taken += 1;
             router.step(NOW, Event::Sent { endpoint: chosen.endpoint, ask }, &mut Vec::new());
@@ -212,11 +214,11 @@
     let expected = PoolView {
         ready: 1,
         full: 1,
-        unfit: 2,
+        ineligible: 2,
         active: 7,
-        own: 1,
+        own_active: 1,
         slots: 4,
-        oldest: Millis(500),
+        oldest_load_age: Millis(500),
         ..PoolView::default()
     };
     assert_eq!(view, expected);
@@ -241,7 +243,7 @@
         hear(&mut router, NOW, endpoint("y", "a"));
         let mut taken = 0;
         for request in 0..4 {
-            let ask = Ask { priority: Priority::High, ..ask(request, 1, 0) };
+            let ask = RouteRequest { priority: Priority::High, ..ask(request, 1, 0) };
             let Choice::Endpoint(chosen) = router.choose(NOW, &ask) else {
                 break;
             };
@@ -275,12 +277,12 @@
 fn retries_are_a_share_of_successes() {
     let mut budget = RetryBudget::new(RetryCfg { share: 0.1, reserve: 10.0, max_pairs: 2 });
     let (account, target) = ("desk".into(), Target::Model("m".into()));
-    let allowed = (0..1000).filter(|_| budget.may_retry(&account, &target)).count();
+    let allowed = (0..1000).filter(|_| budget.try_spend(&account, &target)).count();
     assert_eq!(allowed, 10);
     for _ in 0..100 {
-        budget.succeeded(&account, &target);
+        budget.record_success(&account, &target);
     }
-    let allowed = (0..1000).filter(|_| budget.may_retry(&account, &target)).count();
+    let allowed = (0..1000).filter(|_| budget.try_spend(&account, &target)).count();
     assert!((9..=10).contains(&allowed), "{allowed}");
-    assert!(budget.may_retry(&"fleet".into(), &target), "accounts don't spend each other's");
+    assert!(budget.try_spend(&"fleet".into(), &target), "accounts don't spend each other's");
 }
--- a/coordination/route/tests/homes.rs
+++ b/coordination/route/tests/homes.rs
@@ -1,7 +1,7 @@
 //! How prompts spread over their homes.
 
 use sill_base::{Machine, Millis, Name};
-use sill_route::{Ask, Choice, Event, PolicyCfg, Router, RouterCfg, Target};
+use sill_route::{Choice, Event, PolicyCfg, RouteRequest, Router, RouterCfg, Target};
 use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Served};
 
 /// Prompts with a beginning of their own.
@@ -29,8 +29,8 @@
     }
 }
 
-fn ask(prompt: u64) -> Ask {
-    Ask {
+fn ask(prompt: u64) -> RouteRequest {
+    RouteRequest {
         request: "r".into(),
         target: Target::Service("desk".into()),
         blocks: (0..64).map(|i| prompt.wrapping_mul(0x9e37_79b9).wrapping_add(i)).collect(),
--- a/coordination/route/tests/random_runs.rs
+++ b/coordination/route/tests/random_runs.rs
@@ -96,7 +96,7 @@
 
     fn cache_events(&mut self, chosen: usize) {
         let name = self.lives[chosen].name.clone();
-        if self.lives[chosen].sequence == 0 || self.run.router.endpoints() == 0 {
+        if self.lives[chosen].sequence == 0 || self.run.router.endpoint_count() == 0 {
             return;
         }
         let next = self.events.entry(name.clone()).or_insert(1);
--- a/coordination/route/tests/support/mod.rs
+++ b/coordination/route/tests/support/mod.rs
@@ -3,7 +3,8 @@
 
 use sill_base::{Machine, Map, Millis, Name};
 use sill_route::{
-    Ask, Choice, Chosen, Event, Outcome, Policy, PolicyCfg, Router, RouterCfg, Target, Weakening,
+    Choice, ChosenEndpoint, Event, Outcome, Policy, PolicyCfg, RouteRequest, Router, RouterCfg,
+    Target, Weakening,
 };
 use sill_wire::endpoint::{CacheEvent, CacheEvents};
 use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Served};
@@ -34,8 +35,8 @@
 }
 
 /// A request with a prompt of `length` blocks that starts as all others of the same `prompt`.
-pub fn ask(request: u64, prompt: u64, length: u64) -> Ask {
-    Ask {
+pub fn ask(request: u64, prompt: u64, length: u64) -> RouteRequest {
+    RouteRequest {
         request: format!("r-{request}").into(),
         target: Target::Model("m".into()),
         blocks: (0..length).map(|b| prompt << 32 | b).collect(),
@@ -115,7 +116,7 @@
     }
 
     /// Chooses and sends, and notes each rule that the choice breaks.
-    pub fn send(&mut self, now: Millis, ask: &Ask) -> Choice {
+    pub fn send(&mut self, now: Millis, ask: &RouteRequest) -> Choice {
         let choice = self.router.choose(now, ask);
         if let Choice::Endpoint(chosen) = &choice {
             self.check(now, ask, chosen);
@@ -134,7 +135,7 @@
         self.step(now, Event::Ended { endpoint, request, tokens: 1, outcome });
     }
 
-    fn check(&mut self, now: Millis, ask: &Ask, chosen: &Chosen) {
+    fn check(&mut self, now: Millis, ask: &RouteRequest, chosen: &ChosenEndpoint) {
         let newest = &self.newest[&chosen.endpoint];
         let held = self.held.get(&chosen.endpoint).copied().unwrap_or(0);
         let heard = self.heard[&chosen.endpoint];
@@ -148,7 +149,7 @@
             (!ask.exclude.contains(&chosen.endpoint), "excluded"),
         ];
         self.violations.extend(rules.iter().filter(|(holds, _)| !holds).map(|(_, rule)| *rule));
-        if self.router.blocks() > 4096 {
+        if self.router.block_count() > 4096 {
             self.violations.push("memory");
         }
     }
--- a/daemons/entry/src/limits.rs
+++ b/daemons/entry/src/limits.rs
@@ -53,7 +53,7 @@
         }
         shared.limits.step(shared.clock.now(), Event::Members(members(&shared)));
         for action in shared.limits.step(shared.clock.now(), Event::Tick) {
-            let Action::Exchange { with, report } = action;
+            let Action::Exchange { peer: with, report } = action;
             tokio::spawn(exchange(shared.clone(), with, report));
         }
     }
@@ -67,7 +67,7 @@
 /// Fails when that one can't be reached.
 pub async fn answer(shared: Arc<Shared>, call: DemandExchange) -> Result<DemandReply, PeerError> {
     let is_foreign = call.reports.first().is_some_and(|r| r.domain != shared.cfg.domain);
-    if is_foreign && !call.forwarded && !shared.limits.0.lock().speaks_for_domain() {
+    if is_foreign && !call.forwarded && !shared.limits.0.lock().is_domain_root() {
         return forward(&shared, call).await;
     }
     let reports = {
--- a/daemons/entry/src/record.rs
+++ b/daemons/entry/src/record.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use sill_base::{Machine, Millis, event};
-use sill_route::{Ask, Choice, Event, PoolView, Router, RouterCfg};
+use sill_route::{Choice, Event, PoolView, RouteRequest, Router, RouterCfg};
 
 /// What a router takes in.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -16,7 +16,7 @@
     /// It heard something.
     Hear(Event),
     /// It was asked for an endpoint.
-    Ask(Ask),
+    Ask(RouteRequest),
 }
 
 /// A router whose inputs and choices are written to a file, where one was named.
@@ -52,7 +52,7 @@
     }
 
     /// Chooses an endpoint for a request.
-    pub fn choose(&mut self, now: Millis, ask: &Ask) -> Choice {
+    pub fn choose(&mut self, now: Millis, ask: &RouteRequest) -> Choice {
         let choice = self.router.choose(now, ask);
         if self.file.is_some() {
             let input = RouterInput::Ask(ask.clone());
@@ -63,7 +63,7 @@
     }
 
     /// Returns what is believed of the endpoints that serve a request's target.
-    pub fn view(&self, now: Millis, ask: &Ask) -> PoolView {
+    pub fn view(&self, now: Millis, ask: &RouteRequest) -> PoolView {
         self.router.view(now, ask)
     }
 
--- a/daemons/entry/src/routing.rs
+++ b/daemons/entry/src/routing.rs
@@ -8,7 +8,9 @@
 use parking_lot::Mutex;
 use rustc_hash::FxHasher;
 use sill_base::{Millis, Name, event};
-use sill_route::{Ask, Choice, Event, PoolView, Refusal, RefusalReason, RouterCfg, Target};
+use sill_route::{
+    Choice, Event, PoolView, Refusal, RefusalReason, RouteRequest, RouterCfg, Target,
+};
 use sill_wire::Served;
 
 use crate::cfg::EntryCfg;
@@ -49,7 +51,7 @@
 
     /// Chooses an endpoint and counts the request as sent there, under one lock, so that two
     /// requests can't both take the last slot.
-    pub fn choose(&self, now: Millis, ask: &Ask) -> Choice {
+    pub fn choose(&self, now: Millis, ask: &RouteRequest) -> Choice {
         if now.0 > self.trusted_until.load(Ordering::Relaxed) {
             let retry_after = Millis::from_secs(1);
             let refusal = Refusal { reason: RefusalReason::NoEndpoint, retry_after };
@@ -99,7 +101,7 @@
     }
 }
 
-fn log_refusal(ask: &Ask, refusal: &Refusal, view: &PoolView) {
+fn log_refusal(ask: &RouteRequest, refusal: &Refusal, view: &PoolView) {
     event!(
         Info,
         "route_refused",
@@ -110,11 +112,11 @@
         ready = view.ready,
         full = view.full,
         suspect = view.suspect,
-        unfit = view.unfit,
+        unfit = view.ineligible,
         active = view.active,
-        own = view.own,
+        own = view.own_active,
         slots = view.slots,
-        load_age_ms = view.oldest,
+        load_age_ms = view.oldest_load_age,
         retry_after_ms = refusal.retry_after
     );
 }
--- a/daemons/entry/src/serve/driver.rs
+++ b/daemons/entry/src/serve/driver.rs
@@ -10,7 +10,7 @@
 use sill_flight::flight::{Dropped, Ending, Epoch, Kind, ResumeAt};
 use sill_flight::sse::Splitter;
 use sill_flight::{Action, Event, Flight, Place};
-use sill_route::{Ask, Choice, Outcome, RefusalReason, Target};
+use sill_route::{Choice, Outcome, RefusalReason, RouteRequest, Target};
 use sill_wire::Priority;
 use sill_wire::claim::ClaimVerdict;
 use sill_wire::handoff::WholeReply;
@@ -282,7 +282,7 @@
     }
 
     fn route(&mut self, exclude: Vec<Name>, prompt_tokens: u64, max_tokens: u32) {
-        let ask = Ask {
+        let ask = RouteRequest {
             request: self.order.run.request().clone(),
             target: self.target(),
             blocks: self.order.blocks.clone(),
