--- a/coordination/route/benches/choose.rs
+++ b/coordination/route/benches/choose.rs
@@ -1,4 +1,4 @@
-//! Time of one choice against the number of endpoints, and memory of the knowledge it rests on.
+//! Time of one choice by number of endpoints.
 
 mod common;
 
@@ -23,7 +23,7 @@
     }
 }
 
-fn ask(number: u64) -> RouteRequest {
+fn request(number: u64) -> RouteRequest {
     let prefix = number % PREFIXES;
     RouteRequest {
         request: format!("r-{number}").into(),
@@ -47,21 +47,21 @@
         let Event::Announced { mut announcement, age } = announced else { unreachable!() };
         announcement.sequence = 2;
         router.step(now, Event::Announced { announcement, age }, &mut Vec::new());
-        // Every prompt cached everywhere is the slowest case for the walk over the blocks.
+        // The pass over the blocks is slowest if every prompt is cached at every endpoint.
         for prefix in 0..if warm { PREFIXES } else { 0 } {
-            let (endpoint, ask) = (Name::from(format!("lm-{number}")), ask(prefix));
-            let request = ask.request.clone();
-            router.step(now, Event::Sent { endpoint: endpoint.clone(), ask }, &mut Vec::new());
+            let (endpoint, req) = (Name::from(format!("lm-{number}")), request(prefix));
+            let request = req.request.clone();
+            router.step(now, Event::Sent { endpoint: endpoint.clone(), ask: req }, &mut Vec::new());
             let outcome = sill_route::Outcome::Finished;
             let ended = Event::Ended { endpoint, request, tokens: 1, outcome };
             router.step(now, ended, &mut Vec::new());
         }
     }
-    let asks: Vec<RouteRequest> = (0..CHOICES).map(ask).collect();
+    let requests: Vec<RouteRequest> = (0..CHOICES).map(request).collect();
     let began = Instant::now();
     let mut chosen = 0;
-    for ask in &asks {
-        chosen += u32::from(matches!(router.choose(now, ask), Choice::Endpoint(_)));
+    for req in &requests {
+        chosen += u32::from(matches!(router.choose(now, req), Choice::Endpoint(_)));
     }
     assert_eq!(u64::from(chosen), CHOICES);
     began.elapsed().as_secs_f64() * 1e6 / CHOICES as f64
--- a/coordination/route/benches/common/mod.rs
+++ b/coordination/route/benches/common/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoints that the benches choose among.
+//! Endpoints for the benchmarks.
 
 use sill_base::Name;
 use sill_wire::{Announcement, Incarnation, Load, Role, Served};
--- a/coordination/route/benches/state.rs
+++ b/coordination/route/benches/state.rs
@@ -1,5 +1,5 @@
-//! What a router's knowledge costs: memory for each block and endpoint, and processor time for a
-//! second of the design load.
+//! Cost of a router's state: memory for each block and endpoint, and processor time for each second
+//! of load.
 
 mod common;
 
@@ -13,7 +13,7 @@
 
 const PAGE: usize = 4096;
 
-fn ask(number: u64, prompt: u64, blocks: u64) -> RouteRequest {
+fn request(number: u64, prompt: u64, blocks: u64) -> RouteRequest {
     RouteRequest {
         request: format!("r-{number}").into(),
         target: Target::Model("m".into()),
@@ -49,9 +49,13 @@
     let before = resident();
     for number in 0..blocks as u64 / PROMPT {
         let endpoint = Name::from(format!("lm-{}", number % 60));
-        let ask = ask(number, number, PROMPT);
-        let request = ask.request.clone();
-        router.step(Millis(2_000), Event::Sent { endpoint: endpoint.clone(), ask }, &mut vec![]);
+        let req = request(number, number, PROMPT);
+        let request = req.request.clone();
+        router.step(
+            Millis(2_000),
+            Event::Sent { endpoint: endpoint.clone(), ask: req },
+            &mut vec![],
+        );
         let outcome = Outcome::Finished;
         let ended = Event::Ended { endpoint, request, tokens: 1, outcome };
         router.step(Millis(2_000), ended, &mut Vec::new());
@@ -72,12 +76,13 @@
     println!("{:>9} endpoints: {:>7.0} bytes each", router.endpoint_count(), grown / endpoints);
 }
 
-/// Announcements once a second, and requests of 100 blocks that end after four seconds.
-fn second_of_load(endpoints: usize, requests: u64) {
+/// Runs a router with announcements of each endpoint once a second, and requests of 100 blocks that
+/// end after four seconds.
+fn run_load(endpoints: usize, requests: u64) {
     const SECONDS: u64 = 10;
-    const LASTS: u64 = 4;
+    const REQUEST_SECONDS: u64 = 4;
     let mut router = router(endpoints, 1 << 18);
-    let mut held: Vec<Vec<(Name, Name)>> = Vec::new();
+    let mut in_flight: Vec<Vec<(Name, Name)>> = Vec::new();
     let mut choosing = 0.0;
     let (mut refused, mut number) = (0, 0);
     let began = Instant::now();
@@ -88,27 +93,29 @@
             let announced = Event::Announced { announcement, age: Millis(500) };
             router.step(now, announced, &mut Vec::new());
         }
-        if second >= LASTS {
-            for (endpoint, request) in std::mem::take(&mut held[(second - LASTS) as usize]) {
+        if second >= REQUEST_SECONDS {
+            for (endpoint, request) in
+                std::mem::take(&mut in_flight[(second - REQUEST_SECONDS) as usize])
+            {
                 let outcome = Outcome::Finished;
                 let ended = Event::Ended { endpoint, request, tokens: 214, outcome };
                 router.step(now, ended, &mut Vec::new());
             }
         }
-        held.push(Vec::new());
+        in_flight.push(Vec::new());
         for _ in 0..requests {
             number += 1;
-            let ask = ask(number, number % 2_000, 100);
+            let req = request(number, number % 2_000, 100);
             let start = Instant::now();
-            let choice = router.choose(now, &ask);
+            let choice = router.choose(now, &req);
             choosing += start.elapsed().as_secs_f64();
             let Choice::Endpoint(chosen) = choice else {
                 refused += 1;
                 continue;
             };
-            held[second as usize].push((chosen.endpoint.clone(), ask.request.clone()));
-            let (endpoint, request) = (chosen.endpoint, ask.request.clone());
-            let sent = Event::Sent { endpoint: endpoint.clone(), ask };
+            in_flight[second as usize].push((chosen.endpoint.clone(), req.request.clone()));
+            let (endpoint, request) = (chosen.endpoint, req.request.clone());
+            let sent = Event::Sent { endpoint: endpoint.clone(), ask: req };
             router.step(now, sent, &mut Vec::new());
             router.step(now, Event::FirstToken { endpoint, request }, &mut Vec::new());
         }
@@ -134,6 +141,6 @@
     for (endpoints, requests) in
         [(12, 15), (60, 12), (60, 120), (60, 440), (150, 1_100), (300, 2_200), (600, 4_400)]
     {
-        second_of_load(endpoints, requests);
+        run_load(endpoints, requests);
     }
 }
--- a/coordination/route/src/endpoint.rs
+++ b/coordination/route/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What the router knows of one endpoint.
+//! The router's state of one endpoint.
 
 use std::collections::VecDeque;
 
@@ -9,76 +9,82 @@
 use crate::policy::PolicyCfg;
 use crate::request::Outcome;
 
-/// Ended requests kept to correct a lagging report, at most.
-const MAX_ENDED: usize = 1024;
+/// Highest number of ended requests kept to correct lagging load reports.
+const MAX_ENDED_DISPATCHES: usize = 1024;
 
-/// An endpoint with its load as corrected by our own dispatches.
+/// An endpoint, with its reported load corrected by this router's own dispatches.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) announcement: Announcement,
-    /// When the announcement was sent.
+    /// When the endpoint sent the announcement.
     pub(crate) announced_at: Millis,
-    /// When this life was first heard of.
+    /// When the first announcement of this incarnation was received.
     pub(crate) first_seen: Millis,
-    /// Hash of its name, for the rendezvous choice of a prompt's home.
+    /// Hash of its name, for the rendezvous hashing of prompts to homes.
     pub(crate) name_hash: u64,
-    /// Its number in the prefix index.
-    pub(crate) slot: usize,
-    /// The next cache event's number, once one has come.
+    /// Its index in the prefix index, reused after the endpoint is removed.
+    pub(crate) index: usize,
+    /// Expected sequence number of the next cache event, after the first batch was received.
     pub(crate) next_event: Option<u64>,
-    own: Map<Name, Dispatch>,
-    /// Prompt tokens of our own requests that have had no first token.
-    own_pending: u64,
-    ended: VecDeque<EndedDispatch>,
-    others: u32,
-    others_tokens: u64,
+    /// Our own requests in flight, by request name.
+    own_dispatches: Map<Name, Dispatch>,
+    /// Prefill tokens of our own requests without a first token.
+    own_pending_tokens: u64,
+    /// Our own requests that ended after the load sample, the last one at the back.
+    ended_dispatches: VecDeque<EndedDispatch>,
+    /// Requests of other entry instances at the load sample.
+    other_active: u32,
+    /// Queued prompt tokens of other entry instances at the load sample.
+    other_queued_tokens: u64,
+    /// Our own requests at the load sample.
     own_at_sample: u32,
-    sampled: Millis,
-    /// Prompt tokens that we sent since the sample.
-    own_tokens_since: u64,
-    failures: u32,
+    /// When the endpoint sampled its reported load.
+    sampled_at: Millis,
+    /// Prefill tokens that we sent since the load sample.
+    own_tokens_since_sample: u64,
+    consecutive_failures: u32,
     suspect_until: Millis,
 }
 
-/// A request that we sent and that has not ended.
+/// A request that we sent to the endpoint.
 #[derive(Debug, Clone, Copy)]
 struct Dispatch {
-    sent: Millis,
+    sent_at: Millis,
     prefill_tokens: u64,
-    first_token: Option<Millis>,
+    first_token_at: Option<Millis>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct EndedDispatch {
     dispatch: Dispatch,
-    ended: Millis,
+    ended_at: Millis,
 }
 
 impl Endpoint {
-    pub(crate) fn new(announcement: Announcement, slot: usize, now: Millis, age: Millis) -> Self {
+    pub(crate) fn new(announcement: Announcement, index: usize, now: Millis, age: Millis) -> Self {
         let mut endpoint = Self {
-            name_hash: home::hash(&announcement.name),
+            name_hash: home::name_hash(&announcement.name),
             announcement,
             announced_at: now - age,
             first_seen: now,
-            slot,
+            index,
             next_event: None,
-            own: Map::default(),
-            own_pending: 0,
-            ended: VecDeque::new(),
-            others: 0,
-            others_tokens: 0,
+            own_dispatches: Map::default(),
+            own_pending_tokens: 0,
+            ended_dispatches: VecDeque::new(),
+            other_active: 0,
+            other_queued_tokens: 0,
             own_at_sample: 0,
-            sampled: Millis::ZERO,
-            own_tokens_since: 0,
-            failures: 0,
+            sampled_at: Millis::ZERO,
+            own_tokens_since_sample: 0,
+            consecutive_failures: 0,
             suspect_until: Millis::ZERO,
         };
         endpoint.correct_load();
         endpoint
     }
 
-    /// Takes in a newer announcement of the same life.
+    /// Applies a newer announcement of the same incarnation.
     pub(crate) fn update(&mut self, announcement: Announcement, now: Millis, age: Millis) {
         self.announcement = announcement;
         self.announced_at = now - age;
@@ -89,44 +95,49 @@
         self.announcement.incarnation
     }
 
-    /// Returns the requests that it is thought to hold now.
+    /// Returns the estimated number of requests at the endpoint now.
     pub(crate) fn active(&self) -> u32 {
-        self.others + self.own()
+        self.other_active + self.own_active()
     }
 
-    /// Returns our own requests that it holds.
-    pub(crate) fn own(&self) -> u32 {
-        self.own.len() as u32
+    /// Returns the number of our own requests in flight at the endpoint.
+    pub(crate) fn own_active(&self) -> u32 {
+        self.own_dispatches.len() as u32
     }
 
-    /// Returns when its reported load was true.
-    pub(crate) fn sampled(&self) -> Millis {
-        self.sampled
+    /// Returns when the endpoint sampled its reported load.
+    pub(crate) fn sampled_at(&self) -> Millis {
+        self.sampled_at
     }
 
-    /// Returns the prompt tokens that it is thought to have before it: those of others are worked
-    /// off since the sample, and what we sent since, others are presumed to have sent too.
-    pub(crate) fn pending_tokens(&self, now: Millis, peers: f64, cfg: &PolicyCfg) -> u64 {
-        let worked_off = now.since(self.sampled).as_secs_f64() * self.prefill_rate(cfg);
-        let others = self.others_tokens as f64 + self.own_tokens_since as f64 * peers;
-        self.own_pending + (others - worked_off).max(0.0) as u64
+    /// Returns the estimated number of prompt tokens queued at the endpoint.
+    ///
+    /// The tokens of other entry instances are reduced by what the endpoint can have prefilled
+    /// since the sample. For each token that we sent since, the others are assumed to have sent
+    /// `peer_load_ratio` tokens.
+    pub(crate) fn pending_tokens(&self, now: Millis, peer_load_ratio: f64, cfg: &PolicyCfg) -> u64 {
+        let prefilled = now.since(self.sampled_at).as_secs_f64() * self.prefill_tokens_per_s(cfg);
+        let others =
+            self.other_queued_tokens as f64 + self.own_tokens_since_sample as f64 * peer_load_ratio;
+        self.own_pending_tokens + (others - prefilled).max(0.0) as u64
     }
 
-    /// Returns how many requests others had here at the sample, and how many we had.
-    pub(crate) fn shares(&self) -> (u32, u32) {
-        (self.others, self.own_at_sample)
+    /// Returns the number of requests of other entry instances, and of our own, at the load sample.
+    pub(crate) fn request_counts_at_sample(&self) -> (u32, u32) {
+        (self.other_active, self.own_at_sample)
     }
 
-    /// Returns the requests that it runs side by side.
+    /// Returns the number of requests that the endpoint runs concurrently, at least 1.
     pub(crate) fn slots(&self) -> f64 {
         f64::from(self.announcement.slots.max(1))
     }
 
-    /// Returns the slots that it may use now; a new endpoint comes up to its slots step by step,
-    /// since a burst on cold caches would queue there while others have room.
+    /// Returns the slots that may be used now, at least 1. They rise linearly over the slow start
+    /// of a new endpoint, since a burst on its cold cache would queue while other endpoints have
+    /// room.
     pub(crate) fn usable_slots(&self, now: Millis, cfg: &PolicyCfg) -> f64 {
-        let up = now.since(self.first_seen).as_secs_f64();
-        let ramp = up / cfg.slow_start.as_secs_f64().max(0.001);
+        let uptime_s = now.since(self.first_seen).as_secs_f64();
+        let ramp = uptime_s / cfg.slow_start.as_secs_f64().max(0.001);
         (self.slots() * ramp.min(1.0)).max(1.0)
     }
 
@@ -139,11 +150,11 @@
     }
 
     pub(crate) fn prefill_ms(&self, tokens: u64, cfg: &PolicyCfg) -> f64 {
-        tokens as f64 * 1000.0 / self.prefill_rate(cfg)
+        tokens as f64 * 1000.0 / self.prefill_tokens_per_s(cfg)
     }
 
-    /// Returns the prompt tokens that it computes in a second.
-    fn prefill_rate(&self, cfg: &PolicyCfg) -> f64 {
+    /// Returns the prefill speed in prompt tokens per second.
+    fn prefill_tokens_per_s(&self, cfg: &PolicyCfg) -> f64 {
         let announced = self.announcement.prefill_tokens_per_s;
         let rate = if announced == 0 { cfg.prefill_tokens_per_s } else { announced };
         f64::from(rate.max(1))
@@ -156,71 +167,78 @@
         }
     }
 
-    pub(crate) fn sent(&mut self, now: Millis, request: Name, prefill_tokens: u64) {
-        let dispatch = Dispatch { sent: now, prefill_tokens, first_token: None };
-        self.own_pending += prefill_tokens;
-        self.own_tokens_since += prefill_tokens;
-        if let Some(replaced) = self.own.insert(request, dispatch) {
-            self.own_pending -= replaced.pending();
+    pub(crate) fn record_sent(&mut self, now: Millis, request: Name, prefill_tokens: u64) {
+        let dispatch = Dispatch { sent_at: now, prefill_tokens, first_token_at: None };
+        self.own_pending_tokens += prefill_tokens;
+        self.own_tokens_since_sample += prefill_tokens;
+        if let Some(replaced) = self.own_dispatches.insert(request, dispatch) {
+            self.own_pending_tokens -= replaced.pending_tokens();
         }
     }
 
-    pub(crate) fn first_token(&mut self, now: Millis, request: &Name) {
-        if let Some(dispatch) = self.own.get_mut(request) {
-            self.own_pending -= dispatch.pending();
-            dispatch.first_token.get_or_insert(now);
+    pub(crate) fn record_first_token(&mut self, now: Millis, request: &Name) {
+        if let Some(dispatch) = self.own_dispatches.get_mut(request) {
+            self.own_pending_tokens -= dispatch.pending_tokens();
+            dispatch.first_token_at.get_or_insert(now);
         }
     }
 
-    pub(crate) fn ended(&mut self, now: Millis, request: &Name, outcome: Outcome, cfg: &PolicyCfg) {
-        if let Some(dispatch) = self.own.remove(request) {
-            self.own_pending -= dispatch.pending();
-            self.ended.push_back(EndedDispatch { dispatch, ended: now });
-            if self.ended.len() > MAX_ENDED {
-                self.ended.pop_front();
+    pub(crate) fn record_end(
+        &mut self,
+        now: Millis,
+        request: &Name,
+        outcome: Outcome,
+        cfg: &PolicyCfg,
+    ) {
+        if let Some(dispatch) = self.own_dispatches.remove(request) {
+            self.own_pending_tokens -= dispatch.pending_tokens();
+            self.ended_dispatches.push_back(EndedDispatch { dispatch, ended_at: now });
+            if self.ended_dispatches.len() > MAX_ENDED_DISPATCHES {
+                self.ended_dispatches.pop_front();
             }
         }
         match outcome {
-            Outcome::Finished => self.failures = 0,
+            Outcome::Finished => self.consecutive_failures = 0,
             Outcome::Cancelled => {}
             Outcome::Failed => {
-                let span = cfg.failure_backoff * (1 << self.failures.min(5));
-                self.suspect_until = now + span;
-                self.failures += 1;
+                let backoff = cfg.failure_backoff * (1 << self.consecutive_failures.min(5));
+                self.suspect_until = now + backoff;
+                self.consecutive_failures += 1;
             }
         }
     }
 
-    /// Splits the reported load into our own requests at the time of the sample and those of
-    /// others, because a report that lags would otherwise hide what we sent since, and several
+    /// Splits the reported load into our own requests at the time of the sample and those of other
+    /// entry instances. A lagging report would otherwise hide what we sent since, and several
     /// requests would go to an endpoint that only looks idle.
     fn correct_load(&mut self) {
         let load = self.announcement.load;
-        let sampled = self.announced_at - load.age;
-        self.ended.retain(|e| e.ended > sampled);
-        let running = self.own.values().filter(|d| d.sent <= sampled);
-        let since_ended = self.ended.iter().map(|e| &e.dispatch).filter(|d| d.sent <= sampled);
+        let sampled_at = self.announced_at - load.age;
+        self.ended_dispatches.retain(|e| e.ended_at > sampled_at);
+        let running = self.own_dispatches.values().filter(|d| d.sent_at <= sampled_at);
+        let ended_since =
+            self.ended_dispatches.iter().map(|e| &e.dispatch).filter(|d| d.sent_at <= sampled_at);
         let (mut own, mut own_tokens) = (0, 0);
-        for dispatch in running.chain(since_ended) {
+        for dispatch in running.chain(ended_since) {
             own += 1;
-            own_tokens += dispatch.pending_at(sampled);
+            own_tokens += dispatch.pending_tokens_at(sampled_at);
         }
-        let since = self.own.values().filter(|d| d.sent > sampled);
-        self.own_tokens_since = since.map(|d| d.prefill_tokens).sum();
+        let sent_since = self.own_dispatches.values().filter(|d| d.sent_at > sampled_at);
+        self.own_tokens_since_sample = sent_since.map(|d| d.prefill_tokens).sum();
         self.own_at_sample = own;
-        self.sampled = sampled;
-        self.others = (load.running + load.queued).saturating_sub(own);
-        self.others_tokens = load.queued_tokens.saturating_sub(own_tokens);
+        self.sampled_at = sampled_at;
+        self.other_active = (load.running + load.queued).saturating_sub(own);
+        self.other_queued_tokens = load.queued_tokens.saturating_sub(own_tokens);
     }
 }
 
 impl Dispatch {
-    fn pending(&self) -> u64 {
-        if self.first_token.is_none() { self.prefill_tokens } else { 0 }
+    fn pending_tokens(&self) -> u64 {
+        if self.first_token_at.is_none() { self.prefill_tokens } else { 0 }
     }
 
-    fn pending_at(&self, at: Millis) -> u64 {
-        let waited = self.first_token.is_none_or(|first| first > at);
-        if waited { self.prefill_tokens } else { 0 }
+    fn pending_tokens_at(&self, at: Millis) -> u64 {
+        let is_pending = self.first_token_at.is_none_or(|first| first > at);
+        if is_pending { self.prefill_tokens } else { 0 }
     }
 }
--- a/coordination/route/src/home.rs
+++ b/coordination/route/src/home.rs
@@ -1,35 +1,37 @@
-//! The home of a prompt: the endpoint where all entry instances look for it.
+//! The home endpoint of a prompt, chosen by rendezvous hashing.
 //!
-//! Entry instances see only their own dispatches at once. Without a common idea of where a prompt
-//! belongs, each would have it computed at another endpoint.
+//! An entry instance learns at once only of its own dispatches. Without a home on which all entry
+//! instances agree, each of them would have the same prompt computed at a different endpoint.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use rustc_hash::FxHasher;
 
-/// Returns the hash that stands for an endpoint.
-pub(crate) fn hash(name: &str) -> u64 {
+/// Returns the hash of an endpoint's name, the endpoint's input to [`rendezvous_weight`].
+pub(crate) fn name_hash(name: &str) -> u64 {
     let mut hasher = FxHasher::default();
     name.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Returns the block that decides on a prompt's home, or none for a prompt of no whole block.
+/// Returns the block whose hash selects a prompt's home, or `None` for a prompt shorter than one
+/// whole block.
 ///
-/// It lies deep enough to tell case files apart that start with the same instructions, at a depth
-/// that is a power of two so that prompts with the same long beginning and ends of differing
-/// length agree on it.
-pub(crate) fn deciding_block(blocks: &[u64]) -> Option<u64> {
+/// The block lies deep enough to separate case files that start with the same instructions. Its
+/// depth is a power of two, so that prompts with the same long beginning and ends of different
+/// length select the same block.
+pub(crate) fn home_block(blocks: &[u64]) -> Option<u64> {
     let deep = blocks.len() * 3 / 4;
     let depth = if deep < 2 { deep } else { 1 << deep.ilog2() };
     blocks.get(depth.saturating_sub(1)).copied()
 }
 
-/// Returns how strongly a prompt is drawn to an endpoint; the strongest draw is its home.
+/// Returns the rendezvous weight of an endpoint for a prompt. The endpoint with the highest weight
+/// is the prompt's home.
 ///
-/// The fast hasher multiplies and adds: draws for two endpoints then differ by the same amount for all
-/// prompts, and the endpoint with the widest gap gets more than half of them.
-pub(crate) fn draw(block: u64, name_hash: u64) -> u64 {
+/// `FxHasher` only multiplies and adds: the weights of two endpoints would differ by the same
+/// amount for all prompts, and the endpoint with the widest gap would get more than half of them.
+pub(crate) fn rendezvous_weight(block: u64, name_hash: u64) -> u64 {
     let mut hasher = DefaultHasher::new();
     (block, name_hash).hash(&mut hasher);
     hasher.finish()
--- a/coordination/route/src/lib.rs
+++ b/coordination/route/src/lib.rs
@@ -1,17 +1,17 @@
-//! Choice of the endpoint for a request: prefix cache, lagging load, bounded load, reclaim risk, price.
+//! Choice of the endpoint for a request, by prefix cache, reported load, reclaim risk and price.
 
 mod endpoint;
 mod holders;
 mod home;
-mod newest;
 pub mod policy;
+mod pool_stats;
 pub mod prefix;
 pub mod request;
 pub mod retry;
 mod risk;
 pub mod router;
 mod score;
-mod survey;
+mod versions;
 pub mod view;
 pub mod weakening;
 
--- a/coordination/route/src/policy.rs
+++ b/coordination/route/src/policy.rs
@@ -1,108 +1,113 @@
-//! How endpoints are compared, and the figures that the comparison uses.
+//! The policy by which endpoints are compared, and its parameters.
 
 use sill_base::Millis;
 use sill_wire::Priority;
 
-/// How an endpoint is chosen among those that may be.
+/// How an endpoint is chosen among the eligible ones.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Policy {
-    /// The lowest expected cost; all others are baselines to measure it against.
+    /// The lowest expected cost. All other policies are baselines for comparison.
     #[default]
     Cost,
-    /// Any endpoint.
+    /// A random endpoint.
     Random,
-    /// The endpoint with the fewest requests for its slots.
+    /// The endpoint with the fewest requests per slot.
     LeastLoaded,
-    /// The longest cached prefix, however busy the endpoint is.
+    /// The endpoint with the longest cached prefix, regardless of its load.
     PrefixOnly,
 }
 
-/// Figures of the router.
+/// Parameters of the router.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PolicyCfg {
-    /// How endpoints are compared.
+    /// The policy by which endpoints are compared.
     pub policy: Policy,
-    /// How long an announcement may be used after it was sent.
+    /// Time after which an announcement expires, counted from when it was sent.
     pub announcement_ttl: Millis,
-    /// How long the newest word of an endpoint that went is kept, against late copies.
+    /// Retention of the latest version of a removed endpoint, against late copies of its
+    /// announcements.
     pub tombstone_ttl: Millis,
-    /// How long a block is believed to be cached after it was last used.
+    /// Time for which a block is assumed to stay cached after its last use.
     pub block_ttl: Millis,
-    /// Cached blocks remembered over all endpoints.
+    /// Highest number of cached blocks tracked over all endpoints.
     pub max_blocks: usize,
-    /// Requests at an endpoint, in parts of its slots, up to which a request is sent there. That of
-    /// high priority bounds what an endpoint is given at all.
+    /// Number of requests at an endpoint, as a fraction of its slots, from which on no more are
+    /// sent there. The bound of high priority holds for requests of every priority.
     pub load_factor: PriorityBounds,
-    /// Load of the pool, in parts of its slots, from which on requests are refused, so that those
-    /// which are taken still get their first token in time.
+    /// Load of the pool, as a fraction of its slots, from which on requests are refused, so that
+    /// the admitted ones still get their first token in time.
     pub pool_factor: PriorityBounds,
-    /// Time to the first token that callers want. Above the bounds of `load_factor` and `pool_factor`, a request is
-    /// still taken where a part of it is enough for the first token, in the same parts as `wait_factor`. The bounds
-    /// alone would turn callers away for seconds who could be served in a moment, where answers are short. None has
-    /// the bounds hold in any case.
+    /// Time to the first token that callers expect. Above the bounds of `load_factor` and
+    /// `pool_factor`, a request is still admitted if its first token is expected within this time
+    /// multiplied by the `wait_factor` of its priority. Where answers are short, the bounds alone
+    /// would refuse callers for seconds who could be served within moments. With `None`, the bounds
+    /// always hold.
     pub ttft_target: Option<Millis>,
-    /// Load of the pool, in parts of its slots, up to which a request goes to a lesser endpoint when
-    /// the best has no room for it.
+    /// Load of the pool, as a fraction of its slots, below which a request spills over to a
+    /// lower-ranked endpoint when the best one has no room for it.
     pub spill_below: f64,
-    /// Expected waiting at an endpoint, in parts of the time that the whole prompt takes, up to
-    /// which a request is sent there.
+    /// Highest expected wait at an endpoint at which a request is sent there, as a fraction of the
+    /// prefill time of the request's whole prompt plus `wait_base`.
     pub wait_factor: PriorityBounds,
-    /// Added to the time that the whole prompt takes, for `wait_factor`.
+    /// Time added to the prefill time of the whole prompt before `wait_factor` is applied.
     pub wait_base: Millis,
-    /// Weight of computing a prompt, which also delays the prompts that come after it.
+    /// Weight of the prefill time, since a prefill also delays the prompts queued behind it.
     pub prefill_weight: f64,
-    /// Time in which a new endpoint comes up to its full slots.
+    /// Time over which the usable slots of a new endpoint rise to all of its slots.
     pub slow_start: Millis,
-    /// Added cost of another failure domain.
+    /// Added cost of an endpoint in another failure domain.
     pub cross_domain_cost: Millis,
-    /// Added cost of an endpoint whose slots are all taken, against an idle one.
+    /// Added cost of an endpoint whose slots are all in use, compared with an idle one.
     pub load_cost: Millis,
-    /// Weight of an endpoint's price against the dearest, on the time that a request takes.
+    /// Weight of the time that a request takes, multiplied by the endpoint's price relative to the
+    /// highest price.
     pub price_weight: f64,
-    /// Endpoints drawn for each request, beside its home and those that hold its prompt; all where it is none.
-    /// Where many entry instances hear of the same loads, all of them would send to the idlest endpoint until
-    /// the next word of it.
+    /// Number of endpoints sampled for each request, in addition to the prompt's home and the
+    /// endpoints that have part of it cached. With `None`, all endpoints are compared. Without
+    /// sampling, many entry instances that receive the same load reports would all send to the
+    /// least loaded endpoint until its next report.
     pub sample_size: Option<SampleSize>,
-    /// Chance in a second that a reclaimable endpoint is reclaimed, while nothing points to it.
+    /// Chance per second that a reclaimable endpoint is reclaimed outside of a reclaim wave.
     pub reclaim_per_s: f64,
-    /// How long one reclaim makes others of its failure domain likely.
+    /// Time for which a reclaim makes others in its failure domain likely.
     pub wave_window: Millis,
-    /// Weight of the work lost by a reclaim.
+    /// Weight of the expected work lost to a reclaim.
     pub risk_weight: f64,
-    /// Part of a prompt that its home endpoint is presumed to hold, where nothing is known.
+    /// Fraction of a prompt that its home endpoint is assumed to have cached, unless more is known.
     pub home_share: f64,
-    /// Prefill speed of endpoints that name none, in tokens a second.
+    /// Prefill speed, in tokens per second, of endpoints that announce none.
     pub prefill_tokens_per_s: u32,
-    /// Time between tokens of endpoints that name none.
+    /// Time between two tokens of endpoints that announce none.
     pub decode_per_token: Millis,
-    /// Time for which an endpoint is passed over after it failed, doubled with each failure.
+    /// Backoff after a failure of an endpoint, during which it ranks behind all others. It doubles
+    /// with each consecutive failure, up to 32 times this value.
     pub failure_backoff: Millis,
-    /// Shortest time after which a refused caller may come back.
+    /// Shortest time after which a refused caller may retry.
     pub retry_after: Millis,
 }
 
-/// How many endpoints are drawn for a request, on average.
+/// Average number of endpoints sampled for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SampleSize {
-    /// Of the own failure domain.
+    /// Endpoints of the entry instance's failure domain.
     pub local: f64,
-    /// Of the others together.
+    /// Endpoints of all other failure domains together.
     pub remote: f64,
 }
 
-/// A bound for each priority: low is refused first.
+/// A bound for each priority. Low priority has the lowest bounds and is refused first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PriorityBounds {
-    /// For low priority.
+    /// Bound of low priority.
     pub low: f64,
-    /// For normal priority.
+    /// Bound of normal priority.
     pub normal: f64,
-    /// For high priority.
+    /// Bound of high priority.
     pub high: f64,
 }
 
 impl PriorityBounds {
-    /// No bound for any priority, to measure against.
+    /// No bound for any priority, as a baseline for comparison.
     pub const UNBOUNDED: Self =
         Self { low: f64::INFINITY, normal: f64::INFINITY, high: f64::INFINITY };
 
--- a/coordination/route/src/prefix.rs
+++ b/coordination/route/src/prefix.rs
@@ -1,7 +1,8 @@
-//! What is known of the endpoints' prefix caches, in bounded memory.
+//! An index of the prompt blocks in the endpoints' prefix caches, in bounded memory.
 //!
-//! Knowledge comes from our own dispatches and from cache events. It may fall short of what an
-//! endpoint holds, which costs a detour, but should not exceed it, which costs a recomputed prompt.
+//! It is filled from our own dispatches and from cache events. It may miss blocks that an endpoint
+//! holds, which costs a worse choice, but should not list blocks that an endpoint lacks, which
+//! costs a recomputed prompt.
 
 use std::collections::VecDeque;
 
@@ -9,192 +10,210 @@
 
 use crate::holders::Holders;
 
-/// Blocks thought to be cached, by block and by endpoint number.
+/// Blocks that are assumed to be cached, by block and by endpoint index.
 #[derive(Debug)]
 pub struct PrefixIndex {
     ttl: Millis,
     holders: Map<u64, Holders>,
-    known: Vec<Known>,
+    endpoints: Vec<EndpointBlocks>,
 }
 
-/// Blocks of one endpoint with the order of their last use.
+/// The tracked blocks of one endpoint, in the order of their last use.
 #[derive(Debug, Default)]
-struct Known {
+struct EndpointBlocks {
+    /// Highest number of blocks to track.
     capacity: usize,
-    used_at: Map<u64, Stamp>,
-    order: VecDeque<(u64, Stamp)>,
-    uses: u32,
+    /// The last use of each block.
+    last_uses: Map<u64, BlockUse>,
+    /// Uses of blocks, the oldest first. An entry is outdated once its block was used again or
+    /// removed.
+    queue: VecDeque<(u64, BlockUse)>,
+    use_count: u32,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Stamp {
+struct BlockUse {
+    /// Time of the use in seconds.
     at_s: u32,
+    /// Sequence number among the uses at the endpoint, to tell uses in one second apart.
     use_number: u32,
 }
 
-/// Depths of cached prefixes by endpoint number; kept between calls to save allocations.
+/// Depths of the cached prefixes of a prompt, by endpoint index. The caller keeps it between calls
+/// to save allocations.
 #[derive(Debug, Default)]
 pub struct Depths {
-    by_slot: Vec<u32>,
-    active: Vec<u64>,
+    /// Number of leading blocks that each endpoint holds.
+    by_endpoint: Vec<u32>,
+    /// Bit set of the endpoints that hold all blocks compared so far.
+    matching: Vec<u64>,
 }
 
 impl PrefixIndex {
-    /// Makes an index that knows nothing.
+    /// Creates an empty index. Blocks are evicted when they were not used within `ttl`.
     pub fn new(ttl: Millis) -> Self {
-        Self { ttl, holders: Map::default(), known: Vec::new() }
+        Self { ttl, holders: Map::default(), endpoints: Vec::new() }
     }
 
-    /// Sets how many blocks of an endpoint are remembered, and forgets the oldest above that.
-    pub fn set_capacity(&mut self, slot: usize, blocks: usize) {
-        if self.known.len() <= slot {
-            self.known.resize_with(slot + 1, Known::default);
+    /// Sets the highest number of blocks tracked for an endpoint, and evicts the oldest above that.
+    pub fn set_capacity(&mut self, endpoint: usize, blocks: usize) {
+        if self.endpoints.len() <= endpoint {
+            self.endpoints.resize_with(endpoint + 1, EndpointBlocks::default);
         }
-        self.known[slot].capacity = blocks;
-        let excess = self.known[slot].used_at.len().saturating_sub(blocks);
-        self.evict_oldest(slot, excess);
+        self.endpoints[endpoint].capacity = blocks;
+        let excess = self.endpoints[endpoint].last_uses.len().saturating_sub(blocks);
+        self.evict_oldest(endpoint, excess);
     }
 
-    /// Notes that an endpoint holds blocks. Later blocks are useless without the earlier ones, so
-    /// the earliest count as used last.
-    pub fn insert(&mut self, slot: usize, blocks: &[u64], now: Millis) {
-        let Some(known) = self.known.get_mut(slot) else {
+    /// Records that an endpoint holds the blocks of a prompt. Later blocks are useless without the
+    /// earlier ones, so the earliest are recorded as the most recently used.
+    pub fn insert(&mut self, endpoint: usize, blocks: &[u64], now: Millis) {
+        let Some(tracked) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        for &block in blocks.iter().take(known.capacity).rev() {
-            if known.touch(block, now) {
-                let holders = self.holders.entry(block).or_insert(Holders::One(slot as u32));
-                holders.insert(slot);
+        for &block in blocks.iter().take(tracked.capacity).rev() {
+            if tracked.touch(block, now) {
+                let holders = self.holders.entry(block).or_insert(Holders::One(endpoint as u32));
+                holders.insert(endpoint);
             }
         }
-        let excess = known.used_at.len().saturating_sub(known.capacity);
-        known.compact();
-        self.evict_oldest(slot, excess);
-        self.forget_stale(slot, now);
-    }
-
-    /// Forgets one block of an endpoint.
-    pub fn remove(&mut self, slot: usize, block: u64) {
-        let held = self.known.get_mut(slot).is_some_and(|k| k.used_at.remove(&block).is_some());
-        if held {
-            self.release(slot, block);
+        let excess = tracked.last_uses.len().saturating_sub(tracked.capacity);
+        tracked.compact();
+        self.evict_oldest(endpoint, excess);
+        self.evict_stale(endpoint, now);
+    }
+
+    /// Removes one block of an endpoint.
+    pub fn remove(&mut self, endpoint: usize, block: u64) {
+        let was_held =
+            self.endpoints.get_mut(endpoint).is_some_and(|e| e.last_uses.remove(&block).is_some());
+        if was_held {
+            self.remove_holder(endpoint, block);
         }
     }
 
-    /// Forgets the blocks of an endpoint that were used longest ago.
-    pub fn evict_oldest(&mut self, slot: usize, count: usize) {
+    /// Evicts the `count` least recently used blocks of an endpoint.
+    pub fn evict_oldest(&mut self, endpoint: usize, count: usize) {
         for _ in 0..count {
-            let Some(block) = self.known.get_mut(slot).and_then(Known::pop_oldest) else {
+            let Some(block) = self.endpoints.get_mut(endpoint).and_then(EndpointBlocks::pop_oldest)
+            else {
                 return;
             };
-            self.release(slot, block);
+            self.remove_holder(endpoint, block);
         }
     }
 
-    /// Forgets all blocks of an endpoint.
-    pub fn clear(&mut self, slot: usize) {
-        let Some(known) = self.known.get_mut(slot) else {
+    /// Removes all blocks of an endpoint.
+    pub fn clear(&mut self, endpoint: usize) {
+        let Some(tracked) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        known.order.clear();
-        let blocks: Vec<u64> = known.used_at.drain().map(|(block, _)| block).collect();
+        tracked.queue.clear();
+        let blocks: Vec<u64> = tracked.last_uses.drain().map(|(block, _)| block).collect();
         for block in blocks {
-            self.release(slot, block);
+            self.remove_holder(endpoint, block);
         }
     }
 
-    /// Returns the number of blocks that are remembered over all endpoints.
+    /// Returns the number of tracked blocks, summed over all endpoints.
     pub fn len(&self) -> usize {
-        self.known.iter().map(|k| k.used_at.len()).sum()
+        self.endpoints.iter().map(|e| e.last_uses.len()).sum()
     }
 
-    /// Returns whether nothing is remembered.
+    /// Returns whether no endpoint holds any tracked block.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
     }
 
-    /// Works out how many leading blocks each endpoint holds, in one walk over the blocks.
-    pub fn depths(&self, blocks: &[u64], slots: usize, depths: &mut Depths) {
-        depths.by_slot.clear();
-        depths.by_slot.resize(slots, 0);
+    /// Computes how many leading blocks of a prompt each endpoint holds, in one pass over the
+    /// blocks. `index_count` is one more than the highest endpoint index.
+    pub fn depths(&self, blocks: &[u64], index_count: usize, depths: &mut Depths) {
+        depths.by_endpoint.clear();
+        depths.by_endpoint.resize(index_count, 0);
         let Some(first) = blocks.first().and_then(|b| self.holders.get(b)) else {
             return;
         };
-        first.copy_to(&mut depths.active);
+        first.copy_to(&mut depths.matching);
         for (depth, block) in blocks.iter().enumerate().skip(1) {
             let holders = self.holders.get(block);
-            let mut left = 0;
-            for index in 0..depths.active.len() {
-                let before = depths.active[index];
+            let mut remaining = 0;
+            for index in 0..depths.matching.len() {
+                let before = depths.matching[index];
                 let after = before & holders.map_or(0, |h| h.word(index));
-                depths.active[index] = after;
-                left |= after;
-                mark(&mut depths.by_slot, index, before & !after, depth as u32);
+                depths.matching[index] = after;
+                remaining |= after;
+                set_depths(&mut depths.by_endpoint, index, before & !after, depth as u32);
             }
-            if left == 0 {
+            if remaining == 0 {
                 return;
             }
         }
-        for index in 0..depths.active.len() {
-            mark(&mut depths.by_slot, index, depths.active[index], blocks.len() as u32);
+        for index in 0..depths.matching.len() {
+            set_depths(&mut depths.by_endpoint, index, depths.matching[index], blocks.len() as u32);
         }
     }
 
-    fn forget_stale(&mut self, slot: usize, now: Millis) {
+    fn evict_stale(&mut self, endpoint: usize, now: Millis) {
         let before_s = (now.since(self.ttl).0 / 1000) as u32;
-        while self.known[slot].order.front().is_some_and(|(_, stamp)| stamp.at_s < before_s) {
-            self.evict_oldest(slot, 1);
+        while self.endpoints[endpoint]
+            .queue
+            .front()
+            .is_some_and(|(_, block_use)| block_use.at_s < before_s)
+        {
+            self.evict_oldest(endpoint, 1);
         }
     }
 
-    fn release(&mut self, slot: usize, block: u64) {
-        let empty = self.holders.get_mut(&block).is_some_and(|h| h.remove(slot));
-        if empty {
+    fn remove_holder(&mut self, endpoint: usize, block: u64) {
+        let is_empty = self.holders.get_mut(&block).is_some_and(|h| h.remove(endpoint));
+        if is_empty {
             self.holders.remove(&block);
         }
     }
 }
 
-impl Known {
-    /// Marks a block as used now, and returns whether it is new.
+impl EndpointBlocks {
+    /// Records a use of a block now, and returns whether the block is new.
     fn touch(&mut self, block: u64, now: Millis) -> bool {
-        self.uses = self.uses.wrapping_add(1);
-        let stamp = Stamp { at_s: (now.0 / 1000) as u32, use_number: self.uses };
-        self.order.push_back((block, stamp));
-        self.used_at.insert(block, stamp).is_none()
+        self.use_count = self.use_count.wrapping_add(1);
+        let block_use = BlockUse { at_s: (now.0 / 1000) as u32, use_number: self.use_count };
+        self.queue.push_back((block, block_use));
+        self.last_uses.insert(block, block_use).is_none()
     }
 
     fn pop_oldest(&mut self) -> Option<u64> {
         loop {
-            let (block, stamp) = self.order.pop_front()?;
-            if self.used_at.get(&block) == Some(&stamp) {
-                self.used_at.remove(&block);
+            let (block, block_use) = self.queue.pop_front()?;
+            if self.last_uses.get(&block) == Some(&block_use) {
+                self.last_uses.remove(&block);
                 return Some(block);
             }
         }
     }
 
-    /// Drops outdated places in the order once they outnumber the blocks, to bound its memory.
+    /// Removes the outdated entries of the queue once it is longer than twice the number of blocks
+    /// (at least 64), to bound its memory.
     fn compact(&mut self) {
-        if self.order.len() > 2 * self.used_at.len().max(64) {
-            let used_at = &self.used_at;
-            self.order.retain(|(block, stamp)| used_at.get(block) == Some(stamp));
+        if self.queue.len() > 2 * self.last_uses.len().max(64) {
+            let last_uses = &self.last_uses;
+            self.queue.retain(|(block, block_use)| last_uses.get(block) == Some(block_use));
         }
     }
 }
 
 impl Depths {
-    /// Returns how many leading blocks an endpoint holds.
-    pub fn get(&self, slot: usize) -> u32 {
-        self.by_slot.get(slot).copied().unwrap_or(0)
+    /// Returns the number of leading blocks that an endpoint holds.
+    pub fn get(&self, endpoint: usize) -> u32 {
+        self.by_endpoint.get(endpoint).copied().unwrap_or(0)
     }
 }
 
-fn mark(by_slot: &mut [u32], word: usize, mut bits: u64, depth: u32) {
+/// Sets the depth of each endpoint whose bit is set in a word of a bit set.
+fn set_depths(by_endpoint: &mut [u32], word: usize, mut bits: u64, depth: u32) {
     while bits != 0 {
-        let slot = word * 64 + bits.trailing_zeros() as usize;
-        if let Some(held) = by_slot.get_mut(slot) {
-            *held = depth;
+        let endpoint = word * 64 + bits.trailing_zeros() as usize;
+        if let Some(entry) = by_endpoint.get_mut(endpoint) {
+            *entry = depth;
         }
         bits &= bits - 1;
     }
--- a/coordination/route/src/request.rs
+++ b/coordination/route/src/request.rs
@@ -1,4 +1,4 @@
-//! What is asked of the router, what it hears, and what it answers.
+//! Requests, events and answers of the router.
 
 use std::sync::Arc;
 
@@ -7,109 +7,110 @@
 use sill_wire::endpoint::CacheEvents;
 use sill_wire::{Announcement, Incarnation, Priority};
 
-/// What has to serve a request.
+/// The model or service that a request is for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Target {
     /// A language model.
     Model(Name),
-    /// A plain service.
+    /// A service other than a language model.
     Service(Name),
 }
 
 /// A request that needs an endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouteRequest {
-    /// The request, as named in logs.
+    /// Name of the request in logs.
     pub request: Name,
-    /// What has to serve it.
+    /// The model or service that has to serve it.
     pub target: Target,
-    /// Chained hashes of the prompt's whole blocks.
+    /// Chained hashes of the prompt's whole blocks, from its start.
     pub blocks: Arc<[u64]>,
-    /// Tokens of the prompt, with those already emitted on a resume.
+    /// Tokens of the prompt. On a resume, these include the tokens that were already emitted.
     pub prompt_tokens: u64,
-    /// Tokens still wanted at most.
+    /// Highest number of tokens still to be generated.
     pub max_tokens: u32,
-    /// Its priority.
+    /// Priority, which selects the load and waiting bounds of [`PolicyCfg`](crate::PolicyCfg).
     pub priority: Priority,
-    /// When the whole answer has to be there, on the entry's clock; `Millis::MAX` where never.
+    /// Time by which the whole answer is due, on the entry instance's clock. `Millis::MAX` means
+    /// that there is no deadline.
     pub deadline: Millis,
-    /// Endpoints that must not be chosen, as those that just failed it.
+    /// Endpoints that must not be chosen, such as those at which the request just failed.
     pub exclude: Vec<Name>,
 }
 
 /// The router's answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Choice {
-    /// Send it there.
+    /// Send the request to this endpoint.
     Endpoint(ChosenEndpoint),
-    /// Don't send it now.
+    /// No endpoint can take the request now.
     Refuse(Refusal),
 }
 
-/// A chosen endpoint.
+/// The endpoint that the router chose for a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChosenEndpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub endpoint: Name,
-    /// Its life.
+    /// Incarnation that was chosen.
     pub incarnation: Incarnation,
-    /// Where it takes requests, `IP:PORT`.
+    /// Address for requests, as `IP:PORT`.
     pub address: Name,
-    /// Prompt tokens that it is thought to hold already.
+    /// Estimated number of leading prompt tokens that it has cached.
     pub cached_tokens: u64,
     /// Expected time to the first token.
     pub expected_ttft: Millis,
-    /// Why this one, for people.
+    /// The figures behind the choice, as text for people.
     pub why: String,
 }
 
-/// Why a request has no endpoint.
+/// The answer to a request that is not sent to any endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// When to come back.
+    /// Time after which the caller may retry, with jitter.
     pub retry_after: Millis,
 }
 
-/// Why a request has no endpoint.
+/// Why no endpoint was chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// No endpoint that serves it is known or may be chosen.
+    /// No endpoint that serves the target is known and may be sent requests.
     NoEndpoint,
-    /// All are full.
+    /// Every endpoint that may be sent requests is full, or the pool is overloaded.
     Full,
-    /// None could meet the deadline.
+    /// No endpoint is expected to answer before the deadline.
     Deadline,
 }
 
-/// What the router hears.
+/// An input that updates the router's state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// An endpoint announced itself, or membership passed its announcement on.
+    /// An announcement of an endpoint, from itself or passed on by membership.
     Announced {
         /// The announcement.
         announcement: Announcement,
-        /// How old it is.
+        /// Time since the endpoint sent it.
         age: Millis,
     },
-    /// Membership took an endpoint out.
+    /// Membership removed an endpoint.
     Gone {
         /// The endpoint.
         endpoint: Name,
-        /// Its life.
+        /// The incarnation that was removed.
         incarnation: Incarnation,
     },
-    /// An endpoint published cache events.
+    /// A batch of cache events that an endpoint published.
     Cache(CacheEvents),
     /// A request was sent to an endpoint.
     Sent {
         /// The endpoint.
         endpoint: Name,
-        /// The request as it was asked.
+        /// The request that was passed to [`Router::choose`](crate::Router::choose).
         ask: RouteRequest,
     },
-    /// The first token of an answer came.
+    /// The first token of an answer was received.
     FirstToken {
         /// The endpoint.
         endpoint: Name,
@@ -122,9 +123,9 @@
         endpoint: Name,
         /// The request.
         request: Name,
-        /// Tokens that came.
+        /// Number of tokens received.
         tokens: u32,
-        /// How it ended there.
+        /// How the request ended at this endpoint.
         outcome: Outcome,
     },
 }
@@ -132,10 +133,10 @@
 /// How a request ended at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The whole answer came.
+    /// The whole answer was received.
     Finished,
-    /// The caller went away, or the request was moved.
+    /// The caller disconnected, or the request was moved to another endpoint.
     Cancelled,
-    /// The endpoint failed.
+    /// The endpoint failed the request.
     Failed,
 }
--- a/coordination/route/src/retry.rs
+++ b/coordination/route/src/retry.rs
@@ -1,25 +1,26 @@
-//! Retry budgets: retries may only be a share of the successes.
+//! Retry budgets: retries are limited to a share of the successful requests.
 //!
-//! When a failure domain is lost, each of its requests fails at once. Were all of them retried,
-//! the endpoints left would get their own load and the lost one's twice, and fall in turn. The
-//! budget bounds retries to a share of what succeeds, so the added load stays bounded too.
+//! When a failure domain is lost, all of its requests fail at once. If all of them were retried,
+//! the remaining endpoints would get their own load and that of the lost domain twice, and would
+//! fail in turn. The budget limits retries to a share of the successes, which bounds the added load
+//! too.
 
 use sill_base::{Map, Name};
 
 use crate::request::Target;
 
-/// Figures of a retry budget.
+/// Parameters of a retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryCfg {
-    /// Retries earned by one success.
+    /// Retries that one successful request earns.
     pub share: f64,
-    /// Retries that can be saved up.
+    /// Highest number of retries that can be saved up.
     pub reserve: f64,
-    /// Pairs of client account and target that are remembered.
+    /// Pairs of client account and target that are tracked. Retries of further pairs are refused.
     pub max_pairs: usize,
 }
 
-/// Retries that each client account has left for each model or service.
+/// Retries that each client account has spent for each model or service.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     cfg: RetryCfg,
@@ -33,17 +34,17 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget of which nothing is spent.
+    /// Creates a budget with the whole reserve available.
     pub fn new(cfg: RetryCfg) -> Self {
         Self { cfg, spent: Map::default() }
     }
 
-    /// Sets how many retries can be saved up from now on.
+    /// Sets the reserve. Retries that are already spent still count.
     pub fn set_reserve(&mut self, reserve: f64) {
         self.cfg.reserve = reserve;
     }
 
-    /// Notes an answer that came whole.
+    /// Records a complete answer, which earns a share of a retry.
     pub fn record_success(&mut self, account: &Name, target: &Target) {
         let pair = Pair { account: account.clone(), target: target.clone() };
         let Some(spent) = self.spent.get_mut(&pair) else {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Returns whether a retry may be sent, and counts it if so.
+    /// Spends a retry if the budget allows one, and returns whether it does.
     pub fn try_spend(&mut self, account: &Name, target: &Target) -> bool {
         let pair = Pair { account: account.clone(), target: target.clone() };
         let is_new = !self.spent.contains_key(&pair);
--- a/coordination/route/src/router.rs
+++ b/coordination/route/src/router.rs
@@ -1,4 +1,4 @@
-//! The router of one entry instance.
+//! The router of one entry instance, which chooses an endpoint for each request.
 
 use rand::Rng as _;
 use sill_base::random::{self, Rng};
@@ -9,59 +9,62 @@
 
 use crate::endpoint::Endpoint;
 use crate::home;
-use crate::newest::Newest;
 use crate::policy::{PolicyCfg, PriorityBounds, SampleSize};
+use crate::pool_stats::PoolStats;
 use crate::prefix::{Depths, PrefixIndex};
 use crate::request::{Choice, ChosenEndpoint, Event, Refusal, RefusalReason, RouteRequest, Target};
-use crate::risk::Waves;
+use crate::risk::ReclaimWaves;
 use crate::score::{Candidate, Scorer};
-use crate::survey::Survey;
+use crate::versions::Versions;
 use crate::view::PoolView;
 use crate::weakening::Weakening;
 
 /// Settings of a router.
 #[derive(Debug, Clone)]
 pub struct RouterCfg {
-    /// The failure domain of the entry instance.
+    /// Failure domain of the entry instance, whose endpoints are preferred.
     pub domain: Name,
-    /// Seed of its random choices.
+    /// Seed of the random numbers for sampling, tie breaks and jitter.
     pub seed: u64,
 }
 
-/// Chooses endpoints, from announcements and what it sent itself.
+/// Chooses endpoints by their announcements and by the requests that it sent itself.
 #[derive(Debug)]
 pub struct Router {
     cfg: RouterCfg,
     policy: PolicyCfg,
     rng: Rng,
     endpoints: Map<Name, Endpoint>,
-    newest: Newest,
+    versions: Versions,
     prefixes: PrefixIndex,
-    free_slots: Vec<usize>,
-    slots: usize,
-    waves: Waves,
+    /// Endpoint indices of removed endpoints, for reuse.
+    free_indices: Vec<usize>,
+    /// Endpoint indices allocated so far, in use or free.
+    index_count: usize,
+    waves: ReclaimWaves,
+    /// Kept between choices to save allocations.
     depths: Depths,
-    survey: Survey,
+    stats: PoolStats,
     weakening: Option<Weakening>,
 }
 
-/// Why an endpoint is not chosen.
-enum Unfit {
-    /// It does not serve the target, or may not be given work.
-    No,
-    /// It has all it may take.
+/// Why an endpoint can't take a request.
+enum Rejection {
+    /// It doesn't serve the target, or must not be sent requests.
+    Unusable,
+    /// It has reached its load bound.
     Full,
-    /// It would be too late.
-    Late,
+    /// Its answer is expected after the deadline.
+    TooSlow,
 }
 
 impl Router {
-    /// Makes a router that knows no endpoint.
+    /// Creates a router without endpoints and with the default policy.
     pub fn new(cfg: RouterCfg) -> Self {
         Self::with_policy(cfg, PolicyCfg::default())
     }
 
-    /// Makes a router with other figures than the default ones.
+    /// Creates a router without endpoints and with a given policy.
     pub fn with_policy(cfg: RouterCfg, policy: PolicyCfg) -> Self {
         Self {
             rng: random::seeded(cfg.seed),
@@ -69,17 +72,17 @@
             cfg,
             policy,
             endpoints: Map::default(),
-            newest: Newest::default(),
-            free_slots: Vec::new(),
-            slots: 0,
-            waves: Waves::default(),
+            versions: Versions::default(),
+            free_indices: Vec::new(),
+            index_count: 0,
+            waves: ReclaimWaves::default(),
             depths: Depths::default(),
-            survey: Survey::default(),
+            stats: PoolStats::default(),
             weakening: None,
         }
     }
 
-    /// Leaves out one rule, for tests of the checks.
+    /// Leaves out one rule, to test that the checks notice.
     pub fn weaken(&mut self, weakening: Weakening) {
         self.weakening = Some(weakening);
         if weakening == Weakening::UnboundedLoad {
@@ -89,35 +92,35 @@
         }
     }
 
-    /// Returns the number of endpoints it knows.
+    /// Returns the number of endpoints that were announced and not removed, whatever their state.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Returns the number of cached blocks it remembers over all endpoints.
+    /// Returns the number of tracked cached blocks, summed over all endpoints.
     pub fn block_count(&self) -> usize {
         self.prefixes.len()
     }
 
-    /// Returns the leading prompt tokens that an endpoint is thought to hold.
+    /// Returns the estimated number of leading prompt tokens that an endpoint has cached.
     pub fn cached_tokens(&self, endpoint: &str, blocks: &[u64]) -> u64 {
         let Some(endpoint) = self.endpoints.get(endpoint) else {
             return 0;
         };
         let mut depths = Depths::default();
-        self.prefixes.depths(blocks, self.slots, &mut depths);
-        u64::from(depths.get(endpoint.slot)) * BLOCK_TOKENS as u64
+        self.prefixes.depths(blocks, self.index_count, &mut depths);
+        u64::from(depths.get(endpoint.index)) * BLOCK_TOKENS as u64
     }
 
-    /// Chooses an endpoint, or says why there is none. The caller reports a request that it sends
-    /// by [`Event::Sent`].
-    pub fn choose(&mut self, now: Millis, ask: &RouteRequest) -> Choice {
+    /// Chooses an endpoint, or returns why there is none. If the caller sends the request, it
+    /// reports that by [`Event::Sent`].
+    pub fn choose(&mut self, now: Millis, req: &RouteRequest) -> Choice {
         let mut depths = std::mem::take(&mut self.depths);
-        self.prefixes.depths(&ask.blocks, self.slots, &mut depths);
-        let mut choice = self.choose_by(now, ask, &depths, self.policy.sample_size);
+        self.prefixes.depths(&req.blocks, self.index_count, &mut depths);
+        let mut choice = self.choose_from(now, req, &depths, self.policy.sample_size);
         if matches!(choice, Choice::Refuse(_)) && self.policy.sample_size.is_some() {
-            // Those that were not drawn may have room.
-            choice = self.choose_by(now, ask, &depths, None);
+            // Endpoints outside the sample may have room.
+            choice = self.choose_from(now, req, &depths, None);
         }
         self.depths = depths;
         if let Choice::Endpoint(chosen) = &choice {
@@ -126,220 +129,230 @@
         choice
     }
 
-    /// Returns what is believed of the endpoints that serve a request's target.
-    pub fn view(&self, now: Millis, ask: &RouteRequest) -> PoolView {
+    /// Returns counts over the endpoints that serve a request's target.
+    pub fn view(&self, now: Millis, req: &RouteRequest) -> PoolView {
         let mut view = PoolView::default();
-        let serves = |e: &&Endpoint| ask.target.is_served_by(&e.announcement);
+        let serves = |e: &&Endpoint| req.target.is_served_by(&e.announcement);
         for endpoint in self.endpoints.values().filter(serves) {
-            let candidate = self.candidate(now, ask, endpoint, 0, None);
-            match self.check(now, ask, &candidate) {
-                Err(Unfit::No) => view.ineligible += 1,
+            let candidate = self.candidate(now, req, endpoint, 0, None);
+            match self.check_eligibility(now, req, &candidate) {
+                Err(Rejection::Unusable) => view.ineligible += 1,
                 _ => view.count(now, &candidate, &self.policy),
             }
         }
         view
     }
 
-    fn choose_by(
+    /// Chooses among the home, the endpoints with a cached prefix and a random sample of the
+    /// others. Without a sample size, all endpoints are compared.
+    fn choose_from(
         &mut self,
         now: Millis,
-        ask: &RouteRequest,
+        req: &RouteRequest,
         depths: &Depths,
-        drawn: Option<SampleSize>,
+        sample_size: Option<SampleSize>,
     ) -> Choice {
-        let mut scorer = Scorer::new(&self.policy, ask, self.survey.dearest);
+        let mut scorer = Scorer::new(&self.policy, req, self.stats.max_price);
         let mut reason = RefusalReason::NoEndpoint;
-        let home = self.home(now, ask);
+        let home = self.home_index(now, req);
         let mut has_healthy = false;
         for endpoint in self.endpoints.values() {
-            let cached = u64::from(depths.get(endpoint.slot)) * BLOCK_TOKENS as u64;
-            let candidate = self.candidate(now, ask, endpoint, cached, home);
-            let fit = self.check(now, ask, &candidate);
-            has_healthy |= !candidate.suspect && !matches!(fit, Err(Unfit::No));
-            let is_drawn = drawn.is_none_or(|drawn| {
-                let chance = self.survey.chance(drawn, candidate.elsewhere);
+            let cached = u64::from(depths.get(endpoint.index)) * BLOCK_TOKENS as u64;
+            let candidate = self.candidate(now, req, endpoint, cached, home);
+            let eligibility = self.check_eligibility(now, req, &candidate);
+            has_healthy |=
+                !candidate.is_suspect && !matches!(eligibility, Err(Rejection::Unusable));
+            let is_sampled = sample_size.is_none_or(|size| {
+                let chance = self.stats.sample_chance(size, candidate.is_remote);
                 candidate.is_home || cached > 0 || self.rng.random::<f64>() < chance
             });
-            match fit {
-                Ok(()) if !is_drawn => scorer.count(&candidate),
+            match eligibility {
+                Ok(()) if !is_sampled => scorer.add_load(&candidate),
                 Ok(()) => {
                     scorer.offer(candidate, &mut self.rng);
                     reason = RefusalReason::Full;
                 }
-                Err(Unfit::No) => {}
-                Err(Unfit::Full) => {
-                    scorer.count(&candidate);
+                Err(Rejection::Unusable) => {}
+                Err(Rejection::Full) => {
+                    scorer.add_load(&candidate);
                     reason = RefusalReason::Full;
                 }
-                Err(Unfit::Late) if reason == RefusalReason::NoEndpoint => {
+                Err(Rejection::TooSlow) if reason == RefusalReason::NoEndpoint => {
                     reason = RefusalReason::Deadline;
                 }
-                Err(Unfit::Late) => {}
+                Err(Rejection::TooSlow) => {}
             }
         }
         match scorer.best() {
-            // While healthy ones are only full, one that just failed would fail the request again.
+            // Refuses rather than choosing an endpoint in backoff while healthy ones are full: the
+            // endpoint would probably fail the request again.
             Some(best) if best.is_suspect() && has_healthy => {
                 Choice::Refuse(self.refusal(RefusalReason::Full))
             }
-            Some(best) => Choice::Endpoint(best.chosen(&self.policy, ask)),
+            Some(best) => Choice::Endpoint(best.chosen_endpoint(&self.policy, req)),
             None => Choice::Refuse(self.refusal(reason)),
         }
     }
 
-    /// Returns the number of the endpoint where all entry instances look for the prompt.
-    fn home(&self, now: Millis, ask: &RouteRequest) -> Option<usize> {
-        let block = home::deciding_block(&ask.blocks)?;
-        let may_be = |e: &&Endpoint| {
+    /// Returns the index of the prompt's home, on which all entry instances agree.
+    fn home_index(&self, now: Millis, req: &RouteRequest) -> Option<usize> {
+        let block = home::home_block(&req.blocks)?;
+        let is_eligible = |e: &&Endpoint| {
             let a = &e.announcement;
-            a.leaving.is_none() && !e.is_expired(now, &self.policy) && ask.target.is_served_by(a)
+            a.leaving.is_none() && !e.is_expired(now, &self.policy) && req.target.is_served_by(a)
         };
-        let homes = self.endpoints.values().filter(may_be);
-        homes.max_by_key(|e| home::draw(block, e.name_hash)).map(|e| e.slot)
+        let homes = self.endpoints.values().filter(is_eligible);
+        homes.max_by_key(|e| home::rendezvous_weight(block, e.name_hash)).map(|e| e.index)
     }
 
     fn candidate<'a>(
         &self,
         now: Millis,
-        ask: &RouteRequest,
+        req: &RouteRequest,
         endpoint: &'a Endpoint,
         cached: u64,
         home: Option<usize>,
     ) -> Candidate<'a> {
         let a = &endpoint.announcement;
         let reclaim_per_s = if a.reclaimable {
-            let left = self.survey.reclaimable_left.get(&a.domain).copied().unwrap_or(0);
-            self.waves.chance_per_s(&a.domain, left, now, &self.policy)
+            let remaining = self.stats.reclaimable_by_domain.get(&a.domain).copied().unwrap_or(0);
+            self.waves.chance_per_s(&a.domain, remaining, now, &self.policy)
         } else {
             0.0
         };
         let reported = a.load.running + a.load.queued;
-        let trusts_report = self.weakening == Some(Weakening::TrustLaggingLoad);
-        let pending = |peers| endpoint.pending_tokens(now, peers, &self.policy);
+        let uses_report = self.weakening == Some(Weakening::TrustLaggingLoad);
+        let pending = |ratio| endpoint.pending_tokens(now, ratio, &self.policy);
         Candidate {
             endpoint,
-            cached: cached.min(ask.prompt_tokens),
-            is_home: home == Some(endpoint.slot),
-            active: if trusts_report { reported } else { endpoint.active() },
+            cached: cached.min(req.prompt_tokens),
+            is_home: home == Some(endpoint.index),
+            active: if uses_report { reported } else { endpoint.active() },
             pending_tokens: pending(0.0),
-            presumed_tokens: pending(self.survey.peers),
+            assumed_pending_tokens: pending(self.stats.peer_load_ratio),
             slots: endpoint.slots(),
             usable_slots: self.usable_slots(now, endpoint),
-            elsewhere: a.domain != self.cfg.domain,
-            suspect: endpoint.is_suspect(now),
+            is_remote: a.domain != self.cfg.domain,
+            is_suspect: endpoint.is_suspect(now),
             reclaim_per_s,
         }
     }
 
-    /// Returns the slots that an endpoint may use now. Where all are new, as after a start of the
-    /// whole system, slow start would only make waits look longer than they are.
+    /// Returns the slots of an endpoint that may be used now. If all endpoints are new, as after a
+    /// start of the whole system, there is no slow start: it would only make the expected waits
+    /// longer than they are.
     fn usable_slots(&self, now: Millis, endpoint: &Endpoint) -> f64 {
-        if self.survey.any_warm {
+        if self.stats.has_warm {
             return endpoint.usable_slots(now, &self.policy);
         }
         endpoint.slots()
     }
 
-    fn check(
+    fn check_eligibility(
         &self,
         now: Millis,
-        ask: &RouteRequest,
+        req: &RouteRequest,
         candidate: &Candidate<'_>,
-    ) -> Result<(), Unfit> {
+    ) -> Result<(), Rejection> {
         let endpoint = candidate.endpoint;
         let a = &endpoint.announcement;
         let skips = |weakening| self.weakening == Some(weakening);
         let leaving = a.leaving.is_some() && !skips(Weakening::ChooseLeaving);
         let expired = endpoint.is_expired(now, &self.policy) && !skips(Weakening::KeepExpired);
-        let role_fits = skips(Weakening::IgnoreRole) || takes(a.role, ask);
-        if leaving || expired || !role_fits || ask.exclude.contains(&a.name) {
-            return Err(Unfit::No);
+        let accepts_role = skips(Weakening::IgnoreRole) || role_accepts(a.role, req);
+        if leaving || expired || !accepts_role || req.exclude.contains(&a.name) {
+            return Err(Rejection::Unusable);
         }
-        if !ask.target.is_served_by(a) {
-            return Err(Unfit::No);
+        if !req.target.is_served_by(a) {
+            return Err(Rejection::Unusable);
         }
         if candidate.is_full(&self.policy) {
-            return Err(Unfit::Full);
+            return Err(Rejection::Full);
         }
-        if ask.deadline != Millis::MAX {
-            let needed = Millis(candidate.answer_ms(&self.policy, ask) as u64);
-            if now + needed > ask.deadline {
-                return Err(Unfit::Late);
+        if req.deadline != Millis::MAX {
+            let needed = Millis(candidate.answer_ms(&self.policy, req) as u64);
+            if now + needed > req.deadline {
+                return Err(Rejection::TooSlow);
             }
         }
         Ok(())
     }
 
-    /// Jittered, because callers that were refused together would otherwise come back together.
+    /// Returns a refusal with jitter, since callers that were refused together would otherwise
+    /// retry together.
     fn refusal(&mut self, reason: RefusalReason) -> Refusal {
         let base = self.policy.retry_after.0.max(1);
         Refusal { reason, retry_after: Millis(base + self.rng.random_range(0..2 * base)) }
     }
 
     fn check_choice(&self, now: Millis, chosen: &ChosenEndpoint) {
-        let Some(word) = self.newest.get(&chosen.endpoint) else {
+        let Some(latest) = self.versions.get(&chosen.endpoint) else {
             return;
         };
         keep!(
             Promise::LeavingGetsNothing,
-            !word.leaving && word.incarnation == chosen.incarnation,
-            "at {now} endpoint {} was chosen {} after it said that it is leaving",
+            !latest.leaving && latest.incarnation == chosen.incarnation,
+            "at {now}, endpoint {} was chosen as {:?}, but its latest announcement, received {} \
+             before, is of {:?} with leaving: {}",
             chosen.endpoint,
-            now.since(word.at)
+            chosen.incarnation,
+            now.since(latest.received_at),
+            latest.incarnation,
+            latest.leaving
         );
     }
 
-    /// Takes in an announcement unless something newer is known of the endpoint: a late copy must
-    /// not bring back an endpoint that is leaving or gone.
-    fn announced(&mut self, now: Millis, mut announcement: Announcement, age: Millis) {
+    /// Applies an announcement unless a newer one of the endpoint was received. A late copy must
+    /// not make a leaving or removed endpoint eligible again.
+    fn apply_announcement(&mut self, now: Millis, mut announcement: Announcement, age: Millis) {
         let incarnation = announcement.incarnation;
-        let newest = self.newest.get(&announcement.name);
-        let was_leaving = newest.is_some_and(|w| w.is_leaving(incarnation));
+        let latest = self.versions.get(&announcement.name);
+        let was_leaving = latest.is_some_and(|v| v.is_leaving(incarnation));
         if was_leaving && self.weakening != Some(Weakening::OldAnnouncementOverrides) {
             announcement.leaving.get_or_insert(Millis::ZERO);
         }
-        let is_news = newest.is_none_or(|w| w.is_older_than(&announcement));
+        let is_newer = latest.is_none_or(|v| v.is_older_than(&announcement));
         let is_known = self.endpoints.contains_key(&announcement.name);
-        let is_taken = match self.weakening {
+        let is_accepted = match self.weakening {
             Some(Weakening::OldAnnouncementOverrides) => true,
             Some(Weakening::NoTombstones) if !is_known => true,
-            _ => is_news,
+            _ => is_newer,
         };
-        if !is_taken {
+        if !is_accepted {
             return;
         }
         let leaving = announcement.leaving.is_some();
         if leaving && !was_leaving && announcement.reclaimable {
-            self.waves.reclaimed(&announcement.domain, now, &self.policy);
+            self.waves.record_reclaim(&announcement.domain, now, &self.policy);
         }
-        if is_news {
-            self.newest.note(now, &announcement);
+        if is_newer {
+            self.versions.record(now, &announcement);
         }
-        self.store(now, announcement, age);
-        self.survey(now);
+        self.store_endpoint(now, announcement, age);
+        self.refresh_stats(now);
     }
 
-    fn store(&mut self, now: Millis, announcement: Announcement, age: Millis) {
+    fn store_endpoint(&mut self, now: Millis, announcement: Announcement, age: Millis) {
         let name = announcement.name.clone();
         let cache_tokens = announcement.cache_tokens;
         match self.endpoints.get_mut(&name) {
-            Some(known) if known.incarnation() == announcement.incarnation => {
-                known.update(announcement, now, age);
+            Some(endpoint) if endpoint.incarnation() == announcement.incarnation => {
+                endpoint.update(announcement, now, age);
             }
             _ => {
-                self.drop_endpoint(&name);
-                let slot = self.take_slot();
-                let endpoint = Endpoint::new(announcement, slot, now, age);
+                self.remove_endpoint(&name);
+                let index = self.allocate_index();
+                let endpoint = Endpoint::new(announcement, index, now, age);
                 self.endpoints.insert(name.clone(), endpoint);
-                self.share_memory();
+                self.update_capacities();
             }
         }
-        let share = self.block_share();
-        let slot = self.endpoints[&name].slot;
-        self.prefixes.set_capacity(slot, share.min(cache_tokens as usize / BLOCK_TOKENS));
+        let share = self.blocks_per_endpoint();
+        let index = self.endpoints[&name].index;
+        self.prefixes.set_capacity(index, share.min(cache_tokens as usize / BLOCK_TOKENS));
     }
 
-    fn gone(&mut self, now: Millis, name: &Name, incarnation: Incarnation) {
+    fn apply_removal(&mut self, now: Millis, name: &Name, incarnation: Incarnation) {
         let Some(endpoint) = self.endpoints.get(name) else {
             return;
         };
@@ -348,110 +361,116 @@
         }
         let a = &endpoint.announcement;
         if a.reclaimable && a.leaving.is_none() {
-            self.waves.reclaimed(&a.domain.clone(), now, &self.policy);
+            self.waves.record_reclaim(&a.domain.clone(), now, &self.policy);
         }
-        self.drop_endpoint(name);
-        self.survey(now);
-        self.forget_words(now);
+        self.remove_endpoint(name);
+        self.refresh_stats(now);
+        self.expire_versions(now);
     }
 
-    fn drop_endpoint(&mut self, name: &Name) {
+    fn remove_endpoint(&mut self, name: &Name) {
         if let Some(endpoint) = self.endpoints.remove(name) {
-            self.prefixes.clear(endpoint.slot);
-            self.free_slots.push(endpoint.slot);
+            self.prefixes.clear(endpoint.index);
+            self.free_indices.push(endpoint.index);
         }
     }
 
-    fn take_slot(&mut self) -> usize {
-        self.free_slots.pop().unwrap_or_else(|| {
-            self.slots += 1;
-            self.slots - 1
+    fn allocate_index(&mut self) -> usize {
+        self.free_indices.pop().unwrap_or_else(|| {
+            self.index_count += 1;
+            self.index_count - 1
         })
     }
 
-    fn block_share(&self) -> usize {
+    fn blocks_per_endpoint(&self) -> usize {
         self.policy.max_blocks / self.endpoints.len().max(1)
     }
 
-    /// Lowers what is remembered of each endpoint to its share of the memory.
-    fn share_memory(&mut self) {
-        let share = self.block_share();
+    /// Sets the capacity of each endpoint in the prefix index to its share of `max_blocks`, but to
+    /// no more than its cache holds.
+    fn update_capacities(&mut self) {
+        let share = self.blocks_per_endpoint();
         for endpoint in self.endpoints.values() {
-            let held = endpoint.announcement.cache_tokens as usize / BLOCK_TOKENS;
-            self.prefixes.set_capacity(endpoint.slot, share.min(held));
+            let cache_blocks = endpoint.announcement.cache_tokens as usize / BLOCK_TOKENS;
+            self.prefixes.set_capacity(endpoint.index, share.min(cache_blocks));
         }
     }
 
-    fn survey(&mut self, now: Millis) {
+    fn refresh_stats(&mut self, now: Millis) {
         let (domain, policy) = (&self.cfg.domain, &self.policy);
-        self.survey.renew(now, self.endpoints.values(), domain, policy);
+        self.stats.refresh(now, self.endpoints.values(), domain, policy);
     }
 
-    fn forget_words(&mut self, now: Millis) {
+    fn expire_versions(&mut self, now: Millis) {
         let endpoints = &self.endpoints;
         let is_known = |name: &Name| endpoints.contains_key(name);
-        self.newest.forget(now, self.policy.tombstone_ttl, is_known);
+        self.versions.expire(now, self.policy.tombstone_ttl, is_known);
     }
 
-    fn sent(&mut self, now: Millis, name: &Name, ask: &RouteRequest) {
-        let cached = self.cached_tokens(name, &ask.blocks);
+    fn record_sent(&mut self, now: Millis, name: &Name, req: &RouteRequest) {
+        let cached = self.cached_tokens(name, &req.blocks);
         let Some(endpoint) = self.endpoints.get_mut(name) else {
             return;
         };
-        let prefill = ask.prompt_tokens.saturating_sub(cached);
-        endpoint.sent(now, ask.request.clone(), prefill);
-        self.prefixes.insert(endpoint.slot, &ask.blocks, now);
+        let prefill = req.prompt_tokens.saturating_sub(cached);
+        endpoint.record_sent(now, req.request.clone(), prefill);
+        self.prefixes.insert(endpoint.index, &req.blocks, now);
     }
 
-    /// Applies cache events in order. Each lost event may have dropped one block, and caches drop
-    /// what was used longest ago, so a gap forgets as many of the oldest blocks.
-    fn cache_events(&mut self, now: Millis, batch: CacheEvents) {
+    /// Applies a batch of cache events in order. Each lost event may have dropped one block, and
+    /// caches drop the least recently used block first, so a gap evicts as many of the oldest
+    /// blocks.
+    fn apply_cache_events(&mut self, now: Millis, batch: CacheEvents) {
         let Some(endpoint) = self.endpoints.get_mut(&batch.name) else {
             return;
         };
         if endpoint.incarnation() != batch.incarnation {
             return;
         }
-        let slot = endpoint.slot;
+        let index = endpoint.index;
         let expected = endpoint.next_event.unwrap_or(batch.sequence);
         let end = batch.sequence + batch.events.len() as u64;
         let is_late = batch.sequence < expected;
         endpoint.next_event = Some(end.max(expected));
         let lost = batch.sequence.saturating_sub(expected);
         if self.weakening != Some(Weakening::IgnoreGaps) {
-            self.prefixes.evict_oldest(slot, lost as usize);
+            self.prefixes.evict_oldest(index, lost as usize);
         }
         for event in batch.events {
             match event {
-                // What a late batch says was stored may have been dropped since.
+                // A block that a late batch reports as stored may have been dropped since.
                 CacheEvent::Stored { .. } if is_late => {}
-                CacheEvent::Stored { block } => self.prefixes.insert(slot, &[block], now),
-                CacheEvent::Dropped { block } => self.prefixes.remove(slot, block),
-                CacheEvent::Cleared => self.prefixes.clear(slot),
+                CacheEvent::Stored { block } => self.prefixes.insert(index, &[block], now),
+                CacheEvent::Dropped { block } => self.prefixes.remove(index, block),
+                CacheEvent::Cleared => self.prefixes.clear(index),
             }
         }
     }
 }
 
 impl Machine for Router {
-    /// The router has nothing to be done; it only answers.
+    /// The router emits no actions; it only answers requests.
     type Action = ();
     type Event = Event;
 
     fn step(&mut self, now: Millis, event: Event, _out: &mut Vec<()>) {
         match event {
-            Event::Announced { announcement, age } => self.announced(now, announcement, age),
-            Event::Gone { endpoint, incarnation } => self.gone(now, &endpoint, incarnation),
-            Event::Cache(batch) => self.cache_events(now, batch),
-            Event::Sent { endpoint, ask } => self.sent(now, &endpoint, &ask),
+            Event::Announced { announcement, age } => {
+                self.apply_announcement(now, announcement, age)
+            }
+            Event::Gone { endpoint, incarnation } => {
+                self.apply_removal(now, &endpoint, incarnation)
+            }
+            Event::Cache(batch) => self.apply_cache_events(now, batch),
+            Event::Sent { endpoint, ask } => self.record_sent(now, &endpoint, &ask),
             Event::FirstToken { endpoint, request } => {
                 if let Some(endpoint) = self.endpoints.get_mut(&endpoint) {
-                    endpoint.first_token(now, &request);
+                    endpoint.record_first_token(now, &request);
                 }
             }
             Event::Ended { endpoint, request, outcome, .. } => {
                 if let Some(endpoint) = self.endpoints.get_mut(&endpoint) {
-                    endpoint.ended(now, &request, outcome, &self.policy);
+                    endpoint.record_end(now, &request, outcome, &self.policy);
                 }
             }
         }
@@ -468,11 +487,12 @@
     }
 }
 
-/// Returns whether a role takes a whole request. An answer of one token needs no decoding.
-fn takes(role: Role, ask: &RouteRequest) -> bool {
+/// Returns whether an endpoint of a role serves a whole request. An answer of one token needs no
+/// decoding, so prefill endpoints serve it.
+fn role_accepts(role: Role, req: &RouteRequest) -> bool {
     match role {
         Role::Mixed => true,
-        Role::Prefill => ask.max_tokens <= 1,
+        Role::Prefill => req.max_tokens <= 1,
         Role::Decode | Role::Standby => false,
     }
 }
--- a/coordination/route/src/score.rs
+++ b/coordination/route/src/score.rs
@@ -1,4 +1,4 @@
-//! Expected costs of sending a request to an endpoint, in milliseconds.
+//! Expected cost of sending a request to an endpoint, in milliseconds.
 
 use rand::Rng as _;
 use sill_base::Millis;
@@ -8,230 +8,235 @@
 use crate::policy::{Policy, PolicyCfg};
 use crate::request::{ChosenEndpoint, RouteRequest};
 
-/// An endpoint that may be chosen, with what the choice depends on.
+/// An endpoint considered for a request, with the inputs to its cost.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Candidate<'a> {
     pub(crate) endpoint: &'a Endpoint,
-    /// Prompt tokens that it is thought to hold.
+    /// Estimated number of leading prompt tokens that it has cached.
     pub(crate) cached: u64,
     /// Whether it is the prompt's home.
     pub(crate) is_home: bool,
-    /// Requests that it holds as far as was heard and sent.
+    /// Requests at the endpoint, as reported and corrected by our own dispatches.
     pub(crate) active: u32,
-    /// Prompt tokens that it has before it.
+    /// Estimated number of prompt tokens queued at the endpoint.
     pub(crate) pending_tokens: u64,
-    /// The same if the other entry instances do as we do. It bounds what is sent there, but does
-    /// not order endpoints, since that drives every prompt off its home in turn.
-    pub(crate) presumed_tokens: u64,
-    /// Requests that it runs side by side.
+    /// `pending_tokens`, under the assumption that the other entry instances sent in proportion to
+    /// our own dispatches. It bounds what is sent to an endpoint but doesn't rank endpoints, since
+    /// that would drive every prompt off its home in turn.
+    pub(crate) assumed_pending_tokens: u64,
+    /// Number of requests that the endpoint runs concurrently.
     pub(crate) slots: f64,
-    /// The same, less while it has just started. It orders endpoints only: a new endpoint must not
-    /// be filled at once, but where others are full, or all are new to an entry instance that has
-    /// just started, refusing for its sake would waste what there is.
+    /// `slots`, reduced during the slow start. It only ranks endpoints: a new endpoint must not be
+    /// filled at once. But if the others are full, or all are new to an entry instance that has
+    /// just started, refusing requests because of the slow start would leave capacity unused.
     pub(crate) usable_slots: f64,
-    /// Whether it stands in another failure domain.
-    pub(crate) elsewhere: bool,
-    /// Whether it failed lately.
-    pub(crate) suspect: bool,
-    /// Chance of a reclaim in a second.
+    /// Whether it is in another failure domain than the entry instance.
+    pub(crate) is_remote: bool,
+    /// Whether it is in backoff after a failure.
+    pub(crate) is_suspect: bool,
+    /// Chance per second that it is reclaimed.
     pub(crate) reclaim_per_s: f64,
 }
 
-/// Keeps the best candidates so far.
+/// Ranks the candidates for one request and sums up the load of the pool.
 pub(crate) struct Scorer<'a, 'p> {
     cfg: &'p PolicyCfg,
-    ask: &'p RouteRequest,
-    dearest: f64,
-    best: Option<Scored<'a>>,
-    /// The best of those that are not late.
-    best_in_time: Option<Scored<'a>>,
+    req: &'p RouteRequest,
+    max_price: f64,
+    best: Option<ScoredCandidate<'a>>,
+    /// The best of the candidates that are not overloaded for the request.
+    best_with_room: Option<ScoredCandidate<'a>>,
     active: f64,
     slots: f64,
 }
 
-/// A candidate with its rank; lower is better.
+/// A candidate with its rank.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Scored<'a> {
+pub(crate) struct ScoredCandidate<'a> {
     candidate: Candidate<'a>,
     rank: Rank,
 }
 
+/// The lowest rank is the best. Fields are compared in order.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct Rank {
-    suspect: bool,
+    is_suspect: bool,
     cost: f64,
     tie_break: u64,
 }
 
 impl Candidate<'_> {
-    /// Returns the time until a slot is free, from the requests that stand before the others.
-    fn queue_ms(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> f64 {
-        let before = f64::from(self.active) + 1.0 - self.usable_slots;
-        let answer_ms = f64::from(ask.max_tokens) * self.endpoint.decode_ms(cfg);
-        let for_slot = before.max(0.0) * answer_ms / self.usable_slots;
-        for_slot + self.endpoint.prefill_ms(self.pending_tokens, cfg)
+    /// Returns the expected time until a slot is free and the queued prompts are prefilled.
+    fn queue_ms(&self, cfg: &PolicyCfg, req: &RouteRequest) -> f64 {
+        let ahead = f64::from(self.active) + 1.0 - self.usable_slots;
+        let answer_ms = f64::from(req.max_tokens) * self.endpoint.decode_ms(cfg);
+        let slot_ms = ahead.max(0.0) * answer_ms / self.usable_slots;
+        slot_ms + self.endpoint.prefill_ms(self.pending_tokens, cfg)
     }
 
-    /// Returns whether the endpoint holds so much that nothing more is sent there, whatever it has
-    /// cached.
+    /// Returns whether the endpoint has reached the load bound of high priority. Nothing more is
+    /// sent there, whatever it has cached.
     pub(crate) fn is_full(&self, cfg: &PolicyCfg) -> bool {
         f64::from(self.active) >= (self.slots * cfg.load_factor.high).max(1.0)
     }
 
-    /// Returns whether a request of this priority would find too little room, or wait too long for
-    /// the prompts before it.
-    fn is_late(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> bool {
-        let slots = (self.slots * cfg.load_factor.bound(ask.priority)).max(1.0);
-        let whole_ms = self.endpoint.prefill_ms(ask.prompt_tokens, cfg) + cfg.wait_base.0 as f64;
-        let wait_ms = self.endpoint.prefill_ms(self.presumed_tokens, cfg);
-        let waits = wait_ms > whole_ms * cfg.wait_factor.bound(ask.priority);
-        let is_busy = f64::from(self.active) >= slots && !self.is_prompt(cfg, ask);
-        is_busy || (waits && cfg.policy == Policy::Cost)
+    /// Returns whether the endpoint exceeds the load bound or the waiting bound of the request's
+    /// priority.
+    fn is_overloaded(&self, cfg: &PolicyCfg, req: &RouteRequest) -> bool {
+        let slots = (self.slots * cfg.load_factor.bound(req.priority)).max(1.0);
+        let prompt_ms = self.endpoint.prefill_ms(req.prompt_tokens, cfg) + cfg.wait_base.0 as f64;
+        let wait_ms = self.endpoint.prefill_ms(self.assumed_pending_tokens, cfg);
+        let waits_too_long = wait_ms > prompt_ms * cfg.wait_factor.bound(req.priority);
+        let is_over_bound = f64::from(self.active) >= slots && !self.meets_ttft_target(cfg, req);
+        is_over_bound || (waits_too_long && cfg.policy == Policy::Cost)
     }
 
-    /// Returns whether the first token is expected in the time that a request of this priority may take of a
-    /// loaded pool.
-    fn is_prompt(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> bool {
-        cfg.ttft_target.is_some_and(|wanted| {
-            self.ttft_ms(cfg, ask) <= wanted.0 as f64 * cfg.wait_factor.bound(ask.priority)
+    /// Returns whether the first token is expected within the part of the target that the request's
+    /// priority may use in a loaded pool.
+    fn meets_ttft_target(&self, cfg: &PolicyCfg, req: &RouteRequest) -> bool {
+        cfg.ttft_target.is_some_and(|target| {
+            self.ttft_ms(cfg, req) <= target.0 as f64 * cfg.wait_factor.bound(req.priority)
         })
     }
 
-    /// Returns the time for the part of the prompt that is not known to be cached.
-    fn prefill_ms(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> f64 {
-        self.endpoint.prefill_ms(ask.prompt_tokens.saturating_sub(self.cached), cfg)
+    /// Returns the prefill time of the part of the prompt that is not known to be cached.
+    fn prefill_ms(&self, cfg: &PolicyCfg, req: &RouteRequest) -> f64 {
+        self.endpoint.prefill_ms(req.prompt_tokens.saturating_sub(self.cached), cfg)
     }
 
-    /// Returns the time for the prompt with what its home is presumed to hold. A presumption may
-    /// order endpoints, but must not let in a request that then misses its deadline.
-    fn presumed_prefill_ms(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> f64 {
-        let presumed = match self.is_home {
-            true => (ask.prompt_tokens as f64 * cfg.home_share) as u64,
+    /// Returns the prefill time under the assumption that the prompt's home has a part of it
+    /// cached. The assumption may rank endpoints, but must not admit a request that then misses its
+    /// deadline.
+    fn assumed_prefill_ms(&self, cfg: &PolicyCfg, req: &RouteRequest) -> f64 {
+        let assumed = match self.is_home {
+            true => (req.prompt_tokens as f64 * cfg.home_share) as u64,
             false => 0,
         };
-        let cached = self.cached.max(presumed);
-        self.endpoint.prefill_ms(ask.prompt_tokens.saturating_sub(cached), cfg)
+        let cached = self.cached.max(assumed);
+        self.endpoint.prefill_ms(req.prompt_tokens.saturating_sub(cached), cfg)
     }
 
-    fn ttft_ms(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> f64 {
-        self.queue_ms(cfg, ask) + self.prefill_ms(cfg, ask)
+    fn ttft_ms(&self, cfg: &PolicyCfg, req: &RouteRequest) -> f64 {
+        self.queue_ms(cfg, req) + self.prefill_ms(cfg, req)
     }
 
-    /// Returns the expected time to the whole answer.
-    pub(crate) fn answer_ms(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> f64 {
-        self.ttft_ms(cfg, ask) + f64::from(ask.max_tokens) * self.endpoint.decode_ms(cfg)
+    /// Returns the expected time until the whole answer is received.
+    pub(crate) fn answer_ms(&self, cfg: &PolicyCfg, req: &RouteRequest) -> f64 {
+        self.ttft_ms(cfg, req) + f64::from(req.max_tokens) * self.endpoint.decode_ms(cfg)
     }
 
-    /// Returns the expected cost: waiting, the prompt's rest, slower tokens in a fuller batch, the
-    /// price of the time taken, and the work that a reclaim would destroy.
-    fn cost(&self, cfg: &PolicyCfg, ask: &RouteRequest, dearest: f64) -> f64 {
-        let prefill = self.presumed_prefill_ms(cfg, ask);
-        let answer = self.answer_ms(cfg, ask);
-        let crowding = f64::from(self.active) / self.usable_slots * cfg.load_cost.0 as f64;
-        let price = self.endpoint.announcement.price as f64 / dearest.max(1.0);
+    /// Returns the expected cost: queueing, prefill of the uncached part of the prompt, slower
+    /// tokens in a larger batch, the price of the time used, the work lost if the endpoint is
+    /// reclaimed, and the distance to another failure domain.
+    fn cost(&self, cfg: &PolicyCfg, req: &RouteRequest, max_price: f64) -> f64 {
+        let prefill = self.assumed_prefill_ms(cfg, req);
+        let answer = self.answer_ms(cfg, req);
+        let load = f64::from(self.active) / self.usable_slots * cfg.load_cost.0 as f64;
+        let price = self.endpoint.announcement.price as f64 / max_price.max(1.0);
         let busy = prefill + answer / self.usable_slots;
-        let at_stake = ask.prompt_tokens + u64::from(ask.max_tokens) / 2;
+        let tokens_at_risk = req.prompt_tokens + u64::from(req.max_tokens) / 2;
         let chance = (self.reclaim_per_s * answer / 1000.0).min(1.0);
-        let risk = chance * self.endpoint.prefill_ms(at_stake, cfg);
-        let elsewhere = if self.elsewhere { cfg.cross_domain_cost.0 as f64 } else { 0.0 };
-        self.queue_ms(cfg, ask)
+        let risk = chance * self.endpoint.prefill_ms(tokens_at_risk, cfg);
+        let cross_domain = if self.is_remote { cfg.cross_domain_cost.0 as f64 } else { 0.0 };
+        self.queue_ms(cfg, req)
             + prefill * cfg.prefill_weight
-            + crowding
+            + load
             + price * busy * cfg.price_weight
             + risk * cfg.risk_weight
-            + elsewhere
+            + cross_domain
     }
 }
 
 impl<'a, 'p> Scorer<'a, 'p> {
-    pub(crate) fn new(cfg: &'p PolicyCfg, ask: &'p RouteRequest, dearest: u64) -> Self {
+    pub(crate) fn new(cfg: &'p PolicyCfg, req: &'p RouteRequest, max_price: u64) -> Self {
         Self {
             cfg,
-            ask,
-            dearest: dearest as f64,
+            req,
+            max_price: max_price as f64,
             best: None,
-            best_in_time: None,
+            best_with_room: None,
             active: 0.0,
             slots: 0.0,
         }
     }
 
-    /// Keeps the candidate if it is the best so far.
+    /// Adds the candidate's load to the pool and keeps the candidate if it is the best so far.
     pub(crate) fn offer(&mut self, candidate: Candidate<'a>, rng: &mut Rng) {
-        self.count(&candidate);
+        self.add_load(&candidate);
         let rank = self.rank(&candidate, rng);
-        let is_better = |best: Option<Scored<'_>>| best.is_none_or(|best| rank < best.rank);
-        let scored = Scored { candidate, rank };
+        let is_better =
+            |best: Option<ScoredCandidate<'_>>| best.is_none_or(|best| rank < best.rank);
+        let scored = ScoredCandidate { candidate, rank };
         if is_better(self.best) {
             self.best = Some(scored);
         }
-        if is_better(self.best_in_time) && !candidate.is_late(self.cfg, self.ask) {
-            self.best_in_time = Some(scored);
+        if is_better(self.best_with_room) && !candidate.is_overloaded(self.cfg, self.req) {
+            self.best_with_room = Some(scored);
         }
     }
 
-    /// Counts an endpoint's load towards that of the pool.
-    pub(crate) fn count(&mut self, candidate: &Candidate<'_>) {
+    /// Adds an endpoint's load to that of the pool.
+    pub(crate) fn add_load(&mut self, candidate: &Candidate<'_>) {
         self.active += f64::from(candidate.active);
         self.slots += candidate.slots;
     }
 
-    /// Returns the choice, if any.
+    /// Returns the chosen candidate, or `None` if the request has to be refused.
     ///
-    /// Where the best endpoint is late, the best of the others is taken only while the pool has
-    /// room. In a loaded pool that would drive prompts off their homes just when there is no time
-    /// to compute them elsewhere: every cache is overwritten, and the pool stays overloaded after
-    /// the cause has gone. The request is refused then.
-    pub(crate) fn best(self) -> Option<Scored<'a>> {
+    /// If the best endpoint is overloaded, the request spills over to the best of the others only
+    /// while the pool has room. In a loaded pool, this would drive prompts off their homes just
+    /// when there is no time to compute them elsewhere: every cache would be overwritten, and the
+    /// pool would stay overloaded after the cause has gone.
+    pub(crate) fn best(self) -> Option<ScoredCandidate<'a>> {
         let load = self.active / self.slots.max(1.0);
         let best = self.best?;
-        let is_loaded = load >= self.cfg.pool_factor.bound(self.ask.priority);
+        let is_loaded = load >= self.cfg.pool_factor.bound(self.req.priority);
         if is_loaded
             && self.cfg.policy == Policy::Cost
-            && !best.candidate.is_prompt(self.cfg, self.ask)
+            && !best.candidate.meets_ttft_target(self.cfg, self.req)
         {
             return None;
         }
         let has_room = load < self.cfg.spill_below;
-        match self.best_in_time {
-            Some(in_time) if has_room || in_time.rank == best.rank => Some(in_time),
+        match self.best_with_room {
+            Some(with_room) if has_room || with_room.rank == best.rank => Some(with_room),
             _ => None,
         }
     }
 
     fn rank(&self, candidate: &Candidate<'_>, rng: &mut Rng) -> Rank {
-        let fill = f64::from(candidate.active) / candidate.usable_slots;
+        let load = f64::from(candidate.active) / candidate.usable_slots;
         let cost = match self.cfg.policy {
-            Policy::Cost => candidate.cost(self.cfg, self.ask, self.dearest),
+            Policy::Cost => candidate.cost(self.cfg, self.req, self.max_price),
             Policy::Random => 0.0,
-            Policy::LeastLoaded => fill,
+            Policy::LeastLoaded => load,
             Policy::PrefixOnly => -(candidate.cached as f64),
         };
         let tie_break = rng.random();
-        Rank { suspect: candidate.suspect, cost, tie_break }
+        Rank { is_suspect: candidate.is_suspect, cost, tie_break }
     }
 }
 
-impl Scored<'_> {
-    /// Returns whether the endpoint failed lately.
+impl ScoredCandidate<'_> {
+    /// Returns whether the endpoint is in backoff after a failure.
     pub(crate) fn is_suspect(&self) -> bool {
-        self.candidate.suspect
+        self.candidate.is_suspect
     }
 
-    /// Turns it into the router's answer.
-    pub(crate) fn chosen(&self, cfg: &PolicyCfg, ask: &RouteRequest) -> ChosenEndpoint {
+    /// Returns the router's answer for this candidate.
+    pub(crate) fn chosen_endpoint(&self, cfg: &PolicyCfg, req: &RouteRequest) -> ChosenEndpoint {
         let Candidate { endpoint, cached, active, .. } = self.candidate;
         let a = &endpoint.announcement;
         let why = format!(
             "cached {cached} of {} tokens, {active} active on {} slots, cost {:.0} ms",
-            ask.prompt_tokens, a.slots, self.rank.cost
+            req.prompt_tokens, a.slots, self.rank.cost
         );
         ChosenEndpoint {
             endpoint: a.name.clone(),
             incarnation: a.incarnation,
             address: a.address.clone(),
             cached_tokens: cached,
-            expected_ttft: Millis(self.candidate.ttft_ms(cfg, ask) as u64),
+            expected_ttft: Millis(self.candidate.ttft_ms(cfg, req) as u64),
             why,
         }
     }
--- a/coordination/route/src/view.rs
+++ b/coordination/route/src/view.rs
@@ -1,24 +1,24 @@
-//! What a router believed of a pool when it refused a request, for the log.
+//! The state of a pool as a router sees it when it refuses a request, for the log.
 
 use sill_base::Millis;
 
 use crate::policy::PolicyCfg;
 use crate::score::Candidate;
 
-/// The endpoints that serve a target, as a router counts them.
+/// Counts over the endpoints that serve a target, from one router's state.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct PoolView {
-    /// Endpoints that may be given work.
+    /// Endpoints that may be sent requests, whether or not they have room.
     pub ready: u32,
-    /// Of these, those that hold all they may take.
+    /// Ready endpoints that have reached the load bound of high priority.
     pub full: u32,
-    /// Of these, those that failed lately.
+    /// Ready endpoints that are in backoff after a failure.
     pub suspect: u32,
-    /// Endpoints that may not be given work: leaving, expired, excluded or in another role.
+    /// Endpoints that must not be sent requests: leaving, expired, excluded or in another role.
     pub ineligible: u32,
     /// Requests at the ready endpoints, as reported and corrected by our own dispatches.
     pub active: u32,
-    /// Of these, our own.
+    /// Requests at the ready endpoints that this router sent.
     pub own_active: u32,
     /// Slots of the ready endpoints.
     pub slots: u32,
@@ -27,15 +27,15 @@
 }
 
 impl PoolView {
-    /// Counts an endpoint that may be given work.
+    /// Adds a ready endpoint to the counts.
     pub(crate) fn count(&mut self, now: Millis, candidate: &Candidate<'_>, cfg: &PolicyCfg) {
         let endpoint = candidate.endpoint;
         self.ready += 1;
         self.full += u32::from(candidate.is_full(cfg));
-        self.suspect += u32::from(candidate.suspect);
+        self.suspect += u32::from(candidate.is_suspect);
         self.active += candidate.active;
-        self.own_active += endpoint.own();
+        self.own_active += endpoint.own_active();
         self.slots += candidate.slots as u32;
-        self.oldest_load_age = self.oldest_load_age.max(now - endpoint.sampled());
+        self.oldest_load_age = self.oldest_load_age.max(now - endpoint.sampled_at());
     }
 }
--- a/coordination/route/tests/homes.rs
+++ b/coordination/route/tests/homes.rs
@@ -1,10 +1,10 @@
-//! How prompts spread over their homes.
+//! Distribution of prompts over their home endpoints.
 
 use sill_base::{Machine, Millis, Name};
 use sill_route::{Choice, Event, PolicyCfg, RouteRequest, Router, RouterCfg, Target};
 use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Served};
 
-/// Prompts with a beginning of their own.
+/// Number of prompts, all with different beginnings.
 const PROMPTS: u64 = 4000;
 
 fn announcement(name: &Name) -> Announcement {
@@ -29,7 +29,7 @@
     }
 }
 
-fn ask(prompt: u64) -> RouteRequest {
+fn request(prompt: u64) -> RouteRequest {
     RouteRequest {
         request: "r".into(),
         target: Target::Service("desk".into()),
@@ -42,10 +42,10 @@
     }
 }
 
-/// Endpoints have names that differ in a few letters. Homes drawn from such names by a weak hash fall
-/// mostly on one endpoint: its prompts wait for seconds while the others have nothing to do.
+/// The names of endpoints differ in a few letters only. With a weak hash of such names, most
+/// prompts have the same home: they wait there for seconds while the other endpoints are idle.
 #[test]
-fn homes_are_spread_evenly_over_endpoints() {
+fn similar_endpoint_names_do_not_concentrate_homes() {
     let cases: [&[&str]; 3] = [
         &["i-ebe351f9c2", "i-a27ca6a56b", "i-d1be79e013", "i-ffc0634019"],
         &["e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8"],
@@ -61,15 +61,21 @@
         }
         let mut counts = vec![0_u64; names.len()];
         for prompt in 0..PROMPTS {
-            let Choice::Endpoint(chosen) = router.choose(Millis(20_000), &ask(prompt)) else {
-                panic!("a prompt was refused by idle endpoints");
+            let Choice::Endpoint(chosen) = router.choose(Millis(20_000), &request(prompt)) else {
+                panic!("prompt {prompt} was refused by idle endpoints {names:?}");
             };
-            let at = names.iter().position(|name| *name == chosen.endpoint).expect("it is known");
+            let at = names
+                .iter()
+                .position(|name| *name == chosen.endpoint)
+                .expect("only announced endpoints are chosen");
             counts[at] += 1;
         }
         let even = PROMPTS / names.len() as u64;
         let is_even = |count: &u64| *count > even * 8 / 10 && *count < even * 12 / 10;
-        assert!(counts.iter().all(is_even), "{names:?}: {counts:?}, even would be {even}");
+        assert!(
+            counts.iter().all(is_even),
+            "prompts per home {counts:?} for {names:?}, expected within 20% of {even}"
+        );
     }
 }
 
--- a/coordination/route/tests/random_runs.rs
+++ b/coordination/route/tests/random_runs.rs
@@ -1,4 +1,4 @@
-//! Random runs of the router against late, repeated and lost messages, checked at each choice.
+//! Random runs of the router with late, repeated and lost messages. Each choice is checked.
 
 mod support;
 
@@ -9,97 +9,103 @@
 use sill_wire::endpoint::CacheEvent;
 use sill_wire::{Announcement, Incarnation, Load, Priority, Role};
 
-use support::{Checked, ask, endpoint};
+use support::{CheckedRouter, endpoint, request};
 
 const STEPS: u64 = 400;
 const ENDPOINTS: usize = 6;
 
-/// Endpoints that live, leave, die and come back, and a network that delays and repeats.
+/// Endpoints that run, leave, die and restart, and a network that delays, repeats and loses
+/// messages.
 struct World {
     rng: Rng,
     now: Millis,
-    lives: Vec<Announcement>,
+    /// The current announcement of each endpoint.
+    endpoints: Vec<Announcement>,
+    /// Announcements to be delivered later, also if they were delivered already.
     delayed: Vec<Announcement>,
-    running: Vec<(Name, Name)>,
-    events: Map<Name, u64>,
-    run: Checked,
+    /// Endpoint and name of each request in flight.
+    in_flight: Vec<(Name, Name)>,
+    /// Sequence number of the next cache event, by endpoint.
+    next_events: Map<Name, u64>,
+    checked: CheckedRouter,
 }
 
 impl World {
     fn new(seed: u64, policy: Policy) -> Self {
-        let lives = (0..ENDPOINTS).map(|i| endpoint(&format!("e{i}"), ["a", "b"][i % 2])).collect();
+        let endpoints =
+            (0..ENDPOINTS).map(|i| endpoint(&format!("e{i}"), ["a", "b"][i % 2])).collect();
         Self {
             rng: random::seeded(seed),
             now: Millis(1_000_000),
-            lives,
+            endpoints,
             delayed: Vec::new(),
-            running: Vec::new(),
-            events: Map::default(),
-            run: Checked::with_policy(None, policy),
+            in_flight: Vec::new(),
+            next_events: Map::default(),
+            checked: CheckedRouter::with_policy(None, policy),
         }
     }
 
     fn step(&mut self, number: u64) {
         self.now = self.now + Millis(self.rng.random_range(0..300));
-        let chosen = self.rng.random_range(0..ENDPOINTS);
+        let index = self.rng.random_range(0..ENDPOINTS);
         match self.rng.random_range(0..20) {
-            0..6 => self.announce(chosen),
-            6..8 => self.deliver_late(),
-            8 => self.restart(chosen),
-            9 => self.go(chosen),
-            10 => self.cache_events(chosen),
+            0..6 => self.announce(index),
+            6..8 => self.deliver_delayed(),
+            8 => self.restart(index),
+            9 => self.remove(index),
+            10 => self.cache_events(index),
             11..16 => self.request(number),
             _ => self.end(),
         }
     }
 
-    fn announce(&mut self, chosen: usize) {
+    fn announce(&mut self, index: usize) {
         let running = self.rng.random_range(0..3);
         let age = Millis(self.rng.random_range(0..2000));
         let leaving = self.rng.random_bool(0.1).then_some(Millis(3000));
         let role = if self.rng.random_bool(0.1) { Role::Standby } else { Role::Mixed };
-        let life = &mut self.lives[chosen];
-        life.sequence += 1;
-        life.leaving = life.leaving.or(leaving);
-        life.role = role;
-        life.load = Load { running, age, ..Load::default() };
-        let said = life.clone();
+        let endpoint = &mut self.endpoints[index];
+        endpoint.sequence += 1;
+        endpoint.leaving = endpoint.leaving.or(leaving);
+        endpoint.role = role;
+        endpoint.load = Load { running, age, ..Load::default() };
+        let announcement = endpoint.clone();
         if self.rng.random_bool(0.3) {
-            self.delayed.push(said.clone());
+            self.delayed.push(announcement.clone());
         }
         if self.rng.random_bool(0.9) {
-            self.run.announce(self.now, &said);
+            self.checked.announce(self.now, &announcement);
         }
     }
 
-    fn deliver_late(&mut self) {
+    fn deliver_delayed(&mut self) {
         if self.delayed.is_empty() {
             return;
         }
-        let late = self.rng.random_range(0..self.delayed.len());
-        let said = self.delayed.swap_remove(late);
-        self.run.announce(self.now, &said);
+        let index = self.rng.random_range(0..self.delayed.len());
+        let announcement = self.delayed.swap_remove(index);
+        self.checked.announce(self.now, &announcement);
     }
 
-    fn restart(&mut self, chosen: usize) {
-        let life = &mut self.lives[chosen];
-        life.incarnation = Incarnation(life.incarnation.0 + 1);
-        life.sequence = 0;
-        life.leaving = None;
-        self.events.remove(&life.name);
+    fn restart(&mut self, index: usize) {
+        let endpoint = &mut self.endpoints[index];
+        endpoint.incarnation = Incarnation(endpoint.incarnation.0 + 1);
+        endpoint.sequence = 0;
+        endpoint.leaving = None;
+        self.next_events.remove(&endpoint.name);
     }
 
-    fn go(&mut self, chosen: usize) {
-        let gone = self.lives[chosen].clone();
-        self.run.leave(self.now, &gone);
+    fn remove(&mut self, index: usize) {
+        let removed = self.endpoints[index].clone();
+        self.checked.remove(self.now, &removed);
     }
 
-    fn cache_events(&mut self, chosen: usize) {
-        let name = self.lives[chosen].name.clone();
-        if self.lives[chosen].sequence == 0 || self.run.router.endpoint_count() == 0 {
+    fn cache_events(&mut self, index: usize) {
+        let name = self.endpoints[index].name.clone();
+        if self.endpoints[index].sequence == 0 || self.checked.router.endpoint_count() == 0 {
             return;
         }
-        let next = self.events.entry(name.clone()).or_insert(1);
+        let next = self.next_events.entry(name.clone()).or_insert(1);
         *next += self.rng.random_range(0..3);
         let sequence = *next;
         let block = self.rng.random_range(0..4u64) << 32 | self.rng.random_range(0..8u64);
@@ -109,48 +115,52 @@
             1 => CacheEvent::Dropped { block },
             _ => CacheEvent::Cleared,
         };
-        if self.run.knows(&name) {
-            self.run.cache(self.now, &name, sequence, vec![event]);
+        if self.checked.has_announcement(&name) {
+            self.checked.publish_cache_events(self.now, &name, sequence, vec![event]);
         }
     }
 
     fn request(&mut self, number: u64) {
         let length = self.rng.random_range(0..12);
-        let mut ask = ask(number, self.rng.random_range(0..4), length);
-        ask.priority =
+        let mut req = request(number, self.rng.random_range(0..4), length);
+        req.priority =
             [Priority::Low, Priority::Normal, Priority::High][self.rng.random_range(0..3)];
         if self.rng.random_bool(0.2) {
-            ask.exclude.push(self.lives[self.rng.random_range(0..ENDPOINTS)].name.clone());
+            req.exclude.push(self.endpoints[self.rng.random_range(0..ENDPOINTS)].name.clone());
         }
-        if let Choice::Endpoint(chosen) = self.run.send(self.now, &ask) {
-            self.running.push((chosen.endpoint, ask.request));
+        if let Choice::Endpoint(chosen) = self.checked.send(self.now, &req) {
+            self.in_flight.push((chosen.endpoint, req.request));
         }
     }
 
     fn end(&mut self) {
-        if self.running.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let ended = self.rng.random_range(0..self.running.len());
-        let (endpoint, request) = self.running.swap_remove(ended);
+        let index = self.rng.random_range(0..self.in_flight.len());
+        let (endpoint, request) = self.in_flight.swap_remove(index);
         let outcome =
             [Outcome::Finished, Outcome::Cancelled, Outcome::Failed][self.rng.random_range(0..3)];
-        self.run.end(self.now, &endpoint, &request, outcome);
+        self.checked.end(self.now, &endpoint, &request, outcome);
     }
 }
 
-/// Reclaims, restarts, late copies and lost cache events come in any order. Whatever came, a
-/// request goes only to an endpoint that is alive as far as was heard, ready and not overfull.
+/// Reclaims, restarts, late copies and lost cache events happen in any order. A bug in their
+/// handling would send a request to an endpoint that is known to be removed, isn't ready or is
+/// above its load bound.
 #[test]
-fn choices_keep_all_rules() {
+fn random_events_do_not_lead_to_forbidden_choices() {
     for case in 0..u64::from(random::cases(64)) {
         let seed = random::seed(1) + case;
         for policy in [Policy::Cost, Policy::LeastLoaded, Policy::PrefixOnly, Policy::Random] {
             let mut world = World::new(seed, policy);
             for number in 0..STEPS {
                 world.step(number);
-                let broken = &world.run.violations;
-                assert!(broken.is_empty(), "seed {seed}, step {number}, {policy:?}: {broken:?}");
+                let violations = &world.checked.violations;
+                assert!(
+                    violations.is_empty(),
+                    "rules broken with seed {seed}, step {number}, policy {policy:?}: {violations:?}"
+                );
             }
         }
     }
--- a/coordination/route/tests/support/mod.rs
+++ b/coordination/route/tests/support/mod.rs
@@ -34,10 +34,10 @@
     }
 }
 
-/// A request with a prompt of `length` blocks that starts as all others of the same `prompt`.
-pub fn ask(request: u64, prompt: u64, length: u64) -> RouteRequest {
+/// A request with `length` blocks of a prompt. Requests with the same `prompt` share their prefix.
+pub fn request(number: u64, prompt: u64, length: u64) -> RouteRequest {
     RouteRequest {
-        request: format!("r-{request}").into(),
+        request: format!("r-{number}").into(),
         target: Target::Model("m".into()),
         blocks: (0..length).map(|b| prompt << 32 | b).collect(),
         prompt_tokens: length * 64,
@@ -48,17 +48,20 @@
     }
 }
 
-/// A router whose choices are checked against what was said to it.
-pub struct Checked {
+/// A router whose choices are checked against the events that it received.
+pub struct CheckedRouter {
     pub router: Router,
-    newest: Map<Name, Announcement>,
-    heard: Map<Name, Millis>,
-    gone: Map<Name, Incarnation>,
-    held: Map<Name, u32>,
+    latest: Map<Name, Announcement>,
+    /// When the latest announcement was received.
+    received_at: Map<Name, Millis>,
+    removed: Map<Name, Incarnation>,
+    /// Requests in flight at each endpoint.
+    active: Map<Name, u32>,
+    /// Names of the rules that were broken.
     pub violations: Vec<&'static str>,
 }
 
-impl Checked {
+impl CheckedRouter {
     pub fn new(weakening: Option<Weakening>) -> Self {
         Self::with_policy(weakening, Policy::Cost)
     }
@@ -72,81 +75,87 @@
         }
         Self {
             router,
-            newest: Map::default(),
-            heard: Map::default(),
-            gone: Map::default(),
-            held: Map::default(),
+            latest: Map::default(),
+            received_at: Map::default(),
+            removed: Map::default(),
+            active: Map::default(),
             violations: Vec::new(),
         }
     }
 
     pub fn announce(&mut self, now: Millis, announcement: &Announcement) {
-        let number = |a: &Announcement| (a.incarnation, a.sequence, a.leaving.is_some());
+        let version = |a: &Announcement| (a.incarnation, a.sequence, a.leaving.is_some());
         let name = announcement.name.clone();
-        if self.newest.get(&name).is_none_or(|known| number(known) < number(announcement)) {
-            if self.newest.get(&name).is_some_and(|k| k.incarnation < announcement.incarnation) {
-                self.held.remove(&name);
+        if self.latest.get(&name).is_none_or(|latest| version(latest) < version(announcement)) {
+            if self.latest.get(&name).is_some_and(|a| a.incarnation < announcement.incarnation) {
+                self.active.remove(&name);
             }
-            self.newest.insert(name.clone(), announcement.clone());
-            self.heard.insert(name.clone(), now);
-            self.gone.remove(&name);
+            self.latest.insert(name.clone(), announcement.clone());
+            self.received_at.insert(name.clone(), now);
+            self.removed.remove(&name);
         }
         self.step(now, Event::Announced { announcement: announcement.clone(), age: Millis::ZERO });
     }
 
-    pub fn leave(&mut self, now: Millis, announcement: &Announcement) {
+    pub fn remove(&mut self, now: Millis, announcement: &Announcement) {
         let (endpoint, incarnation) = (announcement.name.clone(), announcement.incarnation);
-        if self.newest.get(&endpoint).is_some_and(|known| known.incarnation <= incarnation) {
-            self.gone.insert(endpoint.clone(), incarnation);
-            self.held.remove(&endpoint);
+        if self.latest.get(&endpoint).is_some_and(|latest| latest.incarnation <= incarnation) {
+            self.removed.insert(endpoint.clone(), incarnation);
+            self.active.remove(&endpoint);
         }
         self.step(now, Event::Gone { endpoint, incarnation });
     }
 
-    pub fn knows(&self, name: &Name) -> bool {
-        self.newest.contains_key(name)
+    pub fn has_announcement(&self, name: &Name) -> bool {
+        self.latest.contains_key(name)
     }
 
-    pub fn cache(&mut self, now: Millis, name: &str, sequence: u64, events: Vec<CacheEvent>) {
-        let incarnation = self.newest[name].incarnation;
+    pub fn publish_cache_events(
+        &mut self,
+        now: Millis,
+        name: &str,
+        sequence: u64,
+        events: Vec<CacheEvent>,
+    ) {
+        let incarnation = self.latest[name].incarnation;
         self.step(
             now,
             Event::Cache(CacheEvents { name: name.into(), incarnation, sequence, events }),
         );
     }
 
-    /// Chooses and sends, and notes each rule that the choice breaks.
-    pub fn send(&mut self, now: Millis, ask: &RouteRequest) -> Choice {
-        let choice = self.router.choose(now, ask);
+    /// Chooses an endpoint, sends the request there, and records each rule that the choice breaks.
+    pub fn send(&mut self, now: Millis, req: &RouteRequest) -> Choice {
+        let choice = self.router.choose(now, req);
         if let Choice::Endpoint(chosen) = &choice {
-            self.check(now, ask, chosen);
-            *self.held.entry(chosen.endpoint.clone()).or_default() += 1;
+            self.check(now, req, chosen);
+            *self.active.entry(chosen.endpoint.clone()).or_default() += 1;
             let endpoint = chosen.endpoint.clone();
-            self.step(now, Event::Sent { endpoint, ask: ask.clone() });
+            self.step(now, Event::Sent { endpoint, ask: req.clone() });
         }
         choice
     }
 
     pub fn end(&mut self, now: Millis, endpoint: &Name, request: &Name, outcome: Outcome) {
-        if let Some(held) = self.held.get_mut(endpoint) {
-            *held = held.saturating_sub(1);
+        if let Some(active) = self.active.get_mut(endpoint) {
+            *active = active.saturating_sub(1);
         }
         let (endpoint, request) = (endpoint.clone(), request.clone());
         self.step(now, Event::Ended { endpoint, request, tokens: 1, outcome });
     }
 
-    fn check(&mut self, now: Millis, ask: &RouteRequest, chosen: &ChosenEndpoint) {
-        let newest = &self.newest[&chosen.endpoint];
-        let held = self.held.get(&chosen.endpoint).copied().unwrap_or(0);
-        let heard = self.heard[&chosen.endpoint];
+    fn check(&mut self, now: Millis, req: &RouteRequest, chosen: &ChosenEndpoint) {
+        let latest = &self.latest[&chosen.endpoint];
+        let active = self.active.get(&chosen.endpoint).copied().unwrap_or(0);
+        let received_at = self.received_at[&chosen.endpoint];
         let rules = [
-            (newest.leaving.is_none(), "leaving"),
-            (newest.incarnation == chosen.incarnation, "incarnation"),
-            (self.gone.get(&chosen.endpoint) != Some(&chosen.incarnation), "gone"),
-            (now.since(heard) <= Millis(5000), "expired"),
-            (newest.role == Role::Mixed, "role"),
-            (f64::from(held) < f64::from(SLOTS) * 1.5, "bound"),
-            (!ask.exclude.contains(&chosen.endpoint), "excluded"),
+            (latest.leaving.is_none(), "leaving"),
+            (latest.incarnation == chosen.incarnation, "incarnation"),
+            (self.removed.get(&chosen.endpoint) != Some(&chosen.incarnation), "removed"),
+            (now.since(received_at) <= Millis(5000), "expired"),
+            (latest.role == Role::Mixed, "role"),
+            (f64::from(active) < f64::from(SLOTS) * 1.5, "bound"),
+            (!req.exclude.contains(&chosen.endpoint), "excluded"),
         ];
         self.violations.extend(rules.iter().filter(|(holds, _)| !holds).map(|(_, rule)| *rule));
         if self.router.block_count() > 4096 {
