--- a/coordination/limit/src/bucket.rs
+++ b/coordination/limit/src/bucket.rs
@@ -1,104 +1,111 @@
-//! A token bucket that may go into debt.
+//! A token bucket whose balance may become negative.
 //!
-//! A share of a small limit is often less than a single request. A bucket that had to hold the
-//! whole request first would never admit it; so a request is admitted while the bucket holds
-//! anything, and its excess is paid back before the next.
+//! The share of a small limit is often less than the cost of a single request. If the bucket had to
+//! cover the whole cost first, it would never admit the request. So a request is admitted while the
+//! balance is positive, and the debt is paid back before the next one.
 
 use sill_base::{Millis, Promise, keep};
 
-/// Requests that can be saved up beside the burst, since a small share would run over between two
-/// requests that come by chance far apart.
-const SAVED_REQUESTS: f64 = 3.0;
+/// Requests that can be saved up in addition to the burst. Without them, the bucket of a small
+/// share would overflow, and lose tokens, between two requests that are far apart by chance.
+const EXTRA_REQUESTS: f64 = 3.0;
 
-/// A bucket and, apart from it, a meter of what was admitted.
+/// A token bucket, with a separate meter of the admitted cost.
 #[derive(Debug, Clone)]
 pub struct Bucket {
     balance: f64,
     rate: f64,
-    filled: Millis,
+    filled_at: Millis,
     meter: Meter,
 }
 
-/// What was admitted, less what the share has paid for since.
+/// Checks the admitted cost against the share, independently of the balance.
 #[derive(Debug, Clone)]
 struct Meter {
+    /// Cost that was admitted, less what the share has refilled since.
     level: f64,
-    highest_cap: f64,
-    largest: f64,
+    /// Largest capacity that the bucket has had.
+    max_cap: f64,
+    /// Largest cost of a single request.
+    max_cost: f64,
 }
 
 impl Bucket {
-    /// Makes a full bucket with a rate in units a second that saves up a burst.
+    /// Creates a full bucket with a rate in units per second. `burst` is the time for which unused
+    /// units are saved up.
     pub fn new(now: Millis, rate: f64, burst: Millis) -> Self {
         let cap = rate * burst.as_secs_f64();
-        let meter = Meter { level: 0.0, highest_cap: cap, largest: 0.0 };
-        Self { balance: cap, rate, filled: now, meter }
+        let meter = Meter { level: 0.0, max_cap: cap, max_cost: 0.0 };
+        Self { balance: cap, rate, filled_at: now, meter }
     }
 
-    /// Sets the rate from now on.
+    /// Refills the bucket at the old rate up to now and sets a new rate in units per second.
     pub fn set_rate(&mut self, now: Millis, rate: f64, burst: Millis) {
         self.fill(now, burst);
         self.rate = rate;
     }
 
-    /// Returns whether a request may pass.
+    /// Refills the bucket and returns whether its balance is positive, so that a request may be
+    /// admitted.
     pub fn can_admit(&mut self, now: Millis, burst: Millis) -> bool {
         self.fill(now, burst);
         self.balance > 0.0
     }
 
-    /// Returns whether it holds what a request costs, or is full where it never holds so much.
+    /// Refills the bucket and returns whether its balance covers a request's cost. If the cost is
+    /// more than a burst, the balance of a whole burst is enough.
     pub fn can_cover(&mut self, now: Millis, burst: Millis, cost: f64) -> bool {
         self.fill(now, burst);
         self.balance >= cost.min(self.rate * burst.as_secs_f64())
     }
 
-    /// Returns what it holds; below zero, it is in debt.
+    /// Returns the balance as of the last refill. A negative balance is debt.
     pub fn balance(&self) -> f64 {
         self.balance
     }
 
-    /// Takes all that it holds.
+    /// Sets a positive balance to zero and leaves debt as it is.
     pub fn drain(&mut self) {
         self.balance = self.balance.min(0.0);
     }
 
-    /// Takes what a request costs.
+    /// Subtracts a request's cost from the balance, which may become negative.
     pub fn charge(&mut self, cost: f64) {
         self.balance -= cost;
     }
 
-    /// Meters what was let through, and checks that it is no more than a burst and one request
-    /// beyond the share.
+    /// Adds an admitted cost to the meter, and checks that the admitted total exceeds the share by
+    /// no more than a burst and one request.
     pub fn meter(&mut self, cost: f64) {
-        let Meter { level, highest_cap, largest } = &mut self.meter;
+        let Meter { level, max_cap, max_cost } = &mut self.meter;
         *level += cost;
-        *largest = largest.max(cost);
+        *max_cost = max_cost.max(cost);
         keep!(
             Promise::AccountLimit,
-            *level <= (*highest_cap + *largest) * (1.0 + 1e-6),
-            "{level} is out beyond the share, with bursts of {highest_cap} and requests of {largest}"
+            *level <= (*max_cap + *max_cost) * (1.0 + 1e-6),
+            "admitted {level} more than the share, allowed is a burst of {max_cap} and a request of \
+             {max_cost}"
         );
     }
 
-    /// Returns when the bucket holds something again.
+    /// Returns the time until the balance is no longer negative, at most 60 s.
     pub fn time_to_admit(&self) -> Millis {
         self.time_to_balance(0.0)
     }
 
-    /// Returns when the bucket holds an amount.
+    /// Returns the time until the balance reaches an amount, at most 60 s.
     pub fn time_to_balance(&self, amount: f64) -> Millis {
-        const LONGEST: f64 = 60_000.0;
-        let missing = (amount - self.balance).max(0.0) / self.rate.max(1e-9);
-        Millis((missing * 1000.0).min(LONGEST) as u64)
+        const MAX_WAIT_MS: f64 = 60_000.0;
+        let wait_s = (amount - self.balance).max(0.0) / self.rate.max(1e-9);
+        Millis((wait_s * 1000.0).min(MAX_WAIT_MS) as u64)
     }
 
     fn fill(&mut self, now: Millis, burst: Millis) {
-        let gained = self.rate * now.since(self.filled).as_secs_f64();
-        let cap = self.rate * burst.as_secs_f64() + SAVED_REQUESTS * self.meter.largest;
-        self.filled = self.filled.max(now);
+        let gained = self.rate * now.since(self.filled_at).as_secs_f64();
+        let cap = self.rate * burst.as_secs_f64() + EXTRA_REQUESTS * self.meter.max_cost;
+        self.filled_at = self.filled_at.max(now);
         self.balance = (self.balance + gained).min(cap);
         self.meter.level = (self.meter.level - gained).max(0.0);
-        self.meter.highest_cap = self.meter.highest_cap.max(cap);
+        self.meter.max_cap = self.meter.max_cap.max(cap);
     }
 }
--- a/coordination/limit/src/lib.rs
+++ b/coordination/limit/src/lib.rs
@@ -1,4 +1,4 @@
-//! Limits of client accounts, shared by all entry instances.
+//! Rate limits of client accounts, divided among all entry instances.
 
 pub mod bucket;
 pub mod demand;
--- a/coordination/limit/src/limiter.rs
+++ b/coordination/limit/src/limiter.rs
@@ -1,4 +1,4 @@
-//! The limiter of one entry instance.
+//! The limiter of one entry instance, which admits requests within its shares of the limits.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Machine, Map, Millis, Name, Promise, keep};
@@ -14,107 +14,110 @@
 /// Settings of a limiter.
 #[derive(Debug, Clone)]
 pub struct LimiterCfg {
-    /// The entry instance.
+    /// Name of the entry instance.
     pub entry: Name,
-    /// Its failure domain.
+    /// Failure domain of the entry instance.
     pub domain: Name,
 }
 
-/// How shares are worked out.
+/// How a limit is split among entry instances.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Split {
-    /// By demand; the others are baselines to measure it against.
+    /// In proportion to demand. The other variants are baselines for comparison.
     #[default]
     Demand,
-    /// The same for every entry instance.
+    /// Equal shares for all entry instances.
     Equal,
-    /// The same for every entry instance that has any demand, as mq-cake does with its queues.
+    /// Equal shares for all entry instances with any demand, as `mq-cake` does with its queues.
     Active,
 }
 
-/// Figures of the limiter.
+/// Parameters of the limiter.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SplitCfg {
-    /// How shares are worked out.
+    /// How a limit is split among entry instances.
     pub split: Split,
-    /// Part of the limit that is spread evenly, so that an account may begin anywhere at once.
+    /// Fraction of the limit that is divided equally, so that an account is admitted at once at an
+    /// entry instance without earlier demand.
     pub floor: f64,
     /// Time between two ticks.
     pub tick: Millis,
-    /// Span of the demand's moving average.
+    /// Window of the moving average of demand.
     pub averaging_window: Millis,
-    /// Requests that the average spans at least, where they come slowly, within five times the span.
+    /// Lowest number of requests that the moving average covers. If requests are rare, the window
+    /// grows accordingly, up to five times `averaging_window`.
     pub min_averaged_requests: f64,
-    /// Time for which an unused share is saved up.
+    /// Time for which an unused share is saved up in a token bucket.
     pub burst: Millis,
-    /// Time without a report after which an entry instance's part of the limit is held fixed.
+    /// Age of a report after which the share of its source is frozen.
     pub stale_after: Millis,
-    /// Time without a report after which an entry instance counts as silent.
+    /// Age of the last report after which its source counts as silent.
     pub silent_after: Millis,
-    /// Time without any word after which an entry instance gives its share up, if it has neighbours.
+    /// Time without any report after which an entry instance with neighbours gives up its shares.
     pub isolated_after: Millis,
-    /// Time after which a silent one counts as dead, where others of its failure domain are heard.
+    /// Time without a report after which an entry instance counts as dead, if others of its failure
+    /// domain report.
     pub dead_after: Millis,
-    /// Time after which a whole silent failure domain counts as dead.
+    /// Time without a report after which a whole failure domain counts as dead.
     pub domain_dead_after: Millis,
 }
 
-/// The limit of a client account over all entry instances; none where it is missing.
+/// The limits of a client account over all entry instances. `None` means unlimited.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountLimit {
     /// The client account.
     pub account: Name,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: Option<f64>,
-    /// Prompt and answer tokens a second.
+    /// Prompt and answer tokens per second.
     pub tokens_per_s: Option<f64>,
 }
 
-/// What a request costs.
+/// The cost of a request, in addition to the request itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cost {
-    /// Prompt tokens, and answer tokens asked for.
+    /// Prompt tokens and requested answer tokens.
     pub tokens: u64,
 }
 
-/// Whether a request may go on.
+/// Whether a request is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It may.
+    /// The request is admitted.
     Admit,
-    /// The client account is over its limit here.
+    /// The client account has used up its share at this entry instance.
     Refuse {
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Millis,
     },
 }
 
-/// What the limiter hears.
+/// An input of the limiter.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// The limits in force, all of them.
+    /// All limits in force. They replace the earlier ones.
     Limits(Vec<AccountLimit>),
-    /// The entry instances that live.
+    /// The current membership.
     Members(Members),
-    /// Reports that a peer gave, its own first.
+    /// Reports received from a peer, its own first.
     Reports(Vec<DemandReport>),
-    /// Time to work out shares anew and to tell others.
+    /// Periodic tick, at which shares are recomputed and demand is reported.
     Tick,
 }
 
-/// What the limiter wants done.
+/// An output of the limiter, to be carried out by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Give a report to a peer and take in its answer.
+    /// Send a report to a peer, and pass its answer back as [`Event::Reports`].
     Exchange {
-        /// The peer.
+        /// The peer to call.
         peer: Peer,
-        /// The report.
+        /// The report to send.
         report: DemandReport,
     },
 }
 
-/// Admits requests of client accounts within the share of this entry instance.
+/// Admits requests of client accounts within the shares of this entry instance.
 #[derive(Debug)]
 pub struct Limiter {
     cfg: SplitCfg,
@@ -124,7 +127,7 @@
     weakening: Option<Weakening>,
 }
 
-/// An account here.
+/// State of an account at this entry instance.
 #[derive(Debug)]
 struct Account {
     demand: Demand,
@@ -133,12 +136,12 @@
 }
 
 impl Limiter {
-    /// Makes a limiter that knows no limit.
+    /// Creates a limiter without limits and with the default parameters.
     pub fn new(cfg: LimiterCfg) -> Self {
         Self::with_split(cfg, Incarnation::default(), SplitCfg::default())
     }
 
-    /// Makes a limiter with its life and other figures than the default ones.
+    /// Creates a limiter without limits, with a given incarnation and parameters.
     pub fn with_split(cfg: LimiterCfg, incarnation: Incarnation, split: SplitCfg) -> Self {
         Self {
             exchange: Exchange::new(cfg, incarnation, split.clone()),
@@ -149,26 +152,26 @@
         }
     }
 
-    /// Leaves out one rule, for tests of the checks.
+    /// Leaves out one rule, to test that the checks notice.
     pub fn weaken(&mut self, weakening: Weakening) {
         self.weakening = Some(weakening);
         self.exchange.weaken(weakening);
     }
 
-    /// Admits a request or refuses it.
+    /// Admits a request or refuses it. Accounts without a limit are always admitted.
     pub fn admit(&mut self, now: Millis, account: &Name, cost: Cost) -> Verdict {
         if !self.limits.contains_key(account) {
             return Verdict::Admit;
         }
-        self.open(now, account);
+        self.open_account(now, account);
         let burst = self.cfg.burst;
-        let counts = self.weakening != Some(Weakening::UncountedAdmission);
-        let Some(state) = self.accounts.get_mut(account) else {
+        let is_charged = self.weakening != Some(Weakening::UncountedAdmission);
+        let Some(account) = self.accounts.get_mut(account) else {
             return Verdict::Admit;
         };
-        state.demand.ask(cost.tokens);
+        account.demand.record(cost.tokens);
         let costs = [1.0, cost.tokens as f64];
-        let mut buckets = [state.requests.as_mut(), state.tokens.as_mut()];
+        let mut buckets = [account.requests.as_mut(), account.tokens.as_mut()];
         let mut wait = None;
         for bucket in buckets.iter_mut().flatten() {
             if !bucket.can_admit(now, burst) {
@@ -182,7 +185,7 @@
             let Some(bucket) = bucket else {
                 continue;
             };
-            if counts {
+            if is_charged {
                 bucket.charge(cost);
             }
             bucket.meter(cost);
@@ -190,22 +193,22 @@
         Verdict::Admit
     }
 
-    /// Returns what a peer that calls is told.
+    /// Returns the answer to the report of a calling peer.
     pub fn reply(&self, caller: &DemandReport) -> Vec<DemandReport> {
         self.exchange.reply(caller)
     }
 
-    /// Returns whether this one adds up the demand of its failure domain.
+    /// Returns whether this entry instance sums up the demand of its failure domain.
     pub fn is_domain_root(&self) -> bool {
         self.exchange.is_root()
     }
 
-    /// Returns the share of an account here, in parts of its limit.
+    /// Returns the share of an account at this entry instance, as fractions of its limit.
     pub fn share(&self, account: &Name) -> Rates {
         self.exchange.share(account)
     }
 
-    fn open(&mut self, now: Millis, name: &Name) {
+    fn open_account(&mut self, now: Millis, name: &Name) {
         if self.accounts.contains_key(name) {
             return;
         }
@@ -224,21 +227,22 @@
         self.accounts.insert(name.clone(), account);
     }
 
-    /// Forgets accounts without a limit, and opens the buckets of changed limits anew.
+    /// Replaces the limits. Accounts whose limit changed or was removed lose their state, and start
+    /// with new buckets at their next request.
     fn set_limits(&mut self, limits: Vec<AccountLimit>) {
         let limits: Map<Name, AccountLimit> =
             limits.into_iter().map(|limit| (limit.account.clone(), limit)).collect();
-        let before = std::mem::replace(&mut self.limits, limits);
+        let previous = std::mem::replace(&mut self.limits, limits);
         let limits = &self.limits;
-        self.accounts.retain(|name, _| limits.get(name) == before.get(name));
+        self.accounts.retain(|name, _| limits.get(name) == previous.get(name));
     }
 
     fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         let mut demand = Vec::new();
         for (name, account) in &mut self.accounts {
             let rates = account.demand.update(now, &self.cfg);
-            const NEGLIGIBLE: f64 = 0.01;
-            if rates.requests > NEGLIGIBLE {
+            const MIN_REQUESTS_PER_S: f64 = 0.01;
+            if rates.requests > MIN_REQUESTS_PER_S {
                 demand.push(AccountDemand {
                     account: name.clone(),
                     requests_per_s: rates.requests,
@@ -261,7 +265,7 @@
             keep!(
                 Promise::AccountLimit,
                 share.requests <= 1.0 + 1e-9 && share.tokens <= 1.0 + 1e-9,
-                "the share of {name} is {share:?}"
+                "share of account {name} is more than its whole limit (1): {share:?}"
             );
             if let (Some(bucket), Some(limit)) = (&mut account.requests, limit.requests_per_s) {
                 bucket.set_rate(now, limit * share.requests, self.cfg.burst);
@@ -281,7 +285,7 @@
         match event {
             Event::Limits(limits) => self.set_limits(limits),
             Event::Members(members) => self.exchange.set_members(&members),
-            Event::Reports(reports) => self.exchange.take_in(now, reports),
+            Event::Reports(reports) => self.exchange.apply_reports(now, reports),
             Event::Tick => self.tick(now, out),
         }
     }
--- a/coordination/limit/src/weakening.rs
+++ b/coordination/limit/src/weakening.rs
@@ -1,16 +1,17 @@
-//! One-line weakenings, to show that the checks notice when a rule is left out.
+//! Switches that leave out one rule of the limiter each, to show that the tests notice.
 
-/// A rule that a test leaves out. Nothing but tests sets one.
+/// A rule that a test leaves out. Only tests set one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Weakening {
-    /// Entry instances that fell silent are taken for idle, so both sides of a cut take the whole.
+    /// Silent entry instances count as idle, so both sides of a network partition use the whole
+    /// limit.
     SilentIsIdle,
-    /// A restarted entry instance starts with the whole limit.
+    /// A restarted entry instance starts with the whole limit as its share.
     RestartTakesAll,
-    /// Shares are taken by the present demand in place of the one that the others know.
+    /// Shares are computed from the present demand instead of the demand that peers already have.
     UnreportedDemand,
-    /// Dead entry instances keep their share for ever.
+    /// Dead entry instances keep their shares forever.
     DeadKeepShares,
-    /// Requests are admitted without being counted against the share.
+    /// Requests are admitted without a charge to the share.
     UncountedAdmission,
 }
--- a/coordination/limit/tests/shares.rs
+++ b/coordination/limit/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of a limit over entry instances that are idle, busy, cut off, dead or restarted.
+//! Shares of a limit among entry instances that are idle, busy, partitioned, dead or restarted.
 
 mod support;
 
@@ -12,21 +12,24 @@
 
 const DOMAINS: usize = 4;
 
-/// The most that may be admitted in any ten seconds, in parts of the limit: while a cut lasts or after
-/// a restart, while demand moves about, and under several faults at once. The last holds the part of
-/// a whole failure domain, which takes an even part when all of it restarts while it is cut off.
-const CUT_BOUND: f64 = 1.02;
+/// Highest admitted rate in any ten seconds, as a fraction of the limit, during a network partition
+/// or after a restart.
+const PARTITION_BOUND: f64 = 1.02;
+/// The same while demand moves between entry instances.
 const MOVING_BOUND: f64 = 1.08;
+/// The same under several faults at once. It covers the share of a whole failure domain, which
+/// takes an equal share if all of it restarts while it is partitioned.
 const FAULTS_BOUND: f64 = 1.30;
 
 struct Case {
     name: &'static str,
     weakening: Weakening,
-    /// Returns whether the rule held.
+    /// Runs the scenario and returns whether the rule was kept.
     run: fn(Fleet) -> bool,
 }
 
-/// Skewed, and more than the limit in all: a fifth of the entry instances get four fifths.
+/// Returns a skewed demand of 1.5 times the limit: a fifth of the entry instances get four fifths
+/// of it.
 fn skewed(entries: usize) -> Vec<f64> {
     let busy = entries.div_ceil(5);
     let demand = |i| {
@@ -36,21 +39,21 @@
     (0..entries).map(demand).collect()
 }
 
-/// A failure domain is cut off while callers on both sides ask for all they can get. Were each side
-/// to take the other for idle, the account would get its limit twice.
-fn cut_keeps_the_last_share(mut fleet: Fleet) -> bool {
+/// A failure domain is partitioned from the others while callers on both sides use all that they
+/// get. If each side took the other for idle, the account would get its limit twice.
+fn partition_does_not_double_the_limit(mut fleet: Fleet) -> bool {
     fleet.demand = skewed(8);
     fleet.run(Millis(20_000));
-    fleet.cut(0, DOMAINS);
+    fleet.partition(0, DOMAINS);
     let since = fleet.admitted.len();
     fleet.demand = fleet.demand.iter().map(|d| d * 3.0).collect();
     fleet.run(Millis(60_000));
-    fleet.most_used(Millis(10_000), since) < CUT_BOUND
+    fleet.most_used(Millis(10_000), since) < PARTITION_BOUND
 }
 
-/// An entry instance restarts in the middle of the rush. It knows nobody yet, and callers would get
-/// the whole limit from it beside what the others give.
-fn restart_starts_at_the_floor(mut fleet: Fleet) -> bool {
+/// An entry instance restarts under load. It has no reports yet, and if it used the whole limit,
+/// callers would get that in addition to the shares of the others.
+fn restart_does_not_start_above_the_floor(mut fleet: Fleet) -> bool {
     fleet.demand = skewed(8);
     fleet.run(Millis(20_000));
     let since = fleet.admitted.len();
@@ -59,11 +62,11 @@
         fleet.run(Millis(400));
     }
     fleet.run(Millis(10_000));
-    fleet.most_used(Millis(10_000), since) < CUT_BOUND
+    fleet.most_used(Millis(10_000), since) < PARTITION_BOUND
 }
 
-/// Most entry instances restart at once, again and again, while callers ask for many times the limit.
-fn restarts_of_most_start_at_the_floor(mut fleet: Fleet) -> bool {
+/// Most entry instances restart together several times, while callers request many times the limit.
+fn restarts_of_most_do_not_start_above_the_floor(mut fleet: Fleet) -> bool {
     fleet.demand = skewed(8).iter().map(|d| d * 3.0).collect();
     fleet.run(Millis(20_000));
     let since = fleet.admitted.len();
@@ -72,12 +75,12 @@
         fleet.run(Millis(3_000));
     }
     fleet.run(Millis(10_000));
-    fleet.most_used(Millis(10_000), since) < CUT_BOUND
+    fleet.most_used(Millis(10_000), since) < PARTITION_BOUND
 }
 
-/// Load moves from one failure domain to another within a moment. The new place must not give out a
-/// share before the old place knows that it lost it.
-fn moving_load_stays_within(mut fleet: Fleet) -> bool {
+/// Load moves suddenly from one failure domain to another. If the new one used a larger share
+/// before the old one has reduced its own, both together would exceed the limit.
+fn moving_load_does_not_exceed_the_limit(mut fleet: Fleet) -> bool {
     fleet.run(Millis(2_000));
     let since = fleet.admitted.len();
     for round in 0..40 {
@@ -88,9 +91,9 @@
     fleet.most_used(Millis(10_000), since) < MOVING_BOUND
 }
 
-/// An entry instance died with a large share. Were it kept for ever, the account could use only the
-/// rest of its limit from then on.
-fn dead_ones_give_back(mut fleet: Fleet) -> bool {
+/// An entry instance dies with a large share. If that stayed reserved forever, the account could
+/// use only the rest of its limit.
+fn shares_of_the_dead_are_not_lost(mut fleet: Fleet) -> bool {
     fleet.demand = skewed(8);
     fleet.demand.swap(0, 4);
     fleet.run(Millis(20_000));
@@ -100,65 +103,84 @@
     fleet.used(Millis(10_000)) > 0.98
 }
 
-/// Requests that are let through without being counted would go unnoticed in every metric.
-fn admissions_are_counted(mut fleet: Fleet) -> bool {
+/// Requests that are admitted without a charge to the share exceed the limit unnoticed by any
+/// metric.
+fn no_admission_is_uncharged(mut fleet: Fleet) -> bool {
     fleet.demand = skewed(8);
     fleet.run(Millis(20_000));
-    fleet.used(Millis(10_000)) < CUT_BOUND
+    fleet.used(Millis(10_000)) < PARTITION_BOUND
 }
 
 const CASES: [Case; 6] = [
-    Case { name: "cut off", weakening: Weakening::SilentIsIdle, run: cut_keeps_the_last_share },
+    Case {
+        name: "partition",
+        weakening: Weakening::SilentIsIdle,
+        run: partition_does_not_double_the_limit,
+    },
     Case {
         name: "restart",
         weakening: Weakening::RestartTakesAll,
-        run: restart_starts_at_the_floor,
+        run: restart_does_not_start_above_the_floor,
     },
     Case {
         name: "restarts of most",
         weakening: Weakening::RestartTakesAll,
-        run: restarts_of_most_start_at_the_floor,
+        run: restarts_of_most_do_not_start_above_the_floor,
     },
     Case {
         name: "moving load",
         weakening: Weakening::UnreportedDemand,
-        run: moving_load_stays_within,
+        run: moving_load_does_not_exceed_the_limit,
+    },
+    Case {
+        name: "dead entry instance",
+        weakening: Weakening::DeadKeepShares,
+        run: shares_of_the_dead_are_not_lost,
+    },
+    Case {
+        name: "charged admissions",
+        weakening: Weakening::UncountedAdmission,
+        run: no_admission_is_uncharged,
     },
-    Case { name: "dead", weakening: Weakening::DeadKeepShares, run: dead_ones_give_back },
-    Case { name: "counted", weakening: Weakening::UncountedAdmission, run: admissions_are_counted },
 ];
 
+/// Each scenario describes the failure that its rule prevents.
 #[test]
-fn account_limit_holds() {
+fn account_limit_is_not_exceeded_or_lost() {
     for case in &CASES {
-        assert!((case.run)(Fleet::new(8, DOMAINS, None)), "{}", case.name);
+        assert!((case.run)(Fleet::new(8, DOMAINS, None)), "rule broken in \"{}\"", case.name);
     }
 }
 
+/// A scenario that passes without its rule would not notice a limiter that breaks the rule.
 #[test]
 fn each_weakening_is_noticed() {
     for case in &CASES {
         let fleet = Fleet::new(8, DOMAINS, Some(case.weakening));
-        let held = panic::catch_unwind(AssertUnwindSafe(|| (case.run)(fleet))).unwrap_or(false);
-        assert!(!held, "{}: {:?} went unnoticed", case.name, case.weakening);
+        let passed = panic::catch_unwind(AssertUnwindSafe(|| (case.run)(fleet))).unwrap_or(false);
+        assert!(!passed, "scenario \"{}\" passed with {:?}", case.name, case.weakening);
     }
 }
 
+/// Entry instances with steady, skewed demand admit less or more than the limit in total.
 #[test]
-fn the_limit_is_used_and_kept() {
-    for (name, entries) in [("today", 8), ("larger", 40)] {
+fn steady_demand_does_not_miss_the_limit() {
+    for (name, entries) in [("8 entry instances", 8), ("40 entry instances", 40)] {
         let mut fleet = Fleet::new(entries, DOMAINS, None);
         fleet.demand = skewed(entries);
         fleet.run(Millis(30_000));
         let used = fleet.used(Millis(10_000));
-        assert!((0.99..1.01).contains(&used), "{name}: used {used:.4} of the limit");
+        assert!(
+            (0.99..1.01).contains(&used),
+            "{name} admitted {used:.4} of the limit in the last 10 s, expected 0.99 to 1.01"
+        );
     }
 }
 
-/// Entry instances die, restart and are cut off in any order, while demand moves about. Whatever
-/// happens, the account gets no more than its limit and the stated bound in any ten seconds.
+/// Entry instances die, restart and are partitioned in any order, while demand moves. The account
+/// must not get more than the stated bound in any ten seconds.
 #[test]
-fn random_faults_keep_the_bound() {
+fn random_faults_do_not_exceed_the_bound() {
     for case in 0..u64::from(random::cases(12)) {
         let seed = random::seed(1) + case;
         let mut rng = random::seeded(seed);
@@ -171,13 +193,16 @@
             match rng.random_range(0..6) {
                 0 => fleet.kill(chosen),
                 1 => fleet.restart(chosen),
-                2 => fleet.cut(chosen % DOMAINS, DOMAINS),
+                2 => fleet.partition(chosen % DOMAINS, DOMAINS),
                 3 => fleet.heal(),
                 _ => fleet.demand[chosen] = rng.random_range(0.0..LIMIT),
             }
             fleet.run(Millis(rng.random_range(100..8_000)));
         }
         let most = fleet.most_used(Millis(10_000), 1_500);
-        assert!(most < FAULTS_BOUND, "seed {seed}: {most:.3} of the limit in ten seconds");
+        assert!(
+            most < FAULTS_BOUND,
+            "seed {seed}: admitted {most:.3} of the limit within 10 s, expected less than {FAULTS_BOUND}"
+        );
     }
 }
