--- a/coordination/dispatch/src/pool.rs
+++ b/coordination/dispatch/src/pool.rs
@@ -7,8 +7,8 @@
 use rustc_hash::FxHasher;
 use sill_base::{Machine, Map, Millis, Name};
 use sill_route::{
-    Ask, ByPriority, Choice, Drawn, Event, Outcome, PolicyCfg, RefusalReason, Router, RouterCfg,
-    Target,
+    Choice, Event, Outcome, PolicyCfg, PriorityBounds, RefusalReason, RouteRequest, Router,
+    RouterCfg, SampleSize, Target,
 };
 use sill_wire::link::{EndpointFact, EndpointState, EngineSpeed, LoadWord};
 use sill_wire::prefix::BLOCK_TOKENS;
@@ -32,7 +32,7 @@
 /// Number of endpoints that are sampled for a call, in addition to its preferred endpoint and those
 /// that cache its prompt. The less loaded of two samples is nearly as good as the least loaded
 /// endpoint, and not every entry instance chooses it until its next load report.
-const SAMPLED_ENDPOINTS: Option<Drawn> = Some(Drawn { here: 2.0, elsewhere: 1.0 });
+const SAMPLED_ENDPOINTS: Option<SampleSize> = Some(SampleSize { local: 2.0, remote: 1.0 });
 
 /// Prefix blocks that one pool tracks; at 64 tokens per block, 4 million tokens.
 const MAX_BLOCKS: usize = 1 << 16;
@@ -353,8 +353,8 @@
         self.endpoints.get(endpoint).is_some_and(|k| k.fact.state == EndpointState::Ready)
     }
 
-    fn routing_request(&self, ask: &PlacementRequest) -> Ask {
-        Ask {
+    fn routing_request(&self, ask: &PlacementRequest) -> RouteRequest {
+        RouteRequest {
             request: ask.attempt.clone(),
             target: Target::Service(self.cfg.service.clone()),
             blocks: prefix_blocks(&ask.prompt),
@@ -419,16 +419,16 @@
     PolicyCfg {
         announcement_ttl: Millis::MAX,
         max_blocks: MAX_BLOCKS,
-        load_factor: ByPriority { low: 1.5, normal: 1.5, high: 1.5 },
-        pool_factor: ByPriority { low: 1.4, normal: 1.4, high: 1.4 },
-        first_token: None,
+        load_factor: PriorityBounds { low: 1.5, normal: 1.5, high: 1.5 },
+        pool_factor: PriorityBounds { low: 1.4, normal: 1.4, high: 1.4 },
+        ttft_target: None,
         spill_below: 1.4,
-        wait_factor: ByPriority::UNBOUNDED,
+        wait_factor: PriorityBounds::UNBOUNDED,
         slow_start: Millis(500),
-        elsewhere: REMOTE_DOMAIN_COST,
-        drawn: SAMPLED_ENDPOINTS,
+        cross_domain_cost: REMOTE_DOMAIN_COST,
+        sample_size: SAMPLED_ENDPOINTS,
         prefill_tokens_per_s: PREFILL_TOKENS_PER_S,
-        decode: DECODE_PER_TOKEN,
+        decode_per_token: DECODE_PER_TOKEN,
         ..PolicyCfg::default()
     }
 }
@@ -437,13 +437,13 @@
 fn plain_policy() -> PolicyCfg {
     PolicyCfg {
         announcement_ttl: Millis::MAX,
-        load_factor: ByPriority { low: 4.0, normal: 4.0, high: 4.0 },
-        pool_factor: ByPriority { low: 4.0, normal: 4.0, high: 4.0 },
-        first_token: None,
+        load_factor: PriorityBounds { low: 4.0, normal: 4.0, high: 4.0 },
+        pool_factor: PriorityBounds { low: 4.0, normal: 4.0, high: 4.0 },
+        ttft_target: None,
         spill_below: 4.0,
-        wait_factor: ByPriority::UNBOUNDED,
+        wait_factor: PriorityBounds::UNBOUNDED,
         slow_start: Millis(500),
-        elsewhere: Millis(10),
+        cross_domain_cost: Millis(10),
         ..PolicyCfg::default()
     }
 }
--- a/coordination/dispatch/src/share.rs
+++ b/coordination/dispatch/src/share.rs
@@ -144,7 +144,7 @@
         // A prompt may be larger than a small share ever holds; it then needs a full bucket and
         // puts it into debt. If any balance were enough, every entry instance could go into debt at
         // once.
-        let has_share = account.bucket.covers(now, accumulation_span, amount);
+        let has_share = account.bucket.can_cover(now, accumulation_span, amount);
         // Prompts larger than any share put each entry instance into debt for one of its own; with
         // hundreds of entry instances that alone exceeds the limit.
         let exceeds_total =
--- a/coordination/dispatch/src/share/account.rs
+++ b/coordination/dispatch/src/share/account.rs
@@ -148,7 +148,7 @@
     /// a restart, may have used the burst.
     fn drop_initial_burst(&mut self) {
         if !std::mem::replace(&mut self.has_totals, true) {
-            self.bucket.empty();
+            self.bucket.drain();
         }
     }
 
@@ -200,7 +200,7 @@
         amount: f64,
         bounds: LimitBounds,
     ) -> (Millis, Millis) {
-        let here = self.bucket.holds_in(amount);
+        let here = self.bucket.time_to_balance(amount);
         let beyond =
             (self.presumed_total(unreported_span) + amount - self.free_amount(bounds)).max(0.0);
         let everywhere = Millis((beyond / self.limit.rate.max(1e-9) * 1000.0) as u64);
@@ -282,7 +282,7 @@
     }
 
     pub(super) fn spend(&mut self, now: Millis, amount: f64) {
-        self.bucket.take(amount);
+        self.bucket.charge(amount);
         self.admitted_rate.add(now, ADMITTED_RATE_SPAN, amount);
         self.admitted.add(now, amount);
         self.admitted_since_total += amount;
