--- a/coordination/flight/src/claims.rs
+++ b/coordination/flight/src/claims.rs
@@ -16,11 +16,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimBounds {
     /// Claims held at once; further ones are refused.
-    pub claims: usize,
+    #[serde(rename = "claims")]
+    pub max_claims: usize,
     /// The largest answer kept for resent requests, in bytes.
-    pub answer: usize,
+    #[serde(rename = "answer")]
+    pub max_answer_bytes: usize,
     /// Bytes of all kept answers; further answers are not kept, but their status code is.
-    pub answers: usize,
+    #[serde(rename = "answers")]
+    pub max_total_answer_bytes: usize,
 }
 
 /// All claims that have not expired.
@@ -77,7 +80,7 @@
 
 impl Default for ClaimBounds {
     fn default() -> Self {
-        Self { claims: 1_000_000, answer: 16 << 10, answers: 64 << 20 }
+        Self { max_claims: 1_000_000, max_answer_bytes: 16 << 10, max_total_answer_bytes: 64 << 20 }
     }
 }
 
@@ -131,7 +134,9 @@
                 return ClaimVerdict::Unavailable;
             }
             Some(Claim { state: State::Released, .. }) => {}
-            None if self.claims.len() >= self.bounds.claims => return ClaimVerdict::Unavailable,
+            None if self.claims.len() >= self.bounds.max_claims => {
+                return ClaimVerdict::Unavailable;
+            }
             None => {}
         }
         let state = State::Held { body: body.clone(), outcome: None };
@@ -145,7 +150,10 @@
         owner: &ClaimOwner,
         outcome: &ClaimOutcome,
     ) -> ClaimVerdict {
-        let room = self.bounds.answer.min(self.bounds.answers.saturating_sub(self.answer_bytes));
+        let room = self
+            .bounds
+            .max_answer_bytes
+            .min(self.bounds.max_total_answer_bytes.saturating_sub(self.answer_bytes));
         let Some(claim) = self.claims.get_mut(key) else {
             return ClaimVerdict::Done;
         };
@@ -175,7 +183,7 @@
             {
                 ClaimVerdict::Taken { owner: holder.clone(), outcome: outcome.clone() }
             }
-            None if self.claims.len() >= self.bounds.claims => ClaimVerdict::Done,
+            None if self.claims.len() >= self.bounds.max_claims => ClaimVerdict::Done,
             _ => {
                 self.put(key, released);
                 ClaimVerdict::Done
--- a/coordination/flight/src/drain.rs
+++ b/coordination/flight/src/drain.rs
@@ -7,9 +7,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainCfg {
     /// Between turning not ready and closing the listener, so that a balancer can notice.
-    pub notice: Millis,
+    #[serde(rename = "notice")]
+    pub close_delay: Millis,
     /// The longest wait for requests in flight, from the start of the stop.
-    pub limit: Millis,
+    #[serde(rename = "limit")]
+    pub timeout: Millis,
     /// Ends without waiting, to show that the checks find it; set by tests only.
     #[doc(hidden)]
     pub cuts_in_flight: bool,
@@ -31,9 +33,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DrainAction {
     /// Tell the balancer that no request should come; those that come are served.
-    NotReady,
+    #[serde(rename = "NotReady")]
+    MarkNotReady,
     /// Take no new connection or request.
-    Close,
+    #[serde(rename = "Close")]
+    CloseListener,
     /// End the process.
     Exit {
         /// Requests that are cut off.
@@ -88,16 +92,16 @@
         match (self.state, event) {
             (State::Serving, DrainEvent::Stop) => {
                 self.state = State::Notice { since: now };
-                out.push(DrainAction::NotReady);
+                out.push(DrainAction::MarkNotReady);
             }
             (State::Notice { .. } | State::Draining { .. }, DrainEvent::Stop) => {
                 self.exit(true, out);
             }
             (State::Notice { since }, DrainEvent::Tick { .. })
-                if now.since(since) >= self.cfg.notice =>
+                if now.since(since) >= self.cfg.close_delay =>
             {
                 self.state = State::Draining { since };
-                out.push(DrainAction::Close);
+                out.push(DrainAction::CloseListener);
             }
             (State::Draining { .. }, DrainEvent::Tick { in_flight })
                 if in_flight == 0 || self.cfg.cuts_in_flight =>
@@ -105,7 +109,7 @@
                 self.exit(false, out);
             }
             (State::Draining { since }, DrainEvent::Tick { .. })
-                if now.since(since) >= self.cfg.limit =>
+                if now.since(since) >= self.cfg.timeout =>
             {
                 self.exit(true, out);
             }
--- a/coordination/flight/src/flight.rs
+++ b/coordination/flight/src/flight.rs
@@ -11,11 +11,12 @@
 use sill_wire::ErrorCode;
 use sill_wire::claim::{ClaimAsk, ClaimOutcome, ClaimVerdict};
 
-pub use self::cfg::{FlightCfg, Weakening};
+pub use self::cfg::{RequestCfg, Weakening};
 pub use self::event::{
-    Action, Cause, Claimant, Dropped, Ending, Epoch, Event, Kind, Place, ResumeAt, Spec,
+    Action, AttemptOutcome, ClaimSpec, DropReason, Epoch, Event, Placement, RecomputeCause,
+    RequestSpec, ResumePoint, ServiceKind,
 };
-use crate::life::{Admitted, Claimed, Dispatched, Life, Received};
+use crate::lifecycle::{Admitted, Claimed, Dispatched, Lifecycle, Received};
 
 /// When a caller should come back after a refusal that names no time.
 const COME_BACK: Millis = Millis(1000);
@@ -25,9 +26,9 @@
 
 /// One request.
 #[derive(Debug)]
-pub struct Flight {
-    cfg: FlightCfg,
-    spec: Spec,
+pub struct InFlightRequest {
+    cfg: RequestCfg,
+    spec: RequestSpec,
     stage: Stage,
     attempt: Option<Attempt>,
     epoch: Epoch,
@@ -35,17 +36,17 @@
     search: Option<Search>,
     excluded: Vec<Name>,
     failures: u32,
-    kv_from: Option<Place>,
+    kv_from: Option<Placement>,
     caller_gone: bool,
     rng: Rng,
 }
 
 #[derive(Debug)]
 enum Stage {
-    Received(Life<Received>),
-    Admitted(Life<Admitted>),
-    Claimed(Life<Claimed>),
-    Dispatched(Life<Dispatched>),
+    Received(Lifecycle<Received>),
+    Admitted(Lifecycle<Admitted>),
+    Claimed(Lifecycle<Claimed>),
+    Dispatched(Lifecycle<Dispatched>),
     Over,
 }
 
@@ -53,7 +54,7 @@
 #[derive(Debug)]
 struct Attempt {
     epoch: Epoch,
-    place: Place,
+    place: Placement,
     began: Millis,
     first_token: Option<Millis>,
     heard: Millis,
@@ -61,33 +62,33 @@
     stays: bool,
     /// The search that found it.
     search: Search,
-    kv_from: Option<Place>,
+    kv_from: Option<Placement>,
 }
 
 /// The search for an endpoint.
 #[derive(Debug, Clone, Copy)]
 struct Search {
-    cause: Option<Cause>,
+    cause: Option<RecomputeCause>,
     since: Millis,
     pause: Millis,
     retry_at: Millis,
 }
 
-impl Flight {
+impl InFlightRequest {
     /// Begins with a request that was read.
-    pub fn new(cfg: FlightCfg, spec: Spec, seed: u64) -> Self {
-        let stage = Stage::Received(Life::received(spec.request.clone()));
+    pub fn new(cfg: RequestCfg, spec: RequestSpec, seed: u64) -> Self {
+        let stage = Stage::Received(Lifecycle::new(spec.request.clone()));
         Self::at(cfg, spec, stage, 0, seed)
     }
 
     /// Goes on with a request of another entry instance, of which the caller has `next` tokens.
     /// The first event has to be [`Event::TakenOver`].
-    pub fn taken_over(cfg: FlightCfg, spec: Spec, next: u32, seed: u64) -> Self {
-        let stage = Stage::Dispatched(Life::taken_over(spec.request.clone()));
+    pub fn from_hand_off(cfg: RequestCfg, spec: RequestSpec, next: u32, seed: u64) -> Self {
+        let stage = Stage::Dispatched(Lifecycle::from_hand_off(spec.request.clone()));
         Self::at(cfg, spec, stage, next, seed)
     }
 
-    fn at(cfg: FlightCfg, spec: Spec, stage: Stage, next: u32, seed: u64) -> Self {
+    fn at(cfg: RequestCfg, spec: RequestSpec, stage: Stage, next: u32, seed: u64) -> Self {
         Self {
             cfg,
             spec,
@@ -105,17 +106,17 @@
     }
 
     /// Returns what was asked for.
-    pub fn spec(&self) -> &Spec {
+    pub fn spec(&self) -> &RequestSpec {
         &self.spec
     }
 
     /// Returns the index of the next token.
-    pub fn next(&self) -> u32 {
+    pub fn next_index(&self) -> u32 {
         self.next
     }
 
     /// Returns the endpoint that holds its computed tokens.
-    pub fn place(&self) -> Option<&Place> {
+    pub fn placement(&self) -> Option<&Placement> {
         self.attempt.as_ref().map(|a| &a.place).or(self.kv_from.as_ref())
     }
 
@@ -125,13 +126,13 @@
     }
 
     /// Returns whether it has come to its end.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         matches!(self.stage, Stage::Over)
     }
 
     /// Returns whether a byte of it may have left for an endpoint.
-    pub fn was_sent(&self) -> bool {
-        matches!(&self.stage, Stage::Dispatched(life) if life.has_left() || self.attempt.is_some())
+    pub fn may_have_sent(&self) -> bool {
+        matches!(&self.stage, Stage::Dispatched(life) if life.may_have_sent() || self.attempt.is_some())
     }
 
     /// Returns when the next [`Event::Tick`] is due.
@@ -143,7 +144,7 @@
     }
 
     fn stalls_at(&self, attempt: &Attempt) -> Millis {
-        if !self.spec.idempotent {
+        if !self.spec.is_idempotent {
             return Millis::MAX;
         }
         match attempt.first_token {
@@ -166,7 +167,7 @@
         };
         self.stage = Stage::Admitted(life.admit());
         match &self.spec.claim {
-            Some(claim) => out.push(Action::Claim(claim.take())),
+            Some(claim) => out.push(Action::TakeClaim(claim.take_ask())),
             None => self.search(now, None, out),
         }
     }
@@ -209,14 +210,14 @@
         }
     }
 
-    fn drop_attempt(&mut self, how: Ending, out: &mut Vec<Action>) {
+    fn drop_attempt(&mut self, outcome: AttemptOutcome, out: &mut Vec<Action>) {
         let Some(attempt) = self.attempt.take() else {
             return;
         };
-        if how == Ending::Cancelled {
+        if outcome == AttemptOutcome::Cancelled {
             out.push(Action::Cancel { epoch: attempt.epoch });
         }
-        out.push(Action::Ended { endpoint: attempt.place.endpoint, how });
+        out.push(Action::ReleaseEndpoint { endpoint: attempt.place.endpoint, outcome });
     }
 
     fn is_current(&self, epoch: Epoch) -> bool {
@@ -224,17 +225,17 @@
     }
 
     fn token(&mut self, now: Millis, epoch: Epoch, index: u32, out: &mut Vec<Action>) {
-        let takes_late = self.weakened(Weakening::ForwardLate) && !self.is_over();
+        let takes_late = self.weakened(Weakening::ForwardLate) && !self.is_finished();
         if !self.is_current(epoch) && !takes_late {
-            out.push(Action::Drop(Dropped::Late));
+            out.push(Action::Drop(DropReason::StaleAttempt));
             return;
         }
         if index < self.next && !self.weakened(Weakening::ForwardRepeats) {
-            out.push(Action::Drop(Dropped::Repeat));
+            out.push(Action::Drop(DropReason::DuplicateToken));
             return;
         }
         if index > self.next && !self.weakened(Weakening::SkipGaps) {
-            self.lost(now, epoch, Cause::Gap, out);
+            self.lost(now, epoch, RecomputeCause::Gap, out);
             return;
         }
         keep!(
@@ -250,25 +251,25 @@
         }
         self.failures = 0;
         self.next = index + 1;
-        out.push(Action::Forward);
+        out.push(Action::ForwardToken);
     }
 
     fn done(&mut self, now: Millis, epoch: Epoch, tokens: Option<u32>, out: &mut Vec<Action>) {
         if !self.is_current(epoch) {
-            out.push(Action::Drop(Dropped::Late));
+            out.push(Action::Drop(DropReason::StaleAttempt));
             return;
         }
         // Tokens that are missing at the very end leave no jump in the indexes.
         if tokens.is_some_and(|tokens| tokens > self.next) && !self.weakened(Weakening::SkipGaps) {
-            self.lost(now, epoch, Cause::Gap, out);
+            self.lost(now, epoch, RecomputeCause::Gap, out);
             return;
         }
-        self.end(Ending::Finished, out);
+        self.end(AttemptOutcome::Finished, out);
         out.push(Action::Finish);
     }
 
     fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
-        if self.is_over() {
+        if self.is_finished() {
             return;
         }
         if now >= self.spec.deadline {
@@ -280,7 +281,7 @@
             && now >= self.stalls_at(attempt)
         {
             let epoch = attempt.epoch;
-            self.lost(now, epoch, Cause::Stalled, out);
+            self.lost(now, epoch, RecomputeCause::Stalled, out);
             return;
         }
         if let Some(search) = &mut self.search
@@ -292,7 +293,7 @@
     }
 }
 
-impl Machine for Flight {
+impl Machine for InFlightRequest {
     type Action = Action;
     type Event = Event;
 
@@ -300,7 +301,7 @@
         match event {
             Event::Token { epoch, index } => self.token(now, epoch, index, out),
             Event::Admitted => self.admitted(now, out),
-            Event::Limited { retry_after } => {
+            Event::LimitExceeded { retry_after } => {
                 let message = "the client account is over its limit";
                 self.give_up(now, ErrorCode::LimitReached, message, retry_after, out);
             }
@@ -312,30 +313,30 @@
             Event::ConnectFailed { epoch } => self.connect_failed(now, epoch, out),
             Event::Rejected { epoch, status } => self.rejected(now, epoch, status, out),
             Event::Done { epoch, tokens } => self.done(now, epoch, tokens, out),
-            Event::Cut { epoch } if self.weakened(Weakening::EndWithoutMarker) => {
+            Event::StreamCut { epoch } if self.weakened(Weakening::EndWithoutMarker) => {
                 self.done(now, epoch, None, out);
             }
-            Event::Cut { epoch } => self.lost(now, epoch, Cause::Cut, out),
-            Event::Leaving { endpoint, incarnation, left } => {
-                self.leaving(now, &endpoint, incarnation, left, out);
+            Event::StreamCut { epoch } => self.lost(now, epoch, RecomputeCause::Cut, out),
+            Event::EndpointLeaving { endpoint, incarnation, time_left } => {
+                self.leaving(now, &endpoint, incarnation, time_left, out);
             }
-            Event::CallerGone => self.caller_gone(out),
-            Event::TakenOver { from: None } if !self.spec.idempotent => {
+            Event::CallerDisconnected => self.caller_gone(out),
+            Event::TakenOver { from: None } if !self.spec.is_idempotent => {
                 let message = "the request was handed over while no endpoint ran it";
                 self.give_up(now, ErrorCode::OutcomeUnknown, message, COME_BACK, out);
             }
             Event::TakenOver { from } => {
                 self.kv_from = from;
-                self.search(now, Some(Cause::HandOff), out);
+                self.search(now, Some(RecomputeCause::HandOff), out);
             }
             Event::Tick => self.tick(now, out),
         }
     }
 }
 
-impl Claimant {
+impl ClaimSpec {
     /// Returns the ask that takes the claim.
-    pub fn take(&self) -> ClaimAsk {
+    pub fn take_ask(&self) -> ClaimAsk {
         ClaimAsk::Take {
             key: self.key.clone(),
             body: self.body.clone(),
@@ -345,7 +346,7 @@
     }
 
     /// Returns the ask that notes the outcome.
-    pub fn finish(&self, outcome: ClaimOutcome) -> ClaimAsk {
+    pub fn finish_ask(&self, outcome: ClaimOutcome) -> ClaimAsk {
         ClaimAsk::Finish { key: self.key.clone(), owner: self.owner.clone(), outcome }
     }
 }
--- a/coordination/flight/src/flight/cfg.rs
+++ b/coordination/flight/src/flight/cfg.rs
@@ -5,25 +5,29 @@
 
 /// Settings of a request's machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FlightCfg {
+pub struct RequestCfg {
     /// Silence before the first token that counts as a stall.
     pub first_token_timeout: Millis,
     /// Silence between two tokens that counts as a stall.
     pub token_timeout: Millis,
     /// How long an accepted request without an endpoint is kept.
-    pub route_patience: Millis,
+    #[serde(rename = "route_patience")]
+    pub route_timeout: Millis,
     /// The shortest pause before the router is asked again.
-    pub route_pause: Millis,
+    #[serde(rename = "route_pause")]
+    pub min_route_backoff: Millis,
     /// Failed attempts in a row without a new token.
     pub max_failures: u32,
     /// Time kept in hand before an announced reclaim.
-    pub margin: Millis,
+    #[serde(rename = "margin")]
+    pub reclaim_margin: Millis,
     /// Microseconds to move the KV cache of one token.
     pub kv_us_per_token: u64,
     /// Microseconds to compute a prompt token.
     pub prefill_us_per_token: u64,
     /// Milliseconds between two tokens, until they were seen.
-    pub decode: Millis,
+    #[serde(rename = "decode")]
+    pub token_interval: Millis,
     /// One line left out, to show that the checks find it; set by tests only.
     #[doc(hidden)]
     pub weakening: Option<Weakening>,
@@ -57,18 +61,18 @@
     NoPatience,
 }
 
-impl Default for FlightCfg {
+impl Default for RequestCfg {
     fn default() -> Self {
         Self {
             first_token_timeout: Millis(30_000),
             token_timeout: Millis(5_000),
-            route_patience: Millis(30_000),
-            route_pause: Millis(50),
+            route_timeout: Millis(30_000),
+            min_route_backoff: Millis(50),
             max_failures: 8,
-            margin: Millis(200),
+            reclaim_margin: Millis(200),
             kv_us_per_token: 2,
             prefill_us_per_token: 50,
-            decode: Millis(30),
+            token_interval: Millis(30),
             weakening: None,
         }
     }
--- a/coordination/flight/src/flight/event.rs
+++ b/coordination/flight/src/flight/event.rs
@@ -5,21 +5,23 @@
 use sill_wire::Incarnation;
 use sill_wire::claim::{BodyHash, ClaimAsk, ClaimKey, ClaimOutcome, ClaimOwner, ClaimVerdict};
 
-use crate::life::{Failed, NotRun};
+use crate::lifecycle::{NotRunRefusal, RequestFailure};
 
 /// What is asked for, and under which terms.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Spec {
+pub struct RequestSpec {
     /// The request.
     pub request: Name,
     /// What serves it.
-    pub kind: Kind,
+    pub kind: ServiceKind,
     /// Whether it may be run more than once.
-    pub idempotent: bool,
+    #[serde(rename = "idempotent")]
+    pub is_idempotent: bool,
     /// The claim that it needs before it is sent.
-    pub claim: Option<Claimant>,
+    pub claim: Option<ClaimSpec>,
     /// Whether it runs on when its caller goes away, because the caller can come back for it.
-    pub keyed: bool,
+    #[serde(rename = "keyed")]
+    pub is_keyed: bool,
     /// When the whole answer has to be there.
     pub deadline: Millis,
     /// Tokens of the prompt.
@@ -30,7 +32,7 @@
 
 /// What serves a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum ServiceKind {
     /// A model; its answer can be resumed at any token.
     Model,
     /// A plain service; its answer comes whole or not at all.
@@ -39,7 +41,7 @@
 
 /// A claim to be taken.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Claimant {
+pub struct ClaimSpec {
     /// The key.
     pub key: ClaimKey,
     /// The content.
@@ -52,7 +54,7 @@
 
 /// A chosen endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct Placement {
     /// The endpoint.
     pub endpoint: Name,
     /// Its life.
@@ -76,14 +78,15 @@
     /// The account is within its limit.
     Admitted,
     /// The account is over its limit.
-    Limited {
+    #[serde(rename = "Limited")]
+    LimitExceeded {
         /// When to come back.
         retry_after: Millis,
     },
     /// The claims' log answered.
     Claimed(ClaimVerdict),
     /// The router chose an endpoint.
-    Routed(Place),
+    Routed(Placement),
     /// The router has none now.
     NoRoute {
         /// Whether the deadline is the reason.
@@ -118,25 +121,29 @@
         tokens: Option<u32>,
     },
     /// The answer ended without its end marker.
-    Cut {
+    #[serde(rename = "Cut")]
+    StreamCut {
         /// The attempt.
         epoch: Epoch,
     },
     /// An endpoint was given notice.
-    Leaving {
+    #[serde(rename = "Leaving")]
+    EndpointLeaving {
         /// The endpoint.
         endpoint: Name,
         /// Its life.
         incarnation: Incarnation,
         /// Time left.
-        left: Millis,
+        #[serde(rename = "left")]
+        time_left: Millis,
     },
     /// The caller's connection is gone.
-    CallerGone,
+    #[serde(rename = "CallerGone")]
+    CallerDisconnected,
     /// This instance takes the request over from another one.
     TakenOver {
         /// The endpoint that ran it.
-        from: Option<Place>,
+        from: Option<Placement>,
     },
     /// Time went by.
     Tick,
@@ -146,9 +153,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Ask the claims' log, and hand its verdict back as [`Event::Claimed`].
-    Claim(ClaimAsk),
+    TakeClaim(ClaimAsk),
     /// Tell the claims' log, until it has heard.
-    Settle(ClaimAsk),
+    SettleClaim(ClaimAsk),
     /// Choose an endpoint.
     Route {
         /// Endpoints that must not be chosen.
@@ -163,9 +170,9 @@
         /// The attempt.
         epoch: Epoch,
         /// Where to.
-        place: Place,
+        placement: Placement,
         /// Where to go on, if tokens were sent to the caller.
-        resume: Option<ResumeAt>,
+        resume: Option<ResumePoint>,
     },
     /// Stop reading an attempt, and let its endpoint know.
     Cancel {
@@ -173,20 +180,20 @@
         epoch: Epoch,
     },
     /// An endpoint is no longer busy with the request.
-    Ended {
+    ReleaseEndpoint {
         /// The endpoint.
         endpoint: Name,
         /// How it ended there.
-        how: Ending,
+        outcome: AttemptOutcome,
     },
     /// Send the token that just came to the caller.
-    Forward,
+    ForwardToken,
     /// Drop what just came.
-    Drop(Dropped),
+    Drop(DropReason),
     /// Count tokens that are computed again.
-    Recomputed {
+    CountRecomputed {
         /// Why.
-        cause: Cause,
+        cause: RecomputeCause,
         /// How many, as far as this instance can tell.
         tokens: u64,
     },
@@ -200,29 +207,32 @@
     /// The answer is whole.
     Finish,
     /// Pass the endpoint's error answer on.
-    PassOn,
+    ForwardError,
     /// Refuse the request, certified as not run.
-    Refuse(NotRun),
+    Refuse(NotRunRefusal),
     /// Give the request up.
-    Fail(Failed),
+    Fail(RequestFailure),
     /// Nobody waits for the answer any more.
     Abandon,
 }
 
 /// Where an attempt goes on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ResumeAt {
+pub struct ResumePoint {
     /// The index of the first token that is wanted.
-    pub next: u32,
+    #[serde(rename = "next")]
+    pub next_index: u32,
     /// Exported KV cache to import.
-    pub kv_from: Option<Place>,
+    #[serde(rename = "kv_from")]
+    pub kv_source: Option<Placement>,
     /// Whether the endpoint must refuse rather than compute anything again.
-    pub same_run: bool,
+    #[serde(rename = "same_run")]
+    pub is_same_run: bool,
 }
 
 /// How a request ended at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// The whole answer came.
     Finished,
     /// It was moved or is no longer wanted.
@@ -233,16 +243,16 @@
 
 /// Why something that came was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Dropped {
+pub enum DropReason {
     /// It belongs to an abandoned attempt.
-    Late,
+    StaleAttempt,
     /// The caller has this token already.
-    Repeat,
+    DuplicateToken,
 }
 
 /// Why tokens are computed again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Cause {
+pub enum RecomputeCause {
     /// The endpoint was given notice.
     Reclaim,
     /// The endpoint's answer was cut.
@@ -259,7 +269,7 @@
     HomeLost,
 }
 
-impl Cause {
+impl RecomputeCause {
     /// Every cause.
     pub const ALL: [Self; 7] = [
         Self::Reclaim,
--- a/coordination/flight/src/flight/search.rs
+++ b/coordination/flight/src/flight/search.rs
@@ -5,13 +5,18 @@
 use sill_wire::ErrorCode;
 
 use super::cfg::Weakening;
-use super::event::{Action, Cause, Ending, Epoch, Place};
-use super::{Attempt, COME_BACK, Flight, LONGEST_PAUSE, Search, Stage};
-use crate::life::AfterConnect;
+use super::event::{Action, AttemptOutcome, Epoch, Placement, RecomputeCause};
+use super::{Attempt, COME_BACK, InFlightRequest, LONGEST_PAUSE, Search, Stage};
+use crate::lifecycle::ConnectFailureState;
 
-impl Flight {
-    pub(super) fn search(&mut self, now: Millis, cause: Option<Cause>, out: &mut Vec<Action>) {
-        let pause = self.cfg.route_pause;
+impl InFlightRequest {
+    pub(super) fn search(
+        &mut self,
+        now: Millis,
+        cause: Option<RecomputeCause>,
+        out: &mut Vec<Action>,
+    ) {
+        let pause = self.cfg.min_route_backoff;
         // Until the router has answered there is nothing to try again.
         let retry_at = Millis::MAX;
         self.search = Some(Search { cause, since: now, pause, retry_at });
@@ -21,7 +26,7 @@
     /// Goes on with a search whose endpoint could not be reached.
     fn search_on(&mut self, now: Millis, search: Search, out: &mut Vec<Action>) {
         self.search = Some(Search { retry_at: Millis::MAX, ..search });
-        if now.since(search.since) >= self.cfg.route_patience {
+        if now.since(search.since) >= self.cfg.route_timeout {
             let message = "no endpoint can go on with the request";
             self.give_up(now, ErrorCode::NoCapacity, message, COME_BACK, out);
             return;
@@ -65,7 +70,7 @@
         let jitter = self.rng.random_range(0..=search.pause.0);
         search.retry_at = now + search.pause + Millis(jitter);
         search.pause = (search.pause * 2).min(LONGEST_PAUSE);
-        let waited = now.since(search.since) >= self.cfg.route_patience;
+        let waited = now.since(search.since) >= self.cfg.route_timeout;
         let lost = self.attempt.is_none();
         if lost && (waited || self.weakened(Weakening::NoPatience)) {
             let message = "no endpoint can go on with the request";
@@ -73,10 +78,13 @@
         }
     }
 
-    pub(super) fn routed(&mut self, now: Millis, place: Place, out: &mut Vec<Action>) {
+    pub(super) fn routed(&mut self, now: Millis, place: Placement, out: &mut Vec<Action>) {
         let Some(search) = self.search.take() else {
             // The answer became whole while the router was asked.
-            out.push(Action::Ended { endpoint: place.endpoint, how: Ending::Cancelled });
+            out.push(Action::ReleaseEndpoint {
+                endpoint: place.endpoint,
+                outcome: AttemptOutcome::Cancelled,
+            });
             return;
         };
         let life = match std::mem::replace(&mut self.stage, Stage::Over) {
@@ -85,7 +93,7 @@
             Stage::Dispatched(life)
                 if self.attempt.is_some() && !self.weakened(Weakening::MoveIsUnsent) =>
             {
-                life.attempt_over()
+                life.mark_sent()
             }
             Stage::Dispatched(life) => life,
             stage @ (Stage::Received(_) | Stage::Over) => {
@@ -96,12 +104,14 @@
         let resume = self.resume_at(&life, &place, search.cause, out);
         keep!(
             Promise::AtMostOnce,
-            self.spec.idempotent || !life.has_left() || resume.as_ref().is_some_and(|r| r.same_run),
+            self.spec.is_idempotent
+                || !life.may_have_sent()
+                || resume.as_ref().is_some_and(|r| r.is_same_run),
             "{} would be sent to {} as well",
             self.spec.request,
             place.endpoint
         );
-        self.drop_attempt(Ending::Cancelled, out);
+        self.drop_attempt(AttemptOutcome::Cancelled, out);
         self.stage = Stage::Dispatched(life);
         self.epoch.0 += 1;
         let epoch = self.epoch;
@@ -114,9 +124,9 @@
             tokens: 0,
             stays: false,
             search,
-            kv_from: resume.as_ref().and_then(|r| r.kv_from.clone()),
+            kv_from: resume.as_ref().and_then(|r| r.kv_source.clone()),
         });
-        out.push(Action::Dispatch { epoch, place, resume });
+        out.push(Action::Dispatch { epoch, placement: place, resume });
     }
 
     pub(super) fn connect_failed(&mut self, now: Millis, epoch: Epoch, out: &mut Vec<Action>) {
@@ -128,12 +138,12 @@
         let search = attempt.map(|a| a.search);
         // Nothing was moved, so the next attempt can still import from the same source.
         self.kv_from = attempt.and_then(|a| a.kv_from.clone());
-        self.drop_attempt(Ending::Failed, out);
+        self.drop_attempt(AttemptOutcome::Failed, out);
         self.stage = match std::mem::replace(&mut self.stage, Stage::Over) {
-            Stage::Dispatched(life) => match life.not_connected() {
-                AfterConnect::Admitted(life) => Stage::Admitted(life),
-                AfterConnect::Claimed(life) => Stage::Claimed(life),
-                AfterConnect::Dispatched(life) => Stage::Dispatched(life),
+            Stage::Dispatched(life) => match life.revert_failed_connect() {
+                ConnectFailureState::Admitted(life) => Stage::Admitted(life),
+                ConnectFailureState::Claimed(life) => Stage::Claimed(life),
+                ConnectFailureState::Dispatched(life) => Stage::Dispatched(life),
             },
             stage => stage,
         };
@@ -155,7 +165,12 @@
         }
     }
 
-    pub(super) fn failed(&mut self, now: Millis, cause: Option<Cause>, out: &mut Vec<Action>) {
+    pub(super) fn failed(
+        &mut self,
+        now: Millis,
+        cause: Option<RecomputeCause>,
+        out: &mut Vec<Action>,
+    ) {
         self.failures += 1;
         if self.failures >= self.cfg.max_failures {
             let message = "one endpoint after the other failed the request";
--- a/coordination/flight/src/handoff.rs
+++ b/coordination/flight/src/handoff.rs
@@ -5,7 +5,7 @@
 use sill_wire::Call;
 use sill_wire::claim::{BodyHash, ClaimKey};
 
-use crate::flight::{Place, Spec};
+use crate::flight::{Placement, RequestSpec};
 use crate::transcript::Transcript;
 
 /// Requests handed to a peer. A peer that answers has all that it names, and runs them.
@@ -14,14 +14,14 @@
     /// The entry instance that is leaving.
     pub from: Name,
     /// The requests.
-    pub runs: Vec<HandedRun>,
+    pub runs: Vec<HandOffRun>,
 }
 
 /// One request on its way to a peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HandedRun {
+pub struct HandOffRun {
     /// What was asked for; its deadline is the time left.
-    pub spec: Spec,
+    pub spec: RequestSpec,
     /// The client account.
     pub account: Name,
     /// The name by which its caller can come back for it.
@@ -37,14 +37,16 @@
     /// What its caller has.
     pub transcript: Transcript,
     /// The endpoint that ran it.
-    pub from: Option<Place>,
+    #[serde(rename = "from")]
+    pub placement: Option<Placement>,
 }
 
 /// The requests that the peer took over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandOffReply {
     /// Their names.
-    pub taken: Vec<Name>,
+    #[serde(rename = "taken")]
+    pub accepted: Vec<Name>,
 }
 
 impl Call for HandOff {
@@ -53,15 +55,15 @@
     const METHOD: &'static str = "hand_off";
 }
 
-impl HandedRun {
+impl HandOffRun {
     /// Turns the deadline into the time left, since clocks of two instances differ.
-    pub fn leaves(mut self, now: Millis) -> Self {
+    pub fn with_relative_deadline(mut self, now: Millis) -> Self {
         self.spec.deadline = self.spec.deadline - now;
         self
     }
 
     /// Turns the time left into a deadline on the clock of the instance that takes it over.
-    pub fn arrives(mut self, now: Millis) -> Self {
+    pub fn with_absolute_deadline(mut self, now: Millis) -> Self {
         self.spec.deadline = self.spec.deadline + now;
         self
     }
--- a/coordination/flight/src/home.rs
+++ b/coordination/flight/src/home.rs
@@ -9,7 +9,7 @@
 
 /// Returns the member that is home to a key, by rendezvous hashing: when a member goes, only its
 /// own keys move.
-pub fn home<'a, T>(key: &ClaimKey, members: &'a [T]) -> Option<&'a T>
+pub fn home_member<'a, T>(key: &ClaimKey, members: &'a [T]) -> Option<&'a T>
 where
     T: Hash,
 {
@@ -30,7 +30,7 @@
 
 /// Where keyed requests run, as their home knows it. Bounded; the oldest are forgotten first.
 #[derive(Debug)]
-pub struct Directory {
+pub struct RunDirectory {
     capacity: usize,
     retention: Millis,
     runs: Map<ClaimKey, Located>,
@@ -50,7 +50,7 @@
     key: ClaimKey,
 }
 
-impl Directory {
+impl RunDirectory {
     /// Makes an empty directory.
     pub fn new(capacity: usize, retention: Millis) -> Self {
         Self { capacity, retention, runs: Map::default(), by_age: VecDeque::new() }
@@ -70,14 +70,14 @@
             Some(located) if located.run == asker => Location::New,
             Some(located) => Location::At(located.run.clone()),
             None => {
-                self.moved(now, key, body, asker);
+                self.record_run(now, key, body, asker);
                 Location::New
             }
         }
     }
 
     /// Notes that a request runs elsewhere now.
-    pub fn moved(&mut self, now: Millis, key: &ClaimKey, body: &BodyHash, run: RunAt) {
+    pub fn record_run(&mut self, now: Millis, key: &ClaimKey, body: &BodyHash, run: RunAt) {
         let located = Located { run, body: body.clone(), at: now };
         self.runs.insert(key.clone(), located);
         self.by_age.push_back(Aged { at: now, key: key.clone() });
@@ -87,7 +87,7 @@
     }
 
     /// Forgets a key whose request was refused, so that it can be sent again.
-    pub fn forget(&mut self, key: &ClaimKey, run: &RunAt) {
+    pub fn remove(&mut self, key: &ClaimKey, run: &RunAt) {
         if self.runs.get(key).is_some_and(|located| located.run == *run) {
             self.runs.remove(key);
         }
--- a/coordination/flight/src/journal.rs
+++ b/coordination/flight/src/journal.rs
@@ -10,7 +10,7 @@
 
 /// One step of a request's life.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Step {
+pub struct RequestStep {
     /// Milliseconds since the request was received.
     pub at: Millis,
     /// What happened, and why.
@@ -19,24 +19,26 @@
 
 /// All that is known of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct RequestRecord {
     /// The client account.
     pub account: Name,
     /// What was asked for.
     pub target: Name,
     /// When it was received, on the entry's clock.
-    pub received: Millis,
+    #[serde(rename = "received")]
+    pub received_at: Millis,
     /// Its steps in order.
-    pub steps: Vec<Step>,
+    pub steps: Vec<RequestStep>,
     /// Steps that were dropped from the middle.
-    pub dropped: u32,
+    #[serde(rename = "dropped")]
+    pub dropped_steps: u32,
 }
 
 /// Records of the newest requests.
 #[derive(Debug)]
 pub struct Journal {
     capacity: usize,
-    records: Map<Name, Record>,
+    records: Map<Name, RequestRecord>,
     by_age: VecDeque<Name>,
 }
 
@@ -49,7 +51,8 @@
     /// Begins a record; the oldest one goes when the journal is full.
     pub fn open(&mut self, now: Millis, request: &Name, account: &Name, target: &Name) {
         let (account, target) = (account.clone(), target.clone());
-        let record = Record { account, target, received: now, ..Record::default() };
+        let record =
+            RequestRecord { account, target, received_at: now, ..RequestRecord::default() };
         if self.records.insert(request.clone(), record).is_none() {
             self.by_age.push_back(request.clone());
         }
@@ -61,19 +64,19 @@
     }
 
     /// Adds a step to a record.
-    pub fn note(&mut self, now: Millis, request: &Name, what: String) {
+    pub fn add_step(&mut self, now: Millis, request: &Name, what: String) {
         let Some(record) = self.records.get_mut(request) else {
             return;
         };
         if record.steps.len() == MAX_STEPS {
             record.steps.remove(MAX_STEPS / 2);
-            record.dropped += 1;
+            record.dropped_steps += 1;
         }
-        record.steps.push(Step { at: now - record.received, what });
+        record.steps.push(RequestStep { at: now - record.received_at, what });
     }
 
     /// Returns a record.
-    pub fn get(&self, request: &str) -> Option<&Record> {
+    pub fn get(&self, request: &str) -> Option<&RequestRecord> {
         self.records.get(request)
     }
 }
--- a/coordination/flight/src/lib.rs
+++ b/coordination/flight/src/lib.rs
@@ -6,11 +6,13 @@
 pub mod handoff;
 pub mod home;
 pub mod journal;
-pub mod life;
+pub mod lifecycle;
 pub mod sse;
 pub mod transcript;
 
 pub use claims::{ClaimBounds, ClaimTable};
-pub use flight::{Action, Cause, Event, Flight, FlightCfg, Place, Spec, Weakening};
-pub use life::{Failed, Life, NotRun};
+pub use flight::{
+    Action, Event, InFlightRequest, Placement, RecomputeCause, RequestCfg, RequestSpec, Weakening,
+};
+pub use lifecycle::{Lifecycle, NotRunRefusal, RequestFailure};
 pub use transcript::Transcript;
--- a/coordination/flight/src/life.rs
+++ b/coordination/flight/src/lifecycle.rs
@@ -1,24 +1,24 @@
 //! The life of a request by typestate: received, admitted, claimed, dispatched, answered.
 //!
-//! A refusal that certifies not-run is a [`NotRun`], and only the states in which no byte has left
+//! A refusal that certifies not-run is a [`NotRunRefusal`], and only the states in which no byte has left
 //! make one. A caller who is told not-run sends the request again, so a false certificate means
 //! that the same notice is sent twice; the compiler refuses it:
 //!
 //! ```compile_fail,E0599
-//! use sill_flight::life::Life;
+//! use sill_flight::lifecycle::Lifecycle;
 //! use sill_wire::ErrorCode;
 //!
-//! let dispatched = Life::received("r1".into()).admit().dispatch();
+//! let dispatched = Lifecycle::new("r1".into()).admit().dispatch();
 //! dispatched.refuse(ErrorCode::NoCapacity, "full", None);
 //! ```
 //!
 //! Before the dispatch it is allowed:
 //!
 //! ```
-//! use sill_flight::life::Life;
+//! use sill_flight::lifecycle::Lifecycle;
 //! use sill_wire::ErrorCode;
 //!
-//! let admitted = Life::received("r1".into()).admit();
+//! let admitted = Lifecycle::new("r1".into()).admit();
 //! let refusal = admitted.refuse(ErrorCode::NoCapacity, "full", None);
 //! assert_eq!(refusal.code(), ErrorCode::NoCapacity);
 //! ```
@@ -26,10 +26,10 @@
 //! Nor can a certificate be written by hand:
 //!
 //! ```compile_fail,E0451
-//! use sill_flight::life::NotRun;
+//! use sill_flight::lifecycle::NotRunRefusal;
 //! use sill_wire::ErrorCode;
 //!
-//! let forged = NotRun {
+//! let forged = NotRunRefusal {
 //!     request: "r1".into(),
 //!     code: ErrorCode::NoCapacity,
 //!     message: String::new(),
@@ -42,7 +42,7 @@
 
 /// A request in one state of its life.
 #[derive(Debug)]
-pub struct Life<S> {
+pub struct Lifecycle<S> {
     request: Name,
     state: S,
 }
@@ -72,21 +72,21 @@
 pub struct Answered(());
 
 /// States in which no byte of the request has left for an endpoint.
-pub trait Unsent: sealed::Unsent {}
+pub trait UnsentState: sealed::Sealed {}
 
 /// States from which a request may be sent.
-pub trait Sendable: Unsent {
+pub trait SendableState: UnsentState {
     /// Whether a claim is held.
     const CLAIMED: bool;
 }
 
 mod sealed {
-    pub trait Unsent {}
+    pub trait Sealed {}
 }
 
 /// A certified refusal: no byte of the request has left for an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NotRun {
+pub struct NotRunRefusal {
     request: Name,
     code: ErrorCode,
     message: String,
@@ -95,7 +95,7 @@
 
 /// An answer that says nothing on whether the request was run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Failed {
+pub struct RequestFailure {
     /// The request.
     pub request: Name,
     /// For programs.
@@ -108,117 +108,129 @@
 
 /// What a request is after an attempt that could not connect.
 #[derive(Debug)]
-pub enum AfterConnect {
+pub enum ConnectFailureState {
     /// No byte has left; the request is admitted only.
-    Admitted(Life<Admitted>),
+    Admitted(Lifecycle<Admitted>),
     /// No byte has left; the claim is held still.
-    Claimed(Life<Claimed>),
+    Claimed(Lifecycle<Claimed>),
     /// Bytes of an earlier attempt have left.
-    Dispatched(Life<Dispatched>),
+    Dispatched(Lifecycle<Dispatched>),
 }
 
-impl Life<Received> {
+impl Lifecycle<Received> {
     /// Begins the life of a request.
-    pub fn received(request: Name) -> Self {
+    pub fn new(request: Name) -> Self {
         Self { request, state: Received(()) }
     }
 
     /// Goes on once the limits let it in.
-    pub fn admit(self) -> Life<Admitted> {
+    pub fn admit(self) -> Lifecycle<Admitted> {
         self.to(Admitted(()))
     }
 }
 
-impl Life<Admitted> {
+impl Lifecycle<Admitted> {
     /// Goes on once the claim was granted.
-    pub fn claim(self) -> Life<Claimed> {
+    pub fn claim(self) -> Lifecycle<Claimed> {
         self.to(Claimed(()))
     }
 }
 
-impl<S> Life<S>
+impl<S> Lifecycle<S>
 where
-    S: Unsent,
+    S: UnsentState,
 {
     /// Refuses the request for good, and certifies that it was not run.
-    pub fn refuse<M>(self, code: ErrorCode, message: M, retry_after: Option<Millis>) -> NotRun
+    pub fn refuse<M>(
+        self,
+        code: ErrorCode,
+        message: M,
+        retry_after: Option<Millis>,
+    ) -> NotRunRefusal
     where
         M: Into<String>,
     {
-        NotRun { request: self.request, code, message: message.into(), retry_after }
+        NotRunRefusal { request: self.request, code, message: message.into(), retry_after }
     }
 
     /// Ends the request without a certificate, as where the same key was run before.
-    pub fn fail_unsent<M>(self, code: ErrorCode, message: M, retry_after: Option<Millis>) -> Failed
+    pub fn fail_before_send<M>(
+        self,
+        code: ErrorCode,
+        message: M,
+        retry_after: Option<Millis>,
+    ) -> RequestFailure
     where
         M: Into<String>,
     {
-        Failed { request: self.request, code, message: message.into(), retry_after }
+        RequestFailure { request: self.request, code, message: message.into(), retry_after }
     }
 }
 
-impl<S> Life<S>
+impl<S> Lifecycle<S>
 where
-    S: Sendable,
+    S: SendableState,
 {
     /// Hands the request to the network; from here on bytes may have left.
-    pub fn dispatch(self) -> Life<Dispatched> {
+    pub fn dispatch(self) -> Lifecycle<Dispatched> {
         self.to(Dispatched { left: false, claimed: S::CLAIMED })
     }
 }
 
-impl Life<Dispatched> {
+impl Lifecycle<Dispatched> {
     /// Takes over a request that another entry instance dispatched.
-    pub fn taken_over(request: Name) -> Self {
-        Life { request, state: Dispatched { left: true, claimed: false } }
+    pub fn from_hand_off(request: Name) -> Self {
+        Lifecycle { request, state: Dispatched { left: true, claimed: false } }
     }
 
     /// Returns whether a byte of an attempt before this one may have left.
-    pub fn has_left(&self) -> bool {
+    pub fn may_have_sent(&self) -> bool {
         self.state.left
     }
 
     /// Notes that the attempt is over and that its bytes may have left.
-    pub fn attempt_over(mut self) -> Self {
+    pub fn mark_sent(mut self) -> Self {
         self.state.left = true;
         self
     }
 
     /// Goes back after an attempt that never had a connection.
-    pub fn not_connected(self) -> AfterConnect {
+    pub fn revert_failed_connect(self) -> ConnectFailureState {
         match self.state {
-            Dispatched { left: true, .. } => AfterConnect::Dispatched(self),
-            Dispatched { claimed: true, .. } => AfterConnect::Claimed(self.to(Claimed(()))),
-            Dispatched { claimed: false, .. } => AfterConnect::Admitted(self.to(Admitted(()))),
+            Dispatched { left: true, .. } => ConnectFailureState::Dispatched(self),
+            Dispatched { claimed: true, .. } => ConnectFailureState::Claimed(self.to(Claimed(()))),
+            Dispatched { claimed: false, .. } => {
+                ConnectFailureState::Admitted(self.to(Admitted(())))
+            }
         }
     }
 
     /// Gives the request up.
-    pub fn fail<M>(self, code: ErrorCode, message: M, retry_after: Option<Millis>) -> Failed
+    pub fn fail<M>(self, code: ErrorCode, message: M, retry_after: Option<Millis>) -> RequestFailure
     where
         M: Into<String>,
     {
-        Failed { request: self.request, code, message: message.into(), retry_after }
+        RequestFailure { request: self.request, code, message: message.into(), retry_after }
     }
 
     /// Ends it with its whole answer.
-    pub fn answer(self) -> Life<Answered> {
+    pub fn answer(self) -> Lifecycle<Answered> {
         self.to(Answered(()))
     }
 }
 
-impl<S> Life<S> {
+impl<S> Lifecycle<S> {
     /// Returns the request's name.
     pub fn request(&self) -> &Name {
         &self.request
     }
 
-    fn to<T>(self, state: T) -> Life<T> {
-        Life { request: self.request, state }
+    fn to<T>(self, state: T) -> Lifecycle<T> {
+        Lifecycle { request: self.request, state }
     }
 }
 
-impl NotRun {
+impl NotRunRefusal {
     /// Returns the code for programs.
     pub fn code(&self) -> ErrorCode {
         self.code
@@ -240,18 +252,18 @@
     }
 }
 
-impl sealed::Unsent for Received {}
-impl sealed::Unsent for Admitted {}
-impl sealed::Unsent for Claimed {}
+impl sealed::Sealed for Received {}
+impl sealed::Sealed for Admitted {}
+impl sealed::Sealed for Claimed {}
 
-impl Unsent for Received {}
-impl Unsent for Admitted {}
-impl Unsent for Claimed {}
+impl UnsentState for Received {}
+impl UnsentState for Admitted {}
+impl UnsentState for Claimed {}
 
-impl Sendable for Admitted {
+impl SendableState for Admitted {
     const CLAIMED: bool = false;
 }
 
-impl Sendable for Claimed {
+impl SendableState for Claimed {
     const CLAIMED: bool = true;
 }
--- a/coordination/flight/src/sse.rs
+++ b/coordination/flight/src/sse.rs
@@ -2,13 +2,13 @@
 
 /// Finds the ends of events in a stream that arrives in pieces.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     rest: Vec<u8>,
 }
 
 /// What an event is, as far as the system has to know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind<'a> {
+pub enum EventKind<'a> {
     /// A token of the answer.
     Token {
         /// Its index.
@@ -27,15 +27,15 @@
 
 /// An event grew past all bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TooLong;
+pub struct EventTooLong;
 
-impl Splitter {
+impl EventSplitter {
     /// Passes every whole event, with its closing blank line, to `each`; the rest is kept.
     ///
     /// # Errors
     ///
     /// Fails when an event never ends.
-    pub fn push<F>(&mut self, bytes: &[u8], mut each: F) -> Result<(), TooLong>
+    pub fn push<F>(&mut self, bytes: &[u8], mut each: F) -> Result<(), EventTooLong>
     where
         F: FnMut(&[u8]),
     {
@@ -47,7 +47,7 @@
             let used = split(&self.rest, &mut each);
             self.rest.drain(..used);
         }
-        if self.rest.len() > MAX_EVENT { Err(TooLong) } else { Ok(()) }
+        if self.rest.len() > MAX_EVENT { Err(EventTooLong) } else { Ok(()) }
     }
 }
 
@@ -71,9 +71,9 @@
 }
 
 /// Reads one event.
-pub fn kind(event: &[u8]) -> Kind<'_> {
+pub fn event_kind(event: &[u8]) -> EventKind<'_> {
     let Ok(text) = std::str::from_utf8(event) else {
-        return Kind::Other;
+        return EventKind::Other;
     };
     let mut index = None;
     let mut data = "";
@@ -85,14 +85,14 @@
         }
     }
     match index {
-        Some(index) => Kind::Token { index, escaped: content(data) },
-        None if data.trim_end() == "[DONE]" => Kind::Done,
-        None => Kind::Other,
+        Some(index) => EventKind::Token { index, escaped: content(data) },
+        None if data.trim_end() == "[DONE]" => EventKind::Done,
+        None => EventKind::Other,
     }
 }
 
 /// Returns the data of an event.
-pub fn data(event: &[u8]) -> Option<&str> {
+pub fn event_data(event: &[u8]) -> Option<&str> {
     let text = std::str::from_utf8(event).ok()?;
     text.lines().find_map(|line| line.strip_prefix("data: "))
 }
--- a/coordination/flight/src/transcript.rs
+++ b/coordination/flight/src/transcript.rs
@@ -14,18 +14,20 @@
     /// The completion's time, as the caller saw it.
     pub created: u64,
     /// Why the answer ended, once it did.
-    pub finish: Option<String>,
+    #[serde(rename = "finish")]
+    pub finish_reason: Option<String>,
     /// Tokens of the prompt, as the endpoint counted them.
     pub prompt_tokens: Option<u32>,
     /// Whether the end marker came.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_complete: bool,
     escaped: String,
     ends: Vec<u32>,
 }
 
 impl Transcript {
     /// Returns the index of the next token.
-    pub fn next(&self) -> u32 {
+    pub fn next_index(&self) -> u32 {
         self.ends.len() as u32
     }
 
@@ -33,16 +35,16 @@
     pub fn push(&mut self, index: u32, escaped: &str) {
         keep!(
             Promise::WholeAnswer,
-            index == self.next() && !self.whole,
+            index == self.next_index() && !self.is_complete,
             "token {index} came where {} was due",
-            self.next()
+            self.next_index()
         );
         self.escaped.push_str(escaped);
         self.ends.push(self.escaped.len() as u32);
     }
 
     /// Returns the text of one token, as in JSON between the quotes.
-    pub fn escaped(&self, index: u32) -> &str {
+    pub fn escaped_token(&self, index: u32) -> &str {
         let index = index as usize;
         let start = if index == 0 { 0 } else { self.ends[index - 1] as usize };
         &self.escaped[start..self.ends[index] as usize]
@@ -50,7 +52,7 @@
 
     /// Returns the texts of all tokens.
     pub fn tokens(&self) -> Vec<String> {
-        (0..self.next()).map(|i| unescape(self.escaped(i))).collect()
+        (0..self.next_index()).map(|i| unescape(self.escaped_token(i))).collect()
     }
 
     /// Returns the whole text.
@@ -59,7 +61,7 @@
     }
 
     /// Returns the bytes held, to bound them.
-    pub fn size(&self) -> usize {
+    pub fn size_bytes(&self) -> usize {
         self.escaped.len() + self.ends.len() * size_of::<u32>()
     }
 }
--- a/coordination/flight/tests/cases.rs
+++ b/coordination/flight/tests/cases.rs
@@ -4,34 +4,34 @@
 
 use sill_base::{Machine, Millis, Name};
 use sill_flight::drain::{Drain, DrainAction, DrainCfg, DrainEvent};
-use sill_flight::flight::{Epoch, Kind};
-use sill_flight::home::{Directory, home};
+use sill_flight::flight::{Epoch, ServiceKind};
+use sill_flight::home::{RunDirectory, home_member};
 use sill_flight::journal::Journal;
-use sill_flight::sse::{self, Splitter};
-use sill_flight::{Action, Event, Flight, FlightCfg, Place, Spec, Transcript};
+use sill_flight::sse::{self, EventSplitter};
+use sill_flight::{Action, Event, InFlightRequest, Placement, RequestCfg, RequestSpec, Transcript};
 use sill_wire::claim::{BodyHash, ClaimKey};
 use sill_wire::handoff::{Location, RunAt};
 use sill_wire::{ErrorCode, Incarnation};
 
-fn spec(idempotent: bool) -> Spec {
-    Spec {
+fn spec(idempotent: bool) -> RequestSpec {
+    RequestSpec {
         request: "r1".into(),
-        kind: Kind::Model,
-        idempotent,
+        kind: ServiceKind::Model,
+        is_idempotent: idempotent,
         claim: None,
-        keyed: false,
+        is_keyed: false,
         deadline: Millis(60_000),
         prompt_tokens: 1000,
         max_tokens: 100,
     }
 }
 
-fn place(name: &str) -> Place {
+fn place(name: &str) -> Placement {
     let incarnation = Incarnation(1);
-    Place { endpoint: name.into(), incarnation, address: name.into(), cached_tokens: 0 }
+    Placement { endpoint: name.into(), incarnation, address: name.into(), cached_tokens: 0 }
 }
 
-fn steps(flight: &mut Flight, events: Vec<Event>) -> Vec<Action> {
+fn steps(flight: &mut InFlightRequest, events: Vec<Event>) -> Vec<Action> {
     let mut out = Vec::new();
     for event in events {
         out.clear();
@@ -44,7 +44,7 @@
 /// No index jumps, so only the count tells; the caller would get a shorter answer as a whole one.
 #[test]
 fn an_answer_that_lost_its_last_tokens_is_resumed() {
-    let mut flight = Flight::new(FlightCfg::default(), spec(true), 1);
+    let mut flight = InFlightRequest::new(RequestCfg::default(), spec(true), 1);
     let epoch = Epoch(1);
     let out = steps(
         &mut flight,
@@ -65,8 +65,8 @@
 /// soon after (a_wave_of_reclaims_leaves_every_answer_whole, on a busy machine).
 #[test]
 fn an_accepted_request_outlasts_endpoints_that_cannot_be_reached() {
-    let mut flight = Flight::new(FlightCfg::default(), spec(true), 1);
-    let lost = Event::Cut { epoch: Epoch(1) };
+    let mut flight = InFlightRequest::new(RequestCfg::default(), spec(true), 1);
+    let lost = Event::StreamCut { epoch: Epoch(1) };
     let begin = vec![
         Event::Admitted,
         Event::Routed(place("m1")),
@@ -82,14 +82,14 @@
     }
     let out = steps(&mut flight, vec![Event::Routed(place("m2"))]);
     let Some(Action::Dispatch { resume: Some(resume), .. }) = out.last() else { panic!("{out:?}") };
-    assert_eq!(resume.next, 1);
+    assert_eq!(resume.next_index, 1);
 }
 
 /// An entry is reclaimed while a request that may run once is between two endpoints. The peer that
 /// takes it over knows no run to go on with, and must not start another one (seed 5834).
 #[test]
 fn a_lost_run_is_not_started_again_by_the_peer() {
-    let mut flight = Flight::taken_over(FlightCfg::default(), spec(false), 5, 1);
+    let mut flight = InFlightRequest::from_hand_off(RequestCfg::default(), spec(false), 5, 1);
     let out = steps(&mut flight, vec![Event::TakenOver { from: None }]);
     let [Action::Fail(failed)] = out.as_slice() else { panic!("{out:?}") };
     assert_eq!(failed.code, ErrorCode::OutcomeUnknown);
@@ -114,11 +114,12 @@
         StopCase { name: "twice", in_flight: [3; 4], stops: 2, last: exit(3, true) },
     ];
     for case in cases {
-        let cfg = DrainCfg { notice: Millis(100), limit: Millis(400), cuts_in_flight: false };
+        let cfg =
+            DrainCfg { close_delay: Millis(100), timeout: Millis(400), cuts_in_flight: false };
         let mut drain = Drain::new(cfg);
         let mut out = Vec::new();
         drain.step(Millis(0), DrainEvent::Stop, &mut out);
-        assert_eq!(out, [DrainAction::NotReady], "{}", case.name);
+        assert_eq!(out, [DrainAction::MarkNotReady], "{}", case.name);
         for (i, in_flight) in case.in_flight.into_iter().enumerate() {
             let at = Millis(100 * (i as u64 + 1));
             drain.step(at, DrainEvent::Tick { in_flight }, &mut out);
@@ -128,7 +129,7 @@
         }
         assert_eq!(out.last().copied(), case.last, "{}", case.name);
     }
-    let weak = DrainCfg { notice: Millis(1), limit: Millis(9), cuts_in_flight: true };
+    let weak = DrainCfg { close_delay: Millis(1), timeout: Millis(9), cuts_in_flight: true };
     let cut = catch_unwind(|| {
         let mut drain = Drain::new(weak);
         let mut out = Vec::new();
@@ -147,7 +148,7 @@
 fn homes_are_even_and_few_keys_move() {
     let members: Vec<Name> = (0..8).map(|i| Name::from(format!("10.0.0.{i}:7000"))).collect();
     let homes = |members: &[Name]| -> Vec<Name> {
-        (0..8000).filter_map(|i| home(&key(i), members).cloned()).collect()
+        (0..8000).filter_map(|i| home_member(&key(i), members).cloned()).collect()
     };
     let before = homes(&members);
     for member in &members {
@@ -161,7 +162,7 @@
 
 #[test]
 fn a_home_knows_where_a_key_runs() {
-    let mut directory = Directory::new(2, Millis(1000));
+    let mut directory = RunDirectory::new(2, Millis(1000));
     let body = BodyHash("b".into());
     let at = |address: &str| RunAt { address: address.into(), request: "r".into() };
     let mut locate = |now, number, body: &BodyHash, by| {
@@ -185,10 +186,10 @@
     }
     assert_eq!(journal.get("r1"), None);
     for step in 0..100 {
-        journal.note(Millis(5 + step), &"r3".into(), format!("step {step}"));
+        journal.add_step(Millis(5 + step), &"r3".into(), format!("step {step}"));
     }
     let record = journal.get("r3").expect("the newest is kept");
-    assert_eq!((record.steps.len(), record.dropped), (64, 36));
+    assert_eq!((record.steps.len(), record.dropped_steps), (64, 36));
     assert_eq!(record.steps[0].what, "step 0");
     assert_eq!(record.steps[63].at, Millis(99));
 }
@@ -199,17 +200,17 @@
     let stream = "id: 0\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\\\"b\\\\\"}}]}\n\n\
                   data: {\"usage\":{}}\n\ndata: [DONE]\n\n";
     for size in 1..stream.len() {
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let mut transcript = Transcript::default();
         let mut others = 0;
         let mut done = false;
         for piece in stream.as_bytes().chunks(size) {
-            let pushed = splitter.push(piece, |event| match sse::kind(event) {
-                sse::Kind::Token { index, escaped } => {
+            let pushed = splitter.push(piece, |event| match sse::event_kind(event) {
+                sse::EventKind::Token { index, escaped } => {
                     transcript.push(index, escaped.expect("the usual shape"));
                 }
-                sse::Kind::Done => done = true,
-                sse::Kind::Other => others += 1,
+                sse::EventKind::Done => done = true,
+                sse::EventKind::Other => others += 1,
             });
             assert_eq!(pushed, Ok(()));
         }
--- a/coordination/flight/tests/claims.rs
+++ b/coordination/flight/tests/claims.rs
@@ -198,7 +198,11 @@
         },
     ];
     for case in cases {
-        let mut table = ClaimTable::new(ClaimBounds { claims: 3, answer: 8, answers: 16 });
+        let mut table = ClaimTable::new(ClaimBounds {
+            max_claims: 3,
+            max_answer_bytes: 8,
+            max_total_answer_bytes: 16,
+        });
         let mut last = None;
         for (at, ask) in &case.asks {
             // A control instance may restart from its snapshot between any two asks.
@@ -214,7 +218,11 @@
 /// a while.
 #[test]
 fn the_room_for_answers_is_given_back() {
-    let mut table = ClaimTable::new(ClaimBounds { claims: 3, answer: 8, answers: 8 });
+    let mut table = ClaimTable::new(ClaimBounds {
+        max_claims: 3,
+        max_answer_bytes: 8,
+        max_total_answer_bytes: 8,
+    });
     for (round, at) in [(1, 0), (2, 2000), (3, 4000)] {
         table.apply(Millis(at), &take("k", "b", "e1"));
         table.apply(Millis(at), &finish("k", "e1", "12345678"));
--- a/coordination/flight/tests/random.rs
+++ b/coordination/flight/tests/random.rs
@@ -5,11 +5,11 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use sill_base::{Promise, random};
-use sill_flight::{FlightCfg, Weakening};
+use sill_flight::{RequestCfg, Weakening};
 use world::check::{Broken, check};
 use world::{Faults, World};
 
-fn run(cfg: FlightCfg, faults: Faults, seed: u64) -> Result<(), Broken> {
+fn run(cfg: RequestCfg, faults: Faults, seed: u64) -> Result<(), Broken> {
     let mut world = World::new(cfg, faults, seed);
     let asserted = catch_unwind(AssertUnwindSafe(|| world.run()));
     if let Err(panic) = asserted {
@@ -31,7 +31,7 @@
 fn promises_hold_through_all_faults() {
     let first = random::seed(1);
     for seed in first..first + u64::from(random::cases(400)) {
-        assert_eq!(run(FlightCfg::default(), Faults::All, seed), Ok(()), "seed {seed}");
+        assert_eq!(run(RequestCfg::default(), Faults::All, seed), Ok(()), "seed {seed}");
     }
 }
 
@@ -41,7 +41,7 @@
 fn announced_reclaims_lose_no_request() {
     let first = random::seed(1);
     for seed in first..first + u64::from(random::cases(400)) {
-        assert_eq!(run(FlightCfg::default(), Faults::Reclaims, seed), Ok(()), "seed {seed}");
+        assert_eq!(run(RequestCfg::default(), Faults::Reclaims, seed), Ok(()), "seed {seed}");
     }
 }
 
@@ -71,7 +71,7 @@
     ];
     let cases = cases.map(|(weakening, faults, breaks)| Case { weakening, faults, breaks });
     for case in cases {
-        let cfg = FlightCfg { weakening: Some(case.weakening), ..FlightCfg::default() };
+        let cfg = RequestCfg { weakening: Some(case.weakening), ..RequestCfg::default() };
         let breaks = |broken: &Broken| broken.promise == case.breaks;
         let noticed = (1..2000).find_map(|seed| run(cfg, case.faults, seed).err().filter(breaks));
         assert!(noticed.is_some(), "{:?} broke nothing", case.weakening);
--- a/coordination/flight/tests/world/check.rs
+++ b/coordination/flight/tests/world/check.rs
@@ -1,7 +1,7 @@
 //! What must hold in every run of the world.
 
 use sill_base::Promise;
-use sill_flight::flight::Kind;
+use sill_flight::flight::ServiceKind;
 use sill_wire::ErrorCode;
 
 use super::{End, Faults, World};
@@ -39,7 +39,7 @@
                 }
             }
             Some(End::Failed(code, retry_after)) => {
-                let survives = faults == Faults::Reclaims && caller.spec.idempotent;
+                let survives = faults == Faults::Reclaims && caller.spec.is_idempotent;
                 if survives || retry_after.is_none() {
                     return broken(Promise::AcceptedSurvives, format!("{request} got {code:?}"));
                 }
@@ -54,7 +54,7 @@
 fn at_most_once(world: &World) -> Result<(), Broken> {
     for notice in 0..world.callers.len() {
         let caller = &world.callers[notice];
-        if caller.spec.idempotent || caller.notice != notice {
+        if caller.spec.is_idempotent || caller.notice != notice {
             continue;
         }
         let runs = world.runs.iter().filter(|run| {
@@ -65,7 +65,7 @@
         let runs = runs.count();
         if runs > 1 {
             let kind = caller.spec.kind;
-            let what = if kind == Kind::Plain { "call" } else { "prompt" };
+            let what = if kind == ServiceKind::Plain { "call" } else { "prompt" };
             let how = format!("{what} {notice} ran {runs} times");
             return broken(Promise::AtMostOnce, how);
         }
--- a/coordination/flight/tests/world/mod.rs
+++ b/coordination/flight/tests/world/mod.rs
@@ -8,8 +8,8 @@
 use rand::Rng as _;
 use sill_base::random::{Rng, seeded};
 use sill_base::{Machine, Millis, Name};
-use sill_flight::flight::{Claimant, Ending, Epoch, Kind, ResumeAt};
-use sill_flight::{Action, ClaimTable, Event, Flight, FlightCfg, Place, Spec};
+use sill_flight::flight::{AttemptOutcome, ClaimSpec, Epoch, ResumePoint, ServiceKind};
+use sill_flight::{Action, ClaimTable, Event, InFlightRequest, Placement, RequestCfg, RequestSpec};
 use sill_wire::claim::{BodyHash, ClaimAsk, ClaimKey, ClaimOutcome, ClaimOwner, ClaimVerdict};
 use sill_wire::{ErrorCode, Incarnation};
 
@@ -35,7 +35,7 @@
 
 #[derive(Debug)]
 struct Server {
-    place: Place,
+    place: Placement,
     alive: bool,
     frozen: bool,
     leaving: Option<Millis>,
@@ -57,7 +57,7 @@
 /// One request as its caller sees it.
 #[derive(Debug)]
 pub struct Caller {
-    pub spec: Spec,
+    pub spec: RequestSpec,
     pub notice: usize,
     pub tokens: Vec<u32>,
     pub end: Option<End>,
@@ -87,8 +87,8 @@
 pub struct World {
     pub callers: Vec<Caller>,
     pub runs: Vec<Run>,
-    flights: Vec<Option<Flight>>,
-    cfg: FlightCfg,
+    flights: Vec<Option<InFlightRequest>>,
+    cfg: RequestCfg,
     faults: Faults,
     servers: Vec<Server>,
     claims: ClaimTable,
@@ -102,7 +102,7 @@
 }
 
 impl World {
-    pub fn new(cfg: FlightCfg, faults: Faults, seed: u64) -> Self {
+    pub fn new(cfg: RequestCfg, faults: Faults, seed: u64) -> Self {
         let mut world = Self {
             callers: Vec::new(),
             runs: Vec::new(),
@@ -167,7 +167,8 @@
     fn add_server(&mut self, stays: bool) {
         let name: Name = format!("m{}", self.servers.len()).into();
         let incarnation = Incarnation(1);
-        let place = Place { endpoint: name.clone(), incarnation, address: name, cached_tokens: 0 };
+        let place =
+            Placement { endpoint: name.clone(), incarnation, address: name, cached_tokens: 0 };
         let server = Server { place, alive: true, frozen: false, leaving: None, stays };
         self.servers.push(server);
     }
@@ -191,7 +192,7 @@
         let number = self.callers.len();
         let entry = self.rng.random_range(0..3);
         let before = again.map(|first| self.callers[first].spec.clone());
-        let idempotent = before.as_ref().map_or_else(|| self.chance(60), |s| s.idempotent);
+        let idempotent = before.as_ref().map_or_else(|| self.chance(60), |s| s.is_idempotent);
         let keyed = before.is_some() || self.chance(60);
         let request: Name = format!("e{entry}-{number}").into();
         let owner = ClaimOwner {
@@ -202,21 +203,21 @@
         let key = ClaimKey { account: "clerks".into(), key: format!("k{notice}").into() };
         let retention = DEADLINE * 3;
         let body = BodyHash("b".into());
-        let claim = (keyed && !idempotent).then_some(Claimant { key, body, owner, retention });
-        let kind = if self.chance(80) { Kind::Model } else { Kind::Plain };
-        let max_tokens = if kind == Kind::Model { self.rng.random_range(1..60) } else { 0 };
-        let spec = Spec {
+        let claim = (keyed && !idempotent).then_some(ClaimSpec { key, body, owner, retention });
+        let kind = if self.chance(80) { ServiceKind::Model } else { ServiceKind::Plain };
+        let max_tokens = if kind == ServiceKind::Model { self.rng.random_range(1..60) } else { 0 };
+        let spec = RequestSpec {
             request,
             kind: before.as_ref().map_or(kind, |s| s.kind),
-            idempotent,
+            is_idempotent: idempotent,
             claim,
-            keyed,
+            is_keyed: keyed,
             deadline: self.now + DEADLINE,
             prompt_tokens: self.rng.random_range(1..4000),
             max_tokens: before.as_ref().map_or(max_tokens, |s| s.max_tokens),
         };
         let seed = self.rng.random();
-        self.flights.push(Some(Flight::new(self.cfg, spec.clone(), seed)));
+        self.flights.push(Some(InFlightRequest::new(self.cfg, spec.clone(), seed)));
         self.callers.push(Caller { spec, notice, tokens: Vec::new(), end: None, entry });
         self.step(number, Event::Admitted);
     }
@@ -226,7 +227,7 @@
             .callers
             .iter()
             .enumerate()
-            .filter(|(i, c)| c.spec.keyed && c.notice == *i)
+            .filter(|(i, c)| c.spec.is_keyed && c.notice == *i)
             .map(|(i, _)| i)
             .collect();
         (!keyed.is_empty()).then(|| keyed[self.rng.random_range(0..keyed.len())])
@@ -244,7 +245,7 @@
         let mut actions = Vec::new();
         flight.step(self.now, event, &mut actions);
         let wake = flight.wake_at();
-        let over = flight.is_over();
+        let over = flight.is_finished();
         if !over && wake < Millis::MAX && (tick || !actions.is_empty()) {
             let after = wake.since(self.now).max(Millis(1));
             self.at(after, Due::Flight(number, Event::Tick));
@@ -256,7 +257,7 @@
 
     fn act(&mut self, number: usize, index: u32, action: Action) {
         match action {
-            Action::Claim(ask) => {
+            Action::TakeClaim(ask) => {
                 let lost = self.broken(20);
                 let after = self.below(50);
                 // The verdict of an ask that is lost on its way back is "unavailable" to the asker.
@@ -266,25 +267,26 @@
                 }
                 self.at(after, Due::Apply(number, ask, lost));
             }
-            Action::Settle(ask) => {
+            Action::SettleClaim(ask) => {
                 let after = self.below(100);
                 self.at(after, Due::Apply(number, ask, true));
             }
             Action::Route { exclude, .. } => self.choose(number, &exclude),
-            Action::Dispatch { epoch, place, resume } => {
-                self.dispatch(number, epoch, &place, resume);
+            Action::Dispatch { epoch, placement, resume } => {
+                self.dispatch(number, epoch, &placement, resume);
             }
-            Action::Cancel { .. } | Action::Ended { how: Ending::Failed, .. } => {}
-            Action::Forward => self.callers[number].tokens.push(index),
+            Action::Cancel { .. }
+            | Action::ReleaseEndpoint { outcome: AttemptOutcome::Failed, .. } => {}
+            Action::ForwardToken => self.callers[number].tokens.push(index),
             Action::Attach { .. } => self.end(number, End::Attached),
             Action::Finish => self.end(number, End::Whole),
-            Action::PassOn => self.end(number, End::PassedOn),
+            Action::ForwardError => self.end(number, End::PassedOn),
             Action::Refuse(refusal) => {
                 self.end(number, End::NotRun(refusal.code(), refusal.retry_after()));
             }
             Action::Fail(failed) => self.end(number, End::Failed(failed.code, failed.retry_after)),
             Action::Abandon => self.end(number, End::Gone),
-            Action::Ended { .. } | Action::Drop(_) | Action::Recomputed { .. } => {}
+            Action::ReleaseEndpoint { .. } | Action::Drop(_) | Action::CountRecomputed { .. } => {}
         }
     }
 
@@ -293,7 +295,7 @@
             let spec = &self.callers[number].spec;
             if let Some(claim) = &spec.claim {
                 let outcome = ClaimOutcome::Answered { status: 200, body: None };
-                let ask = claim.finish(outcome);
+                let ask = claim.finish_ask(outcome);
                 self.at(Millis(5), Due::Apply(number, ask, true));
             }
         }
@@ -326,7 +328,7 @@
     }
 
     fn choose(&mut self, number: usize, exclude: &[Name]) {
-        let fits: Vec<Place> = self
+        let fits: Vec<Placement> = self
             .servers
             .iter()
             .filter(|s| s.leaving.is_none() && !exclude.contains(&s.place.endpoint))
@@ -340,7 +342,13 @@
         self.step(number, event);
     }
 
-    fn dispatch(&mut self, number: usize, epoch: Epoch, place: &Place, resume: Option<ResumeAt>) {
+    fn dispatch(
+        &mut self,
+        number: usize,
+        epoch: Epoch,
+        place: &Placement,
+        resume: Option<ResumePoint>,
+    ) {
         let server = self.servers.iter().position(|s| s.place.endpoint == place.endpoint);
         let server = server.expect("it was chosen");
         let after = self.below(30);
@@ -348,8 +356,8 @@
             self.at(after, Due::Flight(number, Event::ConnectFailed { epoch }));
             return;
         }
-        let same_run = resume.as_ref().is_some_and(|r| r.same_run);
-        let source = resume.as_ref().and_then(|r| r.kv_from.as_ref());
+        let same_run = resume.as_ref().is_some_and(|r| r.is_same_run);
+        let source = resume.as_ref().and_then(|r| r.kv_source.as_ref());
         let has_source = source.is_some_and(|source| {
             self.servers.iter().any(|s| s.alive && s.place.endpoint == source.endpoint)
         });
@@ -361,7 +369,7 @@
             self.at(after, Due::Flight(number, Event::Rejected { epoch, status }));
             return;
         }
-        let next = resume.map_or(0, |r| r.next);
+        let next = resume.map_or(0, |r| r.next_index);
         self.runs.push(Run { flight: number, same_run, next });
         let run = self.runs.len() - 1;
         self.at(after, Due::Send(Stream { flight: number, epoch, run, server }));
@@ -371,7 +379,7 @@
         let Stream { flight: number, epoch, run, server } = stream;
         let after = self.below(self.pace);
         if !self.servers[server].alive || self.broken(1) {
-            self.at(after, Due::Flight(number, Event::Cut { epoch }));
+            self.at(after, Due::Flight(number, Event::StreamCut { epoch }));
             return;
         }
         if self.servers[server].frozen {
@@ -432,10 +440,10 @@
         };
         let place = self.servers[server].place.clone();
         for flight in 0..self.flights.len() {
-            let event = Event::Leaving {
+            let event = Event::EndpointLeaving {
                 endpoint: place.endpoint.clone(),
                 incarnation: place.incarnation,
-                left: dies.since(self.now),
+                time_left: dies.since(self.now),
             };
             self.step(flight, event);
         }
@@ -461,11 +469,12 @@
             let Some(flight) = self.flights[number].take() else {
                 continue;
             };
-            if hands_off && flight.was_sent() && flight.spec().kind == Kind::Model {
-                let (next, from) = (flight.next(), flight.place().cloned());
+            if hands_off && flight.may_have_sent() && flight.spec().kind == ServiceKind::Model {
+                let (next, from) = (flight.next_index(), flight.placement().cloned());
                 let spec = flight.spec().clone();
                 let seed = self.rng.random();
-                self.flights[number] = Some(Flight::taken_over(self.cfg, spec, next, seed));
+                self.flights[number] =
+                    Some(InFlightRequest::from_hand_off(self.cfg, spec, next, seed));
                 self.callers[number].entry = (entry + 1) % 3;
                 self.step(number, Event::TakenOver { from });
             } else {
@@ -477,7 +486,7 @@
     fn caller_leaves(&mut self) {
         if !self.callers.is_empty() {
             let number = self.rng.random_range(0..self.callers.len());
-            self.step(number, Event::CallerGone);
+            self.step(number, Event::CallerDisconnected);
         }
     }
 }
--- a/daemons/control/src/app/state.rs
+++ b/daemons/control/src/app/state.rs
@@ -87,7 +87,7 @@
 
 impl Default for App {
     fn default() -> Self {
-        let bounds = ClaimBounds { claims: MAX_CLAIMS, ..ClaimBounds::default() };
+        let bounds = ClaimBounds { max_claims: MAX_CLAIMS, ..ClaimBounds::default() };
         Self {
             index: 0,
             now: Millis::ZERO,
--- a/daemons/entry/src/daemon.rs
+++ b/daemons/entry/src/daemon.rs
@@ -11,7 +11,7 @@
 use ntex::{SharedCfg, http::HttpServiceConfig};
 use parking_lot::Mutex;
 use sill_base::{Clock, Millis, Name, event};
-use sill_flight::home::Directory;
+use sill_flight::home::RunDirectory;
 use sill_flight::journal::Journal;
 use sill_net::{PeerServer, client, http};
 use sill_wire::Incarnation;
@@ -74,7 +74,7 @@
     /// Keyed requests that run or ran here.
     pub runs: Runs,
     /// Where keyed requests run whose home this instance is.
-    pub directory: Mutex<Directory>,
+    pub directory: Mutex<RunDirectory>,
     /// What became of requests, and why.
     pub journal: Mutex<Journal>,
     /// What concerns all requests in flight.
@@ -139,7 +139,7 @@
             metrics: Metrics::new(),
             claims,
             runs: Runs::default(),
-            directory: Mutex::new(Directory::new(KEYS, KEY_RETENTION)),
+            directory: Mutex::new(RunDirectory::new(KEYS, KEY_RETENTION)),
             journal: Mutex::new(Journal::new(RECORDS)),
             signals: Signals::new(),
             peers: Peers::default(),
--- a/daemons/entry/src/handoff.rs
+++ b/daemons/entry/src/handoff.rs
@@ -114,7 +114,7 @@
         let called = tokio::time::timeout(TIMEOUT.into(), peers::call(app, &peer, call)).await;
         match called {
             Ok(Ok(reply)) => {
-                event!(Info, "handed_off", to = peer, requests = reply.taken.len());
+                event!(Info, "handed_off", to = peer, requests = reply.accepted.len());
                 batch = tell(batch, &reply, &peer);
             }
             Ok(Err(_)) | Err(_) => {
@@ -122,7 +122,7 @@
                 *refused.entry(peer).or_default() += 1;
                 // Whether the peer has them is unknown. A second peer may run the others again, but
                 // these could then be moved twice.
-                batch.retain(|offer| offer.run.spec.idempotent);
+                batch.retain(|offer| offer.run.spec.is_idempotent);
             }
         }
     }
@@ -131,7 +131,7 @@
 fn tell(batch: Vec<Offer>, reply: &HandOffReply, peer: &Name) -> Vec<Offer> {
     let mut left = Vec::new();
     for offer in batch {
-        if reply.taken.contains(&offer.run.spec.request) {
+        if reply.accepted.contains(&offer.run.spec.request) {
             let _ = offer.taken_by.send(Some(peer.clone()));
         } else {
             left.push(offer);
@@ -162,5 +162,5 @@
         }
     }
     event!(Info, "taken_over", from = call.from, requests = taken.len());
-    Ok(HandOffReply { taken })
+    Ok(HandOffReply { accepted: taken })
 }
--- a/daemons/entry/src/metrics.rs
+++ b/daemons/entry/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters of an entry instance, in the Prometheus text format.
 
 use prometheus::{Encoder, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
-use sill_flight::Cause;
+use sill_flight::RecomputeCause;
 
 use crate::gauges::Gauges;
 
@@ -67,7 +67,7 @@
     }
 
     /// Counts tokens that are computed again.
-    pub fn recomputed(&self, cause: Cause, tokens: u64) {
+    pub fn recomputed(&self, cause: RecomputeCause, tokens: u64) {
         self.recomputed.with_label_values(&[cause.name()]).inc_by(tokens);
     }
 
--- a/daemons/entry/src/serve.rs
+++ b/daemons/entry/src/serve.rs
@@ -18,10 +18,10 @@
 use ntex::http::Method;
 use ntex::web::HttpResponse;
 use sill_base::{Millis, Name};
-use sill_flight::flight::{Claimant, Kind};
-use sill_flight::handoff::HandedRun;
-use sill_flight::life::{Life, NotRun, Received};
-use sill_flight::{Event, Flight, FlightCfg, Place, Spec, Transcript};
+use sill_flight::flight::{ClaimSpec, ServiceKind};
+use sill_flight::handoff::HandOffRun;
+use sill_flight::lifecycle::{Lifecycle, NotRunRefusal, Received};
+use sill_flight::{Event, InFlightRequest, Placement, RequestCfg, RequestSpec, Transcript};
 use sill_limit::{Cost, Verdict};
 use sill_net::http::Failure;
 use sill_wire::claim::{ClaimKey, ClaimOwner};
@@ -55,7 +55,7 @@
         Form::Whole
     };
     let prompt_tokens = prefix::tokens(&summary.prompt);
-    let spec = spec(app, &id, &common, Kind::Model, prompt_tokens, summary.max_tokens);
+    let spec = spec(app, &id, &common, ServiceKind::Model, prompt_tokens, summary.max_tokens);
     let outgoing = Outgoing {
         method: Method::POST,
         path: path.clone(),
@@ -73,7 +73,7 @@
 /// Sees a call of a plain service through.
 pub async fn plain(app: &Arc<Shared>, client: &Client, id: Name, ask: PlainAsk) -> HttpResponse {
     let PlainAsk { common, method, service, path, headers, body } = ask;
-    let spec = spec(app, &id, &common, Kind::Plain, 0, 0);
+    let spec = spec(app, &id, &common, ServiceKind::Plain, 0, 0);
     let key = common.key.clone();
     let outgoing = Outgoing { method, path: path.clone(), request: id, key, headers, body };
     let run = run(&common, spec, path, service);
@@ -87,12 +87,12 @@
     app: &Shared,
     id: &Name,
     common: &CommonAsk,
-    kind: Kind,
+    kind: ServiceKind,
     prompt_tokens: u64,
     max_tokens: u32,
-) -> Spec {
+) -> RequestSpec {
     let key = common.key.as_ref().filter(|_| !common.idempotent);
-    let claim = key.map(|key| Claimant {
+    let claim = key.map(|key| ClaimSpec {
         key: ClaimKey { account: common.account.name.clone(), key: key.clone() },
         body: common.content.clone(),
         owner: ClaimOwner {
@@ -103,12 +103,12 @@
         retention: CLAIM_RETENTION,
     });
     let span = common.deadline.map_or(LONGEST_DEADLINE, |d| d.min(LONGEST_DEADLINE));
-    Spec {
+    RequestSpec {
         request: id.clone(),
         kind,
-        idempotent: common.idempotent,
+        is_idempotent: common.idempotent,
         claim,
-        keyed: common.key.is_some(),
+        is_keyed: common.key.is_some(),
         deadline: app.clock.now() + span,
         prompt_tokens,
         max_tokens,
@@ -116,7 +116,7 @@
 }
 
 /// An unkeyed request goes by its own name, so that its caller can come back after a hand-off.
-fn run(common: &CommonAsk, spec: Spec, path: String, target: Name) -> Arc<Run> {
+fn run(common: &CommonAsk, spec: RequestSpec, path: String, target: Name) -> Arc<Run> {
     let key = common.key.clone().unwrap_or_else(|| spec.request.clone());
     let key = ClaimKey { account: common.account.name.clone(), key };
     let body = common.content.clone();
@@ -130,8 +130,8 @@
     open_record(app, &run);
     let (sink, source) = caller::pair();
     let follower = Follower { run: run.clone(), form: order.form, from, sink };
-    let life = Life::received(id.clone());
-    let found = if run.spec.keyed { attach::find(app, &run).await } else { Found::New };
+    let life = Lifecycle::new(id.clone());
+    let found = if run.spec.is_keyed { attach::find(app, &run).await } else { Found::New };
     let task = match found {
         Found::BodyMismatch => {
             let message = "the idempotency key was used with another body";
@@ -147,7 +147,7 @@
         return refuse(app, refusal);
     }
     if matches!(task, Task::Drive { home_lost: true }) {
-        app.metrics.recomputed(sill_flight::Cause::HomeLost, run.spec.prompt_tokens);
+        app.metrics.recomputed(sill_flight::RecomputeCause::HomeLost, run.spec.prompt_tokens);
     }
     ntex::rt::spawn(carry_out(in_flight, client.clone(), order, follower, task));
     caller::respond(&id, source).await
@@ -186,7 +186,7 @@
 }
 
 /// Checks room and the account's limit; coming back for an answer costs nothing.
-fn admit(app: &Shared, run: &Run, task: &Task, life: Life<Received>) -> Option<NotRun> {
+fn admit(app: &Shared, run: &Run, task: &Task, life: Lifecycle<Received>) -> Option<NotRunRefusal> {
     if matches!(task, Task::Follow(_)) {
         return None;
     }
@@ -212,18 +212,18 @@
 
 /// Lets the key's home know that nothing runs, off the caller's path.
 pub(crate) fn forget_later(app: &Arc<Shared>, run: &Arc<Run>) {
-    if run.spec.keyed {
+    if run.spec.is_keyed {
         let (app, run) = (app.clone(), run.clone());
         ntex::rt::spawn(async move { attach::forget(&app, &run.key, run.request()).await });
     }
 }
 
 /// Refuses a request of which nothing has left.
-pub fn refuse(app: &Shared, refusal: NotRun) -> HttpResponse {
+pub fn refuse(app: &Shared, refusal: NotRunRefusal) -> HttpResponse {
     app.metrics.refused.inc();
     let id = refusal.request().clone();
     let what = format!("refused, not run: {}", refusal.message());
-    app.journal.lock().note(app.clock.now(), &id, what);
+    app.journal.lock().add_step(app.clock.now(), &id, what);
     caller::whole(&id, Final::NotRun(refusal))
 }
 
@@ -233,7 +233,7 @@
     // Reading a request sends nothing, so the certificate is due here as well.
     let Failure { code, message, findings, retry_after, .. } = failure;
     let retry = retry_after.map(|secs| Millis::from_secs(u64::from(secs)));
-    let refusal = Life::received(id.clone()).refuse(code, message, retry);
+    let refusal = Lifecycle::new(id.clone()).refuse(code, message, retry);
     Failure { findings, ..caller::failure(Final::NotRun(refusal)) }.response(id)
 }
 
@@ -275,15 +275,15 @@
     transcript: Transcript,
 ) -> Option<Source> {
     let run = &order.run;
-    let next = transcript.next();
-    let cfg = FlightCfg::default();
+    let next = transcript.next_index();
+    let cfg = RequestCfg::default();
     // A request that may be run once only is not gone on with: the claims' log knows its owner.
-    let (flight, first) = if next > 0 && run.spec.idempotent {
-        let flight = Flight::taken_over(cfg, run.spec.clone(), next, seed(run));
+    let (flight, first) = if next > 0 && run.spec.is_idempotent {
+        let flight = InFlightRequest::from_hand_off(cfg, run.spec.clone(), next, seed(run));
         (flight, Event::TakenOver { from: None })
     } else {
         run.with_transcript(|transcript| *transcript = Transcript::default());
-        (Flight::new(cfg, run.spec.clone(), seed(run)), Event::Admitted)
+        (InFlightRequest::new(cfg, run.spec.clone(), seed(run)), Event::Admitted)
     };
     let order = Order { sink: Some(follower.sink.clone()), ..order.clone() };
     Driver::new(app.clone(), client.clone(), order, flight).run(first).await
@@ -315,7 +315,7 @@
     in_flight: InFlight,
     run: Arc<Run>,
     body: String,
-    from: Option<Place>,
+    from: Option<Placement>,
     /// Whether its caller was back before it came, and has begun it anew.
     begun_anew: bool,
 }
@@ -326,10 +326,10 @@
     /// The instance that leaves cuts its callers off once it has our answer. One that is back before
     /// the request can be found would begin it anew: the tokens so far would be thrown away, and the
     /// prompt computed a second time. So this is done before the answer, not by the busy thread.
-    pub fn begin(app: &Arc<Shared>, handed: HandedRun) -> Self {
+    pub fn begin(app: &Arc<Shared>, handed: HandOffRun) -> Self {
         let in_flight = InFlight::begin(app);
-        let mut handed = handed.arrives(app.clock.now());
-        handed.spec.keyed = true;
+        let mut handed = handed.with_absolute_deadline(app.clock.now());
+        handed.spec.is_keyed = true;
         let run = Arc::new(Run::new(
             handed.spec,
             handed.key,
@@ -340,7 +340,7 @@
         ));
         open_record(app, &run);
         let begun_anew = app.runs.open(&run).is_some();
-        Self { in_flight, run, body: handed.body, from: handed.from, begun_anew }
+        Self { in_flight, run, body: handed.body, from: handed.placement, begun_anew }
     }
 
     /// Forgets the request again, since no thread is there to go on with it.
@@ -358,7 +358,7 @@
         return;
     }
     attach::note(&app, &run).await;
-    let next = run.with_transcript(|transcript| transcript.next());
+    let next = run.with_transcript(|transcript| transcript.next_index());
     let outgoing = Outgoing {
         method: Method::POST,
         path: run.path.clone(),
@@ -371,7 +371,8 @@
     let priority = sill_wire::Priority::High;
     let order =
         Order { run: run.clone(), outgoing, blocks, priority, form: Form::Whole, sink: None };
-    let flight = Flight::taken_over(FlightCfg::default(), run.spec.clone(), next, seed(&run));
+    let flight =
+        InFlightRequest::from_hand_off(RequestCfg::default(), run.spec.clone(), next, seed(&run));
     let driver = Driver::new(app.clone(), client, order, flight);
     driver.run(Event::TakenOver { from }).await;
 }
--- a/daemons/entry/src/serve/attach.rs
+++ b/daemons/entry/src/serve/attach.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use sill_base::{Millis, Name, event};
 use sill_flight::Transcript;
-use sill_flight::life::Failed;
+use sill_flight::lifecycle::RequestFailure;
 use sill_net::PeerError;
 use sill_wire::claim::{ClaimKey, ClaimOutcome, ClaimOwner};
 use sill_wire::handoff::{
@@ -103,8 +103,8 @@
     app.runs.close(app.clock.now(), run);
 }
 
-fn key_reused(run: &Run) -> Failed {
-    Failed {
+fn key_reused(run: &Run) -> RequestFailure {
+    RequestFailure {
         request: run.request().clone(),
         code: ErrorCode::KeyReused,
         message: "the idempotency key was used with another body".to_owned(),
@@ -117,7 +117,7 @@
     let now = app.clock.now();
     let mut directory = app.directory.lock();
     if call.runs {
-        directory.moved(now, &call.key, &call.body, call.asker.clone());
+        directory.record_run(now, &call.key, &call.body, call.asker.clone());
         return Location::New;
     }
     directory.locate(now, &call.key, &call.body, call.asker.clone())
@@ -138,7 +138,7 @@
 pub async fn forget(app: &Arc<Shared>, key: &ClaimKey, request: &Name) {
     let run = RunAt { address: app.peer_address.clone(), request: request.clone() };
     match peers::home(app, key) {
-        Home::Here => app.directory.lock().forget(key, &run),
+        Home::Here => app.directory.lock().remove(key, &run),
         Home::At(address) => {
             let call = ForgetRun { key: key.clone(), run };
             drop(ask_home(app, &address, call).await);
@@ -199,7 +199,7 @@
         let mut transcript = Transcript::default();
         let mut hops = 0;
         while hops < MAX_HOPS {
-            let next = transcript.next();
+            let next = transcript.next_index();
             let more = tokio::select! {
                 more = source.more(app, &self.run.key, next) => more,
                 () = self.sink.closed() => return Followed::Ended,
@@ -233,21 +233,21 @@
     async fn take(&self, transcript: &mut Transcript, part: &AnswerPart) {
         transcript.id = part.id.clone();
         transcript.created = part.created;
-        transcript.finish = part.finish.clone();
+        transcript.finish_reason = part.finish.clone();
         transcript.prompt_tokens = part.prompt_tokens;
         let id = part.id.clone().unwrap_or_else(|| completion_id(self.run.request()));
         let frame = self.frame(&id, part.created);
         let mut out = Vec::new();
         for escaped in &part.escaped {
-            let index = transcript.next();
+            let index = transcript.next_index();
             transcript.push(index, escaped);
             if self.form != Form::Whole && index >= self.from {
                 out.extend_from_slice(&frame.token(index, escaped));
             }
         }
-        transcript.whole = part.whole;
+        transcript.is_complete = part.whole;
         if let (true, Form::Streamed { include_usage }) = (part.whole, self.form) {
-            out.extend_from_slice(&frame.closing(part, transcript.next(), include_usage));
+            out.extend_from_slice(&frame.closing(part, transcript.next_index(), include_usage));
         }
         if !out.is_empty() {
             let _ = self.sink.send(Out::Part(Bytes::from(out))).await;
@@ -264,12 +264,12 @@
         }
         let id = transcript.id.clone().unwrap_or_else(|| completion_id(self.run.request()));
         let part = AnswerPart {
-            finish: transcript.finish.clone(),
+            finish: transcript.finish_reason.clone(),
             prompt_tokens: transcript.prompt_tokens,
             ..AnswerPart::default()
         };
         let frame = self.frame(&id, transcript.created);
-        Final::Reply(json_reply(&frame.whole(&part, &transcript.text(), transcript.next())))
+        Final::Reply(json_reply(&frame.whole(&part, &transcript.text(), transcript.next_index())))
     }
 
     async fn end(&self, end: Final) {
@@ -300,7 +300,7 @@
 
     /// Ends a request whose answer can't be found.
     pub async fn lost(&self) {
-        let failed = if self.run.spec.idempotent {
+        let failed = if self.run.spec.is_idempotent {
             FailedRun {
                 code: ErrorCode::InProgress,
                 message: "the request is on its way between entry instances".to_owned(),
@@ -330,7 +330,7 @@
         }
         _ => {
             let FailedRun { code, message, retry_after } = unknown();
-            RunEnd::Failed(Failed { request: request.clone(), code, message, retry_after })
+            RunEnd::Failed(RequestFailure { request: request.clone(), code, message, retry_after })
         }
     }
 }
--- a/daemons/entry/src/serve/caller.rs
+++ b/daemons/entry/src/serve/caller.rs
@@ -6,7 +6,7 @@
 use ntex::util::Bytes;
 use ntex::web::HttpResponse;
 use sill_base::{Millis, Name};
-use sill_flight::life::{Failed, NotRun};
+use sill_flight::lifecycle::{NotRunRefusal, RequestFailure};
 use sill_net::http::Failure;
 use sill_wire::handoff::{FailedRun, WholeReply};
 use sill_wire::{ErrorBody, ErrorCode, ErrorDetail, header};
@@ -32,7 +32,7 @@
     /// A whole HTTP answer.
     Reply(WholeReply),
     /// A refusal, certified as not run.
-    NotRun(NotRun),
+    NotRun(NotRunRefusal),
     /// It was given up.
     Failed(FailedRun),
     /// Another entry instance goes on; the caller has to come back with its key.
@@ -50,9 +50,9 @@
     mpsc::channel(WAITING)
 }
 
-impl From<Failed> for Final {
-    fn from(failed: Failed) -> Self {
-        let Failed { code, message, retry_after, .. } = failed;
+impl From<RequestFailure> for Final {
+    fn from(failed: RequestFailure) -> Self {
+        let RequestFailure { code, message, retry_after, .. } = failed;
         Self::Failed(FailedRun { code, message, retry_after })
     }
 }
--- a/daemons/entry/src/serve/calls.rs
+++ b/daemons/entry/src/serve/calls.rs
@@ -22,7 +22,7 @@
     });
     let app = shared.clone();
     peers.answer(move |call: ForgetRun| {
-        app.directory.lock().forget(&call.key, &call.run);
+        app.directory.lock().remove(&call.key, &call.run);
         async move { Ok(()) }
     });
     let app = shared.clone();
--- a/daemons/entry/src/serve/driver.rs
+++ b/daemons/entry/src/serve/driver.rs
@@ -7,9 +7,9 @@
 use ntex::client::Client;
 use ntex::util::Bytes;
 use sill_base::{Machine, Millis, Name};
-use sill_flight::flight::{Dropped, Ending, Epoch, Kind, ResumeAt};
-use sill_flight::sse::Splitter;
-use sill_flight::{Action, Event, Flight, Place};
+use sill_flight::flight::{AttemptOutcome, DropReason, Epoch, ResumePoint, ServiceKind};
+use sill_flight::sse::EventSplitter;
+use sill_flight::{Action, Event, InFlightRequest, Placement};
 use sill_route::{Ask, Choice, Outcome, RefusalReason, Target};
 use sill_wire::Priority;
 use sill_wire::claim::ClaimVerdict;
@@ -62,10 +62,10 @@
 pub struct Driver {
     pub(super) app: Arc<Shared>,
     pub(super) order: Order,
-    pub(super) flight: Flight,
+    pub(super) flight: InFlightRequest,
     pub(super) events: VecDeque<Event>,
     pub(super) upstream: Option<Upstream>,
-    pub(super) splitter: Splitter,
+    pub(super) splitter: EventSplitter,
     pub(super) closing: ClosingPieces,
     pub(super) waiting: Vec<u8>,
     pub(super) head_of: Option<Epoch>,
@@ -110,7 +110,7 @@
 
 impl Driver {
     /// Makes the driver of a request.
-    pub fn new(app: Arc<Shared>, client: Client, order: Order, flight: Flight) -> Self {
+    pub fn new(app: Arc<Shared>, client: Client, order: Order, flight: InFlightRequest) -> Self {
         let signals = app.signals.subscribe();
         Self {
             received: app.clock.now(),
@@ -119,7 +119,7 @@
             flight,
             events: VecDeque::new(),
             upstream: None,
-            splitter: Splitter::default(),
+            splitter: EventSplitter::default(),
             closing: ClosingPieces::default(),
             waiting: Vec::new(),
             head_of: None,
@@ -157,7 +157,7 @@
                 Happened::CallerGone => {
                     self.order.sink = None;
                     self.note("the caller went away".to_owned());
-                    self.events.push_back(Event::CallerGone);
+                    self.events.push_back(Event::CallerDisconnected);
                 }
                 Happened::Room => {}
                 Happened::Signal => self.signalled(),
@@ -191,7 +191,7 @@
     }
 
     pub(super) fn note(&self, what: String) {
-        self.app.journal.lock().note(self.now(), self.order.run.request(), what);
+        self.app.journal.lock().add_step(self.now(), self.order.run.request(), what);
     }
 
     pub(super) fn settle_events(&mut self) {
@@ -212,7 +212,7 @@
         let mut forward = false;
         for action in actions.drain(..) {
             match action {
-                Action::Forward => forward = true,
+                Action::ForwardToken => forward = true,
                 action => self.act(action),
             }
         }
@@ -226,7 +226,7 @@
     fn first_token(&mut self) {
         let now = self.now();
         self.first_at = Some(now);
-        if let Some(place) = self.flight.place() {
+        if let Some(place) = self.flight.placement() {
             let endpoint = place.endpoint.clone();
             let request = self.order.run.request().clone();
             let heard = sill_route::Event::FirstToken { endpoint, request };
@@ -236,28 +236,30 @@
 
     fn target(&self) -> Target {
         match self.order.run.spec.kind {
-            Kind::Model => Target::Model(self.order.run.target.clone()),
-            Kind::Plain => Target::Service(self.order.run.target.clone()),
+            ServiceKind::Model => Target::Model(self.order.run.target.clone()),
+            ServiceKind::Plain => Target::Service(self.order.run.target.clone()),
         }
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Claim(ask) => self.claim = Some(claims::ask(&self.app, ask)),
-            Action::Settle(ask) => self.app.claims.settle(ask),
+            Action::TakeClaim(ask) => self.claim = Some(claims::ask(&self.app, ask)),
+            Action::SettleClaim(ask) => self.app.claims.settle(ask),
             Action::Route { exclude, prompt_tokens, max_tokens } => {
                 self.route(exclude, prompt_tokens, max_tokens);
             }
-            Action::Dispatch { epoch, place, resume } => self.dispatch(epoch, &place, resume),
+            Action::Dispatch { epoch, placement, resume } => {
+                self.dispatch(epoch, &placement, resume)
+            }
             Action::Cancel { epoch } => {
                 if self.upstream.as_ref().is_some_and(|u| u.epoch == epoch) {
                     self.upstream = None;
                 }
             }
-            Action::Ended { endpoint, how } => self.left(endpoint, how),
-            Action::Forward => {}
+            Action::ReleaseEndpoint { endpoint, outcome } => self.left(endpoint, outcome),
+            Action::ForwardToken => {}
             Action::Drop(dropped) => self.app.metrics.dropped(name_of(dropped)),
-            Action::Recomputed { cause, tokens } => {
+            Action::CountRecomputed { cause, tokens } => {
                 self.app.metrics.recomputed(cause, tokens);
                 self.note(format!("{tokens} tokens computed again: {}", cause.name()));
             }
@@ -271,7 +273,7 @@
                 self.close_answer();
                 self.ended = Some(RunEnd::Whole);
             }
-            Action::PassOn => {
+            Action::ForwardError => {
                 let reply = self.reply.take();
                 self.ended = reply.map(RunEnd::Reply).or(Some(RunEnd::Abandoned));
             }
@@ -296,7 +298,7 @@
         let event = match self.app.routing.choose(self.now(), &ask) {
             Choice::Endpoint(chosen) => {
                 self.note(format!("sent to {}: {}", chosen.endpoint, chosen.why));
-                Event::Routed(Place {
+                Event::Routed(Placement {
                     endpoint: chosen.endpoint,
                     incarnation: chosen.incarnation,
                     address: chosen.address,
@@ -312,18 +314,18 @@
         self.events.push_back(event);
     }
 
-    fn dispatch(&mut self, epoch: Epoch, place: &Place, resume: Option<ResumeAt>) {
+    fn dispatch(&mut self, epoch: Epoch, place: &Placement, resume: Option<ResumePoint>) {
         if !self.accepted {
             self.accepted = true;
             self.app.metrics.accepted.inc();
         }
         if let Some(at) = &resume {
-            let how = if at.kv_from.is_some() { "KV cache moved" } else { "computed again" };
-            self.note(format!("attempt {} goes on at token {}: {how}", epoch.0, at.next));
+            let how = if at.kv_source.is_some() { "KV cache moved" } else { "computed again" };
+            self.note(format!("attempt {} goes on at token {}: {how}", epoch.0, at.next_index));
         }
-        self.splitter = Splitter::default();
+        self.splitter = EventSplitter::default();
         self.closing = ClosingPieces::default();
-        let streams = self.order.run.spec.kind == Kind::Model;
+        let streams = self.order.run.spec.kind == ServiceKind::Model;
         self.upstream = Some(self.order.run.with_transcript(|transcript| {
             let outgoing = &self.order.outgoing;
             Upstream::send(
@@ -340,17 +342,17 @@
         self.check_notice();
     }
 
-    fn left(&mut self, endpoint: Name, how: Ending) {
+    fn left(&mut self, endpoint: Name, how: AttemptOutcome) {
         let outcome = match how {
-            Ending::Finished => Outcome::Finished,
-            Ending::Cancelled => Outcome::Cancelled,
-            Ending::Failed => Outcome::Failed,
+            AttemptOutcome::Finished => Outcome::Finished,
+            AttemptOutcome::Cancelled => Outcome::Cancelled,
+            AttemptOutcome::Failed => Outcome::Failed,
         };
         let request = self.order.run.request().clone();
-        let tokens = self.flight.next();
+        let tokens = self.flight.next_index();
         let ended = sill_route::Event::Ended { endpoint, request, tokens, outcome };
         self.app.routing.hear_about(self.now(), &self.target(), ended);
-        if how != Ending::Cancelled {
+        if how != AttemptOutcome::Cancelled {
             self.upstream = None;
         }
     }
@@ -368,7 +370,7 @@
             }
             Came::Cut(why) => {
                 self.note(format!("attempt {} was cut: {why}", epoch.0));
-                self.events.push_back(Event::Cut { epoch });
+                self.events.push_back(Event::StreamCut { epoch });
             }
             Came::Whole(reply) => {
                 let status = reply.status;
@@ -420,10 +422,10 @@
     }
 }
 
-fn name_of(dropped: Dropped) -> &'static str {
+fn name_of(dropped: DropReason) -> &'static str {
     match dropped {
-        Dropped::Late => "late",
-        Dropped::Repeat => "repeat",
+        DropReason::StaleAttempt => "late",
+        DropReason::DuplicateToken => "repeat",
     }
 }
 
--- a/daemons/entry/src/serve/ending.rs
+++ b/daemons/entry/src/serve/ending.rs
@@ -3,8 +3,8 @@
 use ntex::util::Bytes;
 use sill_base::{Millis, Name, event};
 use sill_flight::Event;
-use sill_flight::flight::Kind;
-use sill_flight::handoff::HandedRun;
+use sill_flight::flight::ServiceKind;
+use sill_flight::handoff::HandOffRun;
 use sill_wire::ErrorCode;
 use sill_wire::claim::{ClaimAsk, ClaimOutcome};
 use sill_wire::handoff::FailedRun;
@@ -19,8 +19,8 @@
 impl Driver {
     pub(super) fn signalled(&mut self) {
         self.check_notice();
-        let model = self.order.run.spec.kind == Kind::Model;
-        if !model || self.offer.is_some() || !self.flight.was_sent() {
+        let model = self.order.run.spec.kind == ServiceKind::Model;
+        if !model || self.offer.is_some() || !self.flight.may_have_sent() {
             return;
         }
         let Some(offers) = self.app.signals.offers() else {
@@ -34,21 +34,21 @@
     }
 
     pub(super) fn check_notice(&mut self) {
-        let Some(place) = self.flight.place() else {
+        let Some(place) = self.flight.placement() else {
             return;
         };
         if let Some(notice) = self.app.signals.notice(&place.endpoint, place.incarnation) {
-            self.events.push_back(Event::Leaving {
+            self.events.push_back(Event::EndpointLeaving {
                 endpoint: place.endpoint.clone(),
                 incarnation: place.incarnation,
-                left: notice.dies_at.since(self.now()),
+                time_left: notice.dies_at.since(self.now()),
             });
         }
     }
 
-    pub(super) fn handed(&self) -> HandedRun {
+    pub(super) fn handed(&self) -> HandOffRun {
         let run = &self.order.run;
-        HandedRun {
+        HandOffRun {
             spec: run.spec.clone(),
             account: run.key.account.clone(),
             key: run.key.clone(),
@@ -57,9 +57,9 @@
             model: run.target.clone(),
             body: String::from_utf8_lossy(&self.order.outgoing.body).into_owned(),
             transcript: run.with_transcript(|t| t.clone()),
-            from: self.flight.place().cloned(),
+            placement: self.flight.placement().cloned(),
         }
-        .leaves(self.now())
+        .with_relative_deadline(self.now())
     }
 
     pub(super) fn offered(&mut self, taken_by: Option<Name>) {
--- a/daemons/entry/src/serve/run.rs
+++ b/daemons/entry/src/serve/run.rs
@@ -5,8 +5,8 @@
 
 use parking_lot::Mutex;
 use sill_base::{Map, Millis, Name};
-use sill_flight::life::{Failed, NotRun};
-use sill_flight::{Spec, Transcript};
+use sill_flight::lifecycle::{NotRunRefusal, RequestFailure};
+use sill_flight::{RequestSpec, Transcript};
 use sill_wire::claim::{BodyHash, ClaimKey};
 use sill_wire::handoff::{AnswerPart, FailedRun, FollowReply, WholeReply};
 use tokio::sync::Notify;
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct Run {
     /// What was asked for.
-    pub spec: Spec,
+    pub spec: RequestSpec,
     /// The name by which its caller can come back for it.
     pub key: ClaimKey,
     /// The content.
@@ -52,9 +52,9 @@
     /// A whole HTTP answer came from the endpoint.
     Reply(WholeReply),
     /// It was given up.
-    Failed(Failed),
+    Failed(RequestFailure),
     /// It was refused, certified as not run.
-    NotRun(NotRun),
+    NotRun(NotRunRefusal),
     /// A peer runs it now.
     Moved(Name),
     /// Nobody waits for it.
@@ -64,7 +64,7 @@
 impl Run {
     /// Begins one.
     pub fn new(
-        spec: Spec,
+        spec: RequestSpec,
         key: ClaimKey,
         body_hash: BodyHash,
         path: String,
@@ -123,7 +123,7 @@
 
     fn is_news(&self, from: u32) -> bool {
         let state = self.state.lock();
-        state.end.is_some() || state.transcript.next() > from
+        state.end.is_some() || state.transcript.next_index() > from
     }
 
     /// Returns what came since a token.
@@ -153,19 +153,19 @@
             Some(RunEnd::Reply(reply)) => reply.body.as_bytes().len(),
             _ => 0,
         };
-        state.transcript.size() + reply
+        state.transcript.size_bytes() + reply
     }
 }
 
 fn part(transcript: &Transcript, from: u32) -> AnswerPart {
-    let escaped = (from..transcript.next()).map(|i| transcript.escaped(i).to_owned());
+    let escaped = (from..transcript.next_index()).map(|i| transcript.escaped_token(i).to_owned());
     AnswerPart {
         id: transcript.id.clone(),
         created: transcript.created,
         escaped: escaped.collect(),
-        finish: transcript.finish.clone(),
+        finish: transcript.finish_reason.clone(),
         prompt_tokens: transcript.prompt_tokens,
-        whole: transcript.whole,
+        whole: transcript.is_complete,
     }
 }
 
--- a/daemons/entry/src/serve/signals.rs
+++ b/daemons/entry/src/serve/signals.rs
@@ -4,7 +4,7 @@
 
 use parking_lot::RwLock;
 use sill_base::{Map, Millis, Name};
-use sill_flight::handoff::HandedRun;
+use sill_flight::handoff::HandOffRun;
 use sill_wire::{Announcement, Incarnation};
 use tokio::sync::{mpsc, oneshot, watch};
 
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Offer {
     /// The request.
-    pub run: HandedRun,
+    pub run: HandOffRun,
     /// Where the answer goes.
     pub taken_by: oneshot::Sender<Option<Name>>,
 }
--- a/daemons/entry/src/serve/tokens.rs
+++ b/daemons/entry/src/serve/tokens.rs
@@ -17,23 +17,23 @@
         let pushed = splitter.push(part, |event| self.event(epoch, event));
         self.splitter = splitter;
         if pushed.is_err() {
-            self.events.push_back(Event::Cut { epoch });
+            self.events.push_back(Event::StreamCut { epoch });
         }
         self.order.run.wake();
     }
 
     fn event(&mut self, epoch: Epoch, event: &[u8]) {
-        match sse::kind(event) {
-            sse::Kind::Token { index, escaped } => {
+        match sse::event_kind(event) {
+            sse::EventKind::Token { index, escaped } => {
                 if self.takes_token(epoch, index) {
                     self.forward(epoch, index, escaped, event);
                 }
             }
-            sse::Kind::Done => {
+            sse::EventKind::Done => {
                 let tokens = self.closing.completion;
                 self.events.push_back(Event::Done { epoch, tokens });
             }
-            sse::Kind::Other => self.closing_piece(epoch, event),
+            sse::EventKind::Other => self.closing_piece(epoch, event),
         }
     }
 
@@ -42,7 +42,7 @@
     fn forward(&mut self, epoch: Epoch, index: u32, escaped: Option<&str>, event: &[u8]) {
         let raw = self.head_of == Some(epoch);
         let parsed = (!raw || escaped.is_none())
-            .then(|| sse::data(event).and_then(chunk::parse))
+            .then(|| sse::event_data(event).and_then(chunk::parse))
             .flatten()
             .unwrap_or_default();
         let streams = matches!(self.order.form, Form::Streamed { .. }) && self.order.sink.is_some();
@@ -66,7 +66,7 @@
     }
 
     fn closing_piece(&mut self, epoch: Epoch, event: &[u8]) {
-        let Some(data) = sse::data(event) else {
+        let Some(data) = sse::event_data(event) else {
             return;
         };
         match chunk::closing(data) {
@@ -75,7 +75,7 @@
                 self.closing.prompt = Some(prompt);
                 self.closing.completion = Some(completion);
             }
-            Closing::Error => self.events.push_back(Event::Cut { epoch }),
+            Closing::Error => self.events.push_back(Event::StreamCut { epoch }),
             Closing::Other => {}
         }
     }
@@ -85,9 +85,9 @@
         let closing = std::mem::take(&mut self.closing);
         let run = self.order.run.clone();
         run.with_transcript(|transcript| {
-            transcript.finish = closing.finish;
+            transcript.finish_reason = closing.finish;
             transcript.prompt_tokens = closing.prompt;
-            transcript.whole = true;
+            transcript.is_complete = true;
         });
         let Form::Streamed { include_usage } = self.order.form else {
             return;
--- a/daemons/entry/src/serve/upstream.rs
+++ b/daemons/entry/src/serve/upstream.rs
@@ -11,8 +11,8 @@
 use ntex::util::Bytes;
 use serde_json::{Value, json};
 use sill_base::Name;
-use sill_flight::flight::{Epoch, ResumeAt};
-use sill_flight::{Place, Transcript};
+use sill_flight::flight::{Epoch, ResumePoint};
+use sill_flight::{Placement, Transcript};
 use sill_wire::endpoint::{KvSource, Resume};
 use sill_wire::handoff::{PassedHeader, ReplyBody, WholeReply};
 use sill_wire::header;
@@ -79,17 +79,18 @@
         body.to_string().into()
     }
 
-    fn resumed_body(&self, at: &ResumeAt, transcript: &Transcript) -> Bytes {
+    fn resumed_body(&self, at: &ResumePoint, transcript: &Transcript) -> Bytes {
         let Ok(mut body) = serde_json::from_slice::<Value>(&self.body) else {
             return self.body.clone();
         };
         let kv = at
-            .kv_from
+            .kv_source
             .as_ref()
             .map(|place| KvSource { address: place.address.clone(), prefix: self.request.clone() });
         let mut emitted = transcript.tokens();
-        emitted.truncate(at.next as usize);
-        body["sill_resume"] = json!(Resume { at: at.next, emitted, kv, same_run: at.same_run });
+        emitted.truncate(at.next_index as usize);
+        body["sill_resume"] =
+            json!(Resume { at: at.next_index, emitted, kv, same_run: at.is_same_run });
         body.to_string().into()
     }
 }
@@ -100,8 +101,8 @@
         client: &Client,
         outgoing: &Outgoing,
         epoch: Epoch,
-        place: &Place,
-        resume: Option<&ResumeAt>,
+        place: &Placement,
+        resume: Option<&ResumePoint>,
         transcript: &Transcript,
         streams: bool,
     ) -> Self {
--- a/daemons/entry/src/stop.rs
+++ b/daemons/entry/src/stop.rs
@@ -27,7 +27,11 @@
         let shared = &self.shared;
         // Whoever sent the signal counts from there until it kills the process.
         let limit = shared.cfg.drain_limit - late;
-        let cfg = DrainCfg { notice: shared.cfg.drain_notice, limit, cuts_in_flight: false };
+        let cfg = DrainCfg {
+            close_delay: shared.cfg.drain_notice,
+            timeout: limit,
+            cuts_in_flight: false,
+        };
         let mut drain = Drain::new(cfg);
         let mut actions = Vec::new();
         let mut event = DrainEvent::Stop;
@@ -37,11 +41,11 @@
             drain.step(shared.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
                 match action {
-                    DrainAction::NotReady => {
+                    DrainAction::MarkNotReady => {
                         shared.stopping.store(true, Ordering::Relaxed);
                         handoff::before_limit(shared, limit);
                     }
-                    DrainAction::Close => {
+                    DrainAction::CloseListener => {
                         shared.closing.store(true, Ordering::Relaxed);
                         self.server.pause().await;
                     }
--- a/daemons/entry/tests/serving.rs
+++ b/daemons/entry/tests/serving.rs
@@ -14,9 +14,9 @@
 };
 use serde_json::{Value, json};
 use sill_base::{Millis, Name, Secret};
-use sill_flight::flight::Kind;
-use sill_flight::handoff::{HandOff, HandedRun};
-use sill_flight::{Spec, Transcript};
+use sill_flight::flight::ServiceKind;
+use sill_flight::handoff::{HandOff, HandOffRun};
+use sill_flight::{RequestSpec, Transcript};
 use sill_net::PeerClient;
 use sill_standin::answer::Answer as Expected;
 use sill_standin::{Endpoint, EndpointCfg};
@@ -481,13 +481,13 @@
     let entry = &entries(&control, 1)[0];
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("a runtime");
-    let runs: Vec<HandedRun> = (0..HANDED).map(handed).collect();
+    let runs: Vec<HandOffRun> = (0..HANDED).map(handed).collect();
     let last = runs[HANDED - 1].key.clone();
     let (taken, found) = runtime.block_on(async {
         let peer = PeerClient::new(entry.peer_address, &Secret::new(CLUSTER_KEY), Millis(5_000));
         let taken = peer.call(&HandOff { from: "e9".into(), runs }).await.expect("an answer");
         let follow = FollowRun { key: last, from: 0, wait: Millis(0) };
-        (taken.taken, peer.call(&follow).await.expect("an answer"))
+        (taken.accepted, peer.call(&follow).await.expect("an answer"))
     });
     assert_eq!(taken.len(), HANDED);
     let FollowReply::More(part) = found else {
@@ -496,17 +496,17 @@
     assert_eq!(part.escaped.len() as u32, HANDED_TOKENS);
 }
 
-fn handed(number: usize) -> HandedRun {
+fn handed(number: usize) -> HandOffRun {
     let (account, request): (Name, Name) = ("clerks".into(), format!("e9-1-{number}").into());
     let mut transcript = Transcript::default();
     (0..HANDED_TOKENS).for_each(|index| transcript.push(index, "word "));
-    HandedRun {
-        spec: Spec {
+    HandOffRun {
+        spec: RequestSpec {
             request: request.clone(),
-            kind: Kind::Model,
-            idempotent: true,
+            kind: ServiceKind::Model,
+            is_idempotent: true,
             claim: None,
-            keyed: true,
+            is_keyed: true,
             deadline: Millis(60_000),
             prompt_tokens: 18,
             max_tokens: 300,
@@ -518,6 +518,6 @@
         model: "desk-7b".into(),
         body: "{}".to_owned(),
         transcript,
-        from: None,
+        placement: None,
     }
 }
