--- a/coordination/flight/src/claims.rs
+++ b/coordination/flight/src/claims.rs
@@ -1,4 +1,5 @@
-//! The table of claims, as each control instance derives it from the replicated log.
+//! The table of claims on idempotency keys, derived by each control instance from the replicated
+//! log.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,35 +7,35 @@
 use sill_base::{Millis, Promise, keep};
 use sill_wire::claim::{BodyHash, ClaimAsk, ClaimKey, ClaimOutcome, ClaimOwner, ClaimVerdict};
 
-/// How long a claim that was given back keeps its owner from taking it again.
+/// How long the owner that released a claim can't take it again.
 ///
-/// A `Take` that was sent twice may arrive after the `Release`. It would take the key for a request
-/// that has already been refused, and every resend would get 409 for a whole retention.
-const RELEASED_KEPT: Millis = Millis(60_000);
+/// A duplicate `Take` may arrive after the `Release`. It would claim the key for a request that was
+/// already refused, and every resend would get 409 until the retention ends.
+const RELEASED_CLAIM_RETENTION: Millis = Millis(60_000);
 
-/// Bounds of a [`ClaimTable`].
+/// Memory bounds of a [`ClaimTable`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimBounds {
-    /// Claims held at once; further ones are refused.
+    /// Maximum number of claims; further ones are refused.
     #[serde(rename = "claims")]
     pub max_claims: usize,
-    /// The largest answer kept for resent requests, in bytes.
+    /// Size of the largest answer kept for resent requests, in bytes.
     #[serde(rename = "answer")]
     pub max_answer_bytes: usize,
-    /// Bytes of all kept answers; further answers are not kept, but their status code is.
+    /// Total size of the kept answers, in bytes; of further answers only the status code is kept.
     #[serde(rename = "answers")]
     pub max_total_answer_bytes: usize,
 }
 
 /// All claims that have not expired.
 ///
-/// The same asks at the same times give the same table and the same verdicts on every instance.
-/// `now` must come from the log record, never from the clock of the instance that applies it. Time
-/// that goes back, as after a change of leader, counts as standing still.
+/// The table is deterministic: the same asks at the same times give the same table and verdicts on
+/// every instance. `now` must come from the log record, never from the clock of the instance that
+/// applies it. If it goes backwards, as after a change of leader, the latest time so far is used.
 ///
-/// An ask may be repeated by its owner through any instance: a `Take` is granted again to the very
-/// same owner (entry, incarnation and request) until it is finished or released. The owner must
-/// send on the first grant only.
+/// The owner may repeat an ask through any instance: a `Take` is granted again to the same owner
+/// (entry, incarnation and request) until the claim is finished or released. The owner must send
+/// its request on the first grant only.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Snapshot", into = "Snapshot")]
 pub struct ClaimTable {
@@ -48,12 +49,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Claim {
     owner: ClaimOwner,
-    expires: Millis,
-    state: State,
+    #[serde(rename = "expires")]
+    expires_at: Millis,
+    state: ClaimState,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-enum State {
+enum ClaimState {
     Held { body: BodyHash, outcome: Option<ClaimOutcome> },
     Released,
 }
@@ -64,7 +66,7 @@
     key: ClaimKey,
 }
 
-/// The written form; JSON has no maps with structured keys.
+/// The serialized form of a table, since JSON has no maps with structured keys.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Snapshot {
     bounds: ClaimBounds,
@@ -85,25 +87,25 @@
 }
 
 impl ClaimTable {
-    /// Makes an empty table.
+    /// Makes an empty table with these bounds.
     pub fn new(bounds: ClaimBounds) -> Self {
         Self { bounds, ..Self::default() }
     }
 
-    /// Returns the number of claims held.
+    /// Returns the number of claims, including released ones that have not expired.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Returns whether no claim is held.
+    /// Returns whether the table has no claim, not even a released one.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Carries out one ask.
+    /// Applies one ask from the log, after it removed the claims that have expired by `now`.
     pub fn apply(&mut self, now: Millis, ask: &ClaimAsk) -> ClaimVerdict {
         self.now = self.now.max(now);
-        self.expire();
+        self.remove_expired();
         match ask {
             ClaimAsk::Take { key, body, owner, retention } => {
                 self.take(key, body, owner, *retention)
@@ -121,26 +123,28 @@
         retention: Millis,
     ) -> ClaimVerdict {
         match self.claims.get(key) {
-            Some(Claim { state: State::Held { body: held, .. }, .. }) if held != body => {
+            Some(Claim { state: ClaimState::Held { body: claimed_body, .. }, .. })
+                if claimed_body != body =>
+            {
                 return ClaimVerdict::BodyMismatch;
             }
-            Some(Claim { owner: holder, state: State::Held { outcome, .. }, .. }) => {
+            Some(Claim { owner: holder, state: ClaimState::Held { outcome, .. }, .. }) => {
                 if holder == owner && outcome.is_none() {
                     return ClaimVerdict::Granted;
                 }
                 return ClaimVerdict::Taken { owner: holder.clone(), outcome: outcome.clone() };
             }
-            Some(Claim { owner: holder, state: State::Released, .. }) if holder == owner => {
+            Some(Claim { owner: holder, state: ClaimState::Released, .. }) if holder == owner => {
                 return ClaimVerdict::Unavailable;
             }
-            Some(Claim { state: State::Released, .. }) => {}
+            Some(Claim { state: ClaimState::Released, .. }) => {}
             None if self.claims.len() >= self.bounds.max_claims => {
                 return ClaimVerdict::Unavailable;
             }
             None => {}
         }
-        let state = State::Held { body: body.clone(), outcome: None };
-        self.put(key, Claim { owner: owner.clone(), expires: self.now + retention, state });
+        let state = ClaimState::Held { body: body.clone(), outcome: None };
+        self.insert(key, Claim { owner: owner.clone(), expires_at: self.now + retention, state });
         ClaimVerdict::Granted
     }
 
@@ -150,23 +154,23 @@
         owner: &ClaimOwner,
         outcome: &ClaimOutcome,
     ) -> ClaimVerdict {
-        let room = self
+        let max_bytes = self
             .bounds
             .max_answer_bytes
             .min(self.bounds.max_total_answer_bytes.saturating_sub(self.answer_bytes));
         let Some(claim) = self.claims.get_mut(key) else {
             return ClaimVerdict::Done;
         };
-        let State::Held { outcome: known, .. } = &mut claim.state else {
+        let ClaimState::Held { outcome: recorded, .. } = &mut claim.state else {
             return ClaimVerdict::Done;
         };
         if claim.owner != *owner {
-            return ClaimVerdict::Taken { owner: claim.owner.clone(), outcome: known.clone() };
+            return ClaimVerdict::Taken { owner: claim.owner.clone(), outcome: recorded.clone() };
         }
-        if known.is_none() {
-            let kept = outcome.within(room);
-            self.answer_bytes += kept.size();
-            *known = Some(kept);
+        if recorded.is_none() {
+            let kept = outcome.without_large_body(max_bytes);
+            self.answer_bytes += kept.body_len();
+            *recorded = Some(kept);
         }
         ClaimVerdict::Done
     }
@@ -174,26 +178,26 @@
     fn release(&mut self, key: &ClaimKey, owner: &ClaimOwner) -> ClaimVerdict {
         let released = Claim {
             owner: owner.clone(),
-            expires: self.now + RELEASED_KEPT,
-            state: State::Released,
+            expires_at: self.now + RELEASED_CLAIM_RETENTION,
+            state: ClaimState::Released,
         };
         match self.claims.get(key) {
-            Some(Claim { owner: holder, state: State::Held { outcome, .. }, .. })
+            Some(Claim { owner: holder, state: ClaimState::Held { outcome, .. }, .. })
                 if holder != owner || outcome.is_some() =>
             {
                 ClaimVerdict::Taken { owner: holder.clone(), outcome: outcome.clone() }
             }
             None if self.claims.len() >= self.bounds.max_claims => ClaimVerdict::Done,
             _ => {
-                self.put(key, released);
+                self.insert(key, released);
                 ClaimVerdict::Done
             }
         }
     }
 
-    fn put(&mut self, key: &ClaimKey, claim: Claim) {
+    fn insert(&mut self, key: &ClaimKey, claim: Claim) {
         self.remove(key);
-        self.by_expiry.insert(Expiry { at: claim.expires, key: key.clone() });
+        self.by_expiry.insert(Expiry { at: claim.expires_at, key: key.clone() });
         self.claims.insert(key.clone(), claim);
     }
 
@@ -201,18 +205,18 @@
         let Some(claim) = self.claims.remove(key) else {
             return;
         };
-        self.by_expiry.remove(&Expiry { at: claim.expires, key: key.clone() });
-        self.answer_bytes -= claim.size();
+        self.by_expiry.remove(&Expiry { at: claim.expires_at, key: key.clone() });
+        self.answer_bytes -= claim.answer_len();
     }
 
-    fn expire(&mut self) {
+    fn remove_expired(&mut self) {
         while let Some(first) = self.by_expiry.first().filter(|e| e.at <= self.now).cloned() {
             self.remove(&first.key);
         }
         keep!(
             Promise::AtMostOnce,
             self.by_expiry.len() == self.claims.len(),
-            "{} claims, {} expiries",
+            "claim table is inconsistent: {} claims, but {} expiry entries",
             self.claims.len(),
             self.by_expiry.len()
         );
@@ -220,33 +224,33 @@
 }
 
 impl Claim {
-    fn size(&self) -> usize {
+    fn answer_len(&self) -> usize {
         match &self.state {
-            State::Held { outcome: Some(outcome), .. } => outcome.size(),
-            State::Held { outcome: None, .. } | State::Released => 0,
+            ClaimState::Held { outcome: Some(outcome), .. } => outcome.body_len(),
+            ClaimState::Held { outcome: None, .. } | ClaimState::Released => 0,
         }
     }
 }
 
-/// What a kept outcome takes up.
-trait Size: Sized {
-    fn size(&self) -> usize;
+/// Bounds the memory of a kept outcome.
+trait BoundedOutcome: Sized {
+    fn body_len(&self) -> usize;
 
-    /// Returns the outcome without its body where that is larger than `room`.
-    fn within(&self, room: usize) -> Self;
+    /// Returns the outcome, without its body if that is larger than `max_bytes`.
+    fn without_large_body(&self, max_bytes: usize) -> Self;
 }
 
-impl Size for ClaimOutcome {
-    fn size(&self) -> usize {
+impl BoundedOutcome for ClaimOutcome {
+    fn body_len(&self) -> usize {
         match self {
             Self::Answered { body, .. } => body.as_ref().map_or(0, String::len),
             Self::Unknown => 0,
         }
     }
 
-    fn within(&self, room: usize) -> Self {
+    fn without_large_body(&self, max_bytes: usize) -> Self {
         match self {
-            Self::Answered { status, .. } if self.size() > room => {
+            Self::Answered { status, .. } if self.body_len() > max_bytes => {
                 Self::Answered { status: *status, body: None }
             }
             _ => self.clone(),
@@ -258,8 +262,8 @@
     fn from(snapshot: Snapshot) -> Self {
         let mut table = Self { now: snapshot.now, ..Self::new(snapshot.bounds) };
         for SnapshotClaim { key, claim } in snapshot.claims {
-            table.answer_bytes += claim.size();
-            table.put(&key, claim);
+            table.answer_bytes += claim.answer_len();
+            table.insert(&key, claim);
         }
         table
     }
--- a/coordination/flight/src/drain.rs
+++ b/coordination/flight/src/drain.rs
@@ -1,82 +1,85 @@
-//! A planned stop: not ready first, then the listener closes, then all in flight finish.
+//! A planned stop: the process turns not ready, closes its listener, and waits for the requests in
+//! flight.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Machine, Millis, Promise, keep};
 
-/// Time limits of a planned stop.
+/// Delays and timeouts of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainCfg {
-    /// Between turning not ready and closing the listener, so that a balancer can notice.
+    /// Time between turning not ready and closing the listener, in which a load balancer can
+    /// notice it.
     #[serde(rename = "notice")]
     pub close_delay: Millis,
-    /// The longest wait for requests in flight, from the start of the stop.
+    /// How long requests in flight may take to finish, counted from the start of the stop.
     #[serde(rename = "limit")]
     pub timeout: Millis,
-    /// Ends without waiting, to show that the checks find it; set by tests only.
+    /// Exits without waiting for requests in flight, to show that the checks detect it; set by
+    /// tests only.
     #[doc(hidden)]
     pub cuts_in_flight: bool,
 }
 
-/// What happens during a stop.
+/// An event during a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DrainEvent {
-    /// The stop was asked for, or asked for again.
+    /// A stop was requested; the second request forces the exit.
     Stop,
-    /// Time went by.
+    /// The driver polled the number of requests in flight.
     Tick {
-        /// Requests in flight.
+        /// Number of requests in flight.
         in_flight: u64,
     },
 }
 
-/// What to do.
+/// An action for the driver of a planned stop to carry out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DrainAction {
-    /// Tell the balancer that no request should come; those that come are served.
+    /// Report not ready to load balancers; requests that still arrive are served.
     #[serde(rename = "NotReady")]
     MarkNotReady,
-    /// Take no new connection or request.
+    /// Accept no new connections or requests.
     #[serde(rename = "Close")]
     CloseListener,
     /// End the process.
     Exit {
-        /// Requests that are cut off.
+        /// Number of requests that are cut off.
         cut: u64,
-        /// Whether the stop had to be cut short.
+        /// Whether the exit was forced by the timeout or a second stop request.
         forced: bool,
     },
 }
 
-/// The stop of one process.
+/// The state machine of one process's planned stop.
 #[derive(Debug)]
 pub struct Drain {
     cfg: DrainCfg,
-    state: State,
+    state: DrainState,
     in_flight: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum State {
+enum DrainState {
     Serving,
-    Notice { since: Millis },
+    NotReady { since: Millis },
     Draining { since: Millis },
-    Over,
+    Stopped,
 }
 
 impl Drain {
-    /// Makes one that serves.
+    /// Makes the state machine of a process that serves.
     pub fn new(cfg: DrainCfg) -> Self {
-        Self { cfg, state: State::Serving, in_flight: 0 }
+        Self { cfg, state: DrainState::Serving, in_flight: 0 }
     }
 
     fn exit(&mut self, forced: bool, out: &mut Vec<DrainAction>) {
         keep!(
             Promise::GracefulStop,
             forced || self.in_flight == 0,
-            "{} requests in flight at the end of a stop",
+            "an unforced stop exits with {} requests in flight",
             self.in_flight
         );
-        self.state = State::Over;
+        self.state = DrainState::Stopped;
         out.push(DrainAction::Exit { cut: self.in_flight, forced });
     }
 }
@@ -90,25 +93,25 @@
             self.in_flight = in_flight;
         }
         match (self.state, event) {
-            (State::Serving, DrainEvent::Stop) => {
-                self.state = State::Notice { since: now };
+            (DrainState::Serving, DrainEvent::Stop) => {
+                self.state = DrainState::NotReady { since: now };
                 out.push(DrainAction::MarkNotReady);
             }
-            (State::Notice { .. } | State::Draining { .. }, DrainEvent::Stop) => {
+            (DrainState::NotReady { .. } | DrainState::Draining { .. }, DrainEvent::Stop) => {
                 self.exit(true, out);
             }
-            (State::Notice { since }, DrainEvent::Tick { .. })
+            (DrainState::NotReady { since }, DrainEvent::Tick { .. })
                 if now.since(since) >= self.cfg.close_delay =>
             {
-                self.state = State::Draining { since };
+                self.state = DrainState::Draining { since };
                 out.push(DrainAction::CloseListener);
             }
-            (State::Draining { .. }, DrainEvent::Tick { in_flight })
+            (DrainState::Draining { .. }, DrainEvent::Tick { in_flight })
                 if in_flight == 0 || self.cfg.cuts_in_flight =>
             {
                 self.exit(false, out);
             }
-            (State::Draining { since }, DrainEvent::Tick { .. })
+            (DrainState::Draining { since }, DrainEvent::Tick { .. })
                 if now.since(since) >= self.cfg.timeout =>
             {
                 self.exit(true, out);
--- a/coordination/flight/src/flight/cfg.rs
+++ b/coordination/flight/src/flight/cfg.rs
@@ -1,63 +1,63 @@
-//! Time limits and costs that a request's machine decides by.
+//! Timeouts and cost estimates of the request state machine.
 
 use serde::{Deserialize, Serialize};
 use sill_base::Millis;
 
-/// Settings of a request's machine.
+/// Settings of [`InFlightRequest`](super::InFlightRequest).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCfg {
-    /// Silence before the first token that counts as a stall.
+    /// Time from dispatch to the first token after which the attempt counts as stalled.
     pub first_token_timeout: Millis,
-    /// Silence between two tokens that counts as a stall.
+    /// Time between two tokens after which the attempt counts as stalled.
     pub token_timeout: Millis,
-    /// How long an accepted request without an endpoint is kept.
+    /// How long the search for an endpoint for an accepted request lasts before the request fails.
     #[serde(rename = "route_patience")]
     pub route_timeout: Millis,
-    /// The shortest pause before the router is asked again.
+    /// First backoff before the router is called again; it doubles with each refusal.
     #[serde(rename = "route_pause")]
     pub min_route_backoff: Millis,
-    /// Failed attempts in a row without a new token.
+    /// Consecutive failed attempts without a new token after which the request fails.
     pub max_failures: u32,
-    /// Time kept in hand before an announced reclaim.
+    /// Time by which an answer or a transfer must end before the announced reclaim.
     #[serde(rename = "margin")]
     pub reclaim_margin: Millis,
-    /// Microseconds to move the KV cache of one token.
+    /// Microseconds to transfer the KV cache of one token.
     pub kv_us_per_token: u64,
-    /// Microseconds to compute a prompt token.
+    /// Microseconds to prefill one token.
     pub prefill_us_per_token: u64,
-    /// Milliseconds between two tokens, until they were seen.
+    /// Assumed time between two tokens until an attempt has received two to measure it by.
     #[serde(rename = "decode")]
     pub token_interval: Millis,
-    /// One line left out, to show that the checks find it; set by tests only.
+    /// Disables one rule, to show that the checks detect it; set by tests only.
     #[doc(hidden)]
     pub weakening: Option<Weakening>,
 }
 
-/// One-line faults that tests put in.
+/// Rules that tests disable one at a time.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Weakening {
-    /// Chunks of abandoned attempts are forwarded.
+    /// Tokens of stale attempts are forwarded.
     ForwardLate,
-    /// Tokens that the caller has already are forwarded again.
+    /// Tokens that the caller already has are forwarded again.
     ForwardRepeats,
-    /// Missing tokens are not noticed.
+    /// Missing tokens are not detected.
     SkipGaps,
-    /// An answer that was cut counts as finished.
+    /// An answer that ends without its end marker counts as complete.
     EndWithoutMarker,
-    /// A request that was moved counts as never sent.
+    /// A request that is moved to another endpoint counts as not sent by the earlier attempt.
     MoveIsUnsent,
-    /// A cut attempt counts as one that never connected.
+    /// An attempt whose stream was cut counts as one that never connected.
     CutIsUnsent,
-    /// A non-idempotent request is sent again after a cut.
+    /// A non-idempotent request is sent again after its attempt was lost.
     RepeatNonIdempotent,
-    /// A claim that another one holds counts as granted.
+    /// A claim held by another owner counts as granted.
     IgnoreTaken,
     /// A claim whose verdict is unknown counts as granted.
     IgnoreUnavailable,
-    /// A request is given up when its endpoint is reclaimed.
+    /// A request fails when its endpoint is reclaimed.
     GiveUpOnReclaim,
-    /// A request is given up when no endpoint is free at once.
+    /// A request fails when no endpoint is free at once.
     NoPatience,
 }
 
--- a/coordination/flight/src/flight/event.rs
+++ b/coordination/flight/src/flight/event.rs
@@ -1,4 +1,4 @@
-//! What a request's machine hears, and what it wants done.
+//! Events that the request state machine receives, and actions that it returns.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Millis, Name};
@@ -7,94 +7,95 @@
 
 use crate::lifecycle::{NotRunRefusal, RequestFailure};
 
-/// What is asked for, and under which terms.
+/// A request and the terms under which it runs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RequestSpec {
-    /// The request.
+    /// The request's id.
     pub request: Name,
-    /// What serves it.
+    /// The kind of service that answers it.
     pub kind: ServiceKind,
-    /// Whether it may be run more than once.
+    /// Whether it may run more than once.
     #[serde(rename = "idempotent")]
     pub is_idempotent: bool,
-    /// The claim that it needs before it is sent.
+    /// The claim that must be granted before it is sent.
     pub claim: Option<ClaimSpec>,
-    /// Whether it runs on when its caller goes away, because the caller can come back for it.
+    /// Whether it keeps running after its caller disconnects, since the caller can fetch the answer
+    /// later by its key.
     #[serde(rename = "keyed")]
     pub is_keyed: bool,
-    /// When the whole answer has to be there.
+    /// When the answer must be complete, on the clock of the entry instance.
     pub deadline: Millis,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer at most.
+    /// Maximum number of tokens of the answer.
     pub max_tokens: u32,
 }
 
-/// What serves a request.
+/// The kind of service that answers a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceKind {
     /// A model; its answer can be resumed at any token.
     Model,
-    /// A plain service; its answer comes whole or not at all.
+    /// A plain service; its answer arrives complete or not at all, and can't be resumed.
     Plain,
 }
 
-/// A claim to be taken.
+/// The claim on an idempotency key that a request needs before it is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimSpec {
-    /// The key.
+    /// The idempotency key.
     pub key: ClaimKey,
-    /// The content.
+    /// Hash of method, path and body; a resend with another hash is refused.
     pub body: BodyHash,
-    /// Who would own it.
+    /// The entry instance and request that would own the claim.
     pub owner: ClaimOwner,
-    /// How long it is kept.
+    /// How long the claim is kept after it was granted.
     pub retention: Millis,
 }
 
-/// A chosen endpoint.
+/// The endpoint that the router chose for an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// The endpoint.
+    /// The endpoint's name.
     pub endpoint: Name,
-    /// Its life.
+    /// The incarnation that was chosen; a restarted endpoint has another one.
     pub incarnation: Incarnation,
-    /// Where it takes requests, `IP:PORT`.
+    /// The address at which it accepts requests, `IP:PORT`.
     pub address: Name,
-    /// Prompt tokens that it is thought to hold already.
+    /// Estimated number of prompt tokens in its prefix cache.
     pub cached_tokens: u64,
 }
 
-/// Numbers the attempts of a request, from 1.
+/// The number of an attempt, counted from 1 for each request.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Epoch(pub u32);
 
-/// What happened to a request.
+/// An event that the state machine of a request handles.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// The account is within its limit.
+    /// The client account is within its limit.
     Admitted,
-    /// The account is over its limit.
+    /// The client account is over its limit.
     #[serde(rename = "Limited")]
     LimitExceeded {
-        /// When to come back.
+        /// When the caller may retry.
         retry_after: Millis,
     },
-    /// The claims' log answered.
+    /// The claims' log answered an [`Action::TakeClaim`].
     Claimed(ClaimVerdict),
     /// The router chose an endpoint.
     Routed(Placement),
-    /// The router has none now.
+    /// The router has no endpoint for the request now.
     NoRoute {
-        /// Whether the deadline is the reason.
+        /// Whether the reason is that no endpoint can meet the deadline.
         deadline: bool,
-        /// When to come back.
+        /// When the caller may retry.
         retry_after: Millis,
     },
-    /// The endpoint took no connection, so that no byte of this attempt left.
+    /// The endpoint accepted no connection, so no byte of this attempt was sent.
     ConnectFailed {
         /// The attempt.
         epoch: Epoch,
@@ -106,18 +107,18 @@
         /// The status code.
         status: u16,
     },
-    /// A token of the answer came.
+    /// A token of the answer arrived.
     Token {
         /// The attempt.
         epoch: Epoch,
-        /// Its index.
+        /// The token's index in the answer, from 0.
         index: u32,
     },
-    /// The end marker came.
+    /// The end marker of the answer arrived.
     Done {
         /// The attempt.
         epoch: Epoch,
-        /// Tokens of the whole answer, where the endpoint counted them.
+        /// Number of tokens of the complete answer, if the endpoint reported it.
         tokens: Option<u32>,
     },
     /// The answer ended without its end marker.
@@ -126,151 +127,154 @@
         /// The attempt.
         epoch: Epoch,
     },
-    /// An endpoint was given notice.
+    /// An endpoint received a reclaim notice.
     #[serde(rename = "Leaving")]
     EndpointLeaving {
         /// The endpoint.
         endpoint: Name,
-        /// Its life.
+        /// The incarnation that is leaving.
         incarnation: Incarnation,
-        /// Time left.
+        /// Time until the endpoint is gone.
         #[serde(rename = "left")]
         time_left: Millis,
     },
-    /// The caller's connection is gone.
+    /// The caller's connection was closed or lost.
     #[serde(rename = "CallerGone")]
     CallerDisconnected,
-    /// This instance takes the request over from another one.
+    /// This instance takes the request over from another entry instance.
     TakenOver {
-        /// The endpoint that ran it.
+        /// The endpoint that ran it, if one did at the hand-off.
         from: Option<Placement>,
     },
-    /// Time went by.
+    /// The time of [`InFlightRequest::wake_at`](super::InFlightRequest::wake_at) has passed.
     Tick,
 }
 
-/// What has to be done.
+/// An action for the driver of the state machine to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Ask the claims' log, and hand its verdict back as [`Event::Claimed`].
+    /// Send the claim to the claims' log, and return its verdict as [`Event::Claimed`].
     TakeClaim(ClaimAsk),
-    /// Tell the claims' log, until it has heard.
+    /// Send the outcome or release of the claim to the claims' log, and retry until it is
+    /// acknowledged.
     SettleClaim(ClaimAsk),
-    /// Choose an endpoint.
+    /// Choose an endpoint, and return it as [`Event::Routed`] or [`Event::NoRoute`].
     Route {
-        /// Endpoints that must not be chosen.
+        /// Endpoints to leave out.
         exclude: Vec<Name>,
-        /// Tokens to compute at most.
+        /// Number of tokens to prefill, if none is in a prefix cache.
         prompt_tokens: u64,
-        /// Tokens still wanted.
+        /// Maximum number of tokens still to generate.
         max_tokens: u32,
     },
-    /// Send the request.
+    /// Send the request to an endpoint.
     Dispatch {
         /// The attempt.
         epoch: Epoch,
-        /// Where to.
+        /// The endpoint to send to.
         placement: Placement,
-        /// Where to go on, if tokens were sent to the caller.
+        /// Where the attempt continues; none if it starts from the beginning.
         resume: Option<ResumePoint>,
     },
-    /// Stop reading an attempt, and let its endpoint know.
+    /// Stop reading the stream of an attempt, and cancel it at its endpoint.
     Cancel {
         /// The attempt.
         epoch: Epoch,
     },
-    /// An endpoint is no longer busy with the request.
+    /// Record that an endpoint no longer runs the request.
     ReleaseEndpoint {
         /// The endpoint.
         endpoint: Name,
-        /// How it ended there.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
     },
-    /// Send the token that just came to the caller.
+    /// Forward the token of the current event to the caller.
     ForwardToken,
-    /// Drop what just came.
+    /// Drop the chunk of the current event.
     Drop(DropReason),
-    /// Count tokens that are computed again.
+    /// Count tokens that are recomputed.
     CountRecomputed {
-        /// Why.
+        /// Why they are recomputed.
         cause: RecomputeCause,
-        /// How many, as far as this instance can tell.
+        /// Number of tokens, by the estimate of what the endpoint has in its prefix cache.
         tokens: u64,
     },
-    /// The key is taken: find its answer, or say that it is unknown.
+    /// Attach the caller to the request that holds the key, or answer that its outcome is unknown.
     Attach {
-        /// Who holds it.
+        /// The owner of the claim.
         owner: ClaimOwner,
-        /// What came of it.
+        /// The recorded outcome, if the request has ended.
         outcome: Option<ClaimOutcome>,
     },
-    /// The answer is whole.
+    /// End the answer to the caller; it is complete.
     Finish,
-    /// Pass the endpoint's error answer on.
+    /// Forward the endpoint's error response to the caller.
     ForwardError,
-    /// Refuse the request, certified as not run.
+    /// Refuse the request, and certify that it was not run.
     Refuse(NotRunRefusal),
-    /// Give the request up.
+    /// Fail the request; whether it was run is unknown to the caller.
     Fail(RequestFailure),
-    /// Nobody waits for the answer any more.
+    /// Drop the request, since its caller has disconnected.
     Abandon,
 }
 
-/// Where an attempt goes on.
+/// Where an attempt continues.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumePoint {
-    /// The index of the first token that is wanted.
+    /// Index of the first token to generate.
     #[serde(rename = "next")]
     pub next_index: u32,
-    /// Exported KV cache to import.
+    /// The endpoint from which to import exported KV cache.
     #[serde(rename = "kv_from")]
     pub kv_source: Option<Placement>,
-    /// Whether the endpoint must refuse rather than compute anything again.
+    /// Whether the endpoint must refuse rather than recompute tokens; set for requests that are not
+    /// idempotent.
     #[serde(rename = "same_run")]
     pub is_same_run: bool,
 }
 
-/// How a request ended at an endpoint.
+/// How an attempt ended at its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AttemptOutcome {
-    /// The whole answer came.
+    /// The complete answer arrived, or an error response that is forwarded to the caller.
     Finished,
-    /// It was moved or is no longer wanted.
+    /// The attempt was cancelled: the request was moved, the stream stalled or lost tokens, or the
+    /// answer is no longer needed.
     Cancelled,
-    /// The endpoint failed.
+    /// The endpoint refused the connection, cut the stream or returned an error.
     Failed,
 }
 
-/// Why something that came was dropped.
+/// Why a chunk was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DropReason {
-    /// It belongs to an abandoned attempt.
+    /// It belongs to an earlier attempt.
     StaleAttempt,
-    /// The caller has this token already.
+    /// The caller already has this token.
     DuplicateToken,
 }
 
-/// Why tokens are computed again.
+/// Why tokens are recomputed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RecomputeCause {
-    /// The endpoint was given notice.
+    /// The endpoint received a reclaim notice.
     Reclaim,
-    /// The endpoint's answer was cut.
+    /// The endpoint's stream ended without its end marker.
     Cut,
-    /// The endpoint fell silent.
+    /// The endpoint sent no token within the timeout.
     Stalled,
-    /// Tokens were missing in the endpoint's answer.
+    /// Tokens were missing from the endpoint's answer.
     Gap,
-    /// The endpoint answered with an error.
+    /// The endpoint answered with an error status.
     Rejected,
     /// Another entry instance handed the request over.
     HandOff,
-    /// The key's home was gone, so that a keyed request may have run twice.
+    /// The home instance of the key was lost, so a keyed request may have run twice.
     HomeLost,
 }
 
 impl RecomputeCause {
-    /// Every cause.
+    /// Every cause, in the order of the variants.
     pub const ALL: [Self; 7] = [
         Self::Reclaim,
         Self::Cut,
--- a/coordination/flight/src/flight/search.rs
+++ b/coordination/flight/src/flight/search.rs
@@ -1,4 +1,4 @@
-//! The search for an endpoint, and what a new attempt begins with.
+//! The search for an endpoint, and the dispatch of a new attempt.
 
 use rand::Rng as _;
 use sill_base::{Millis, Promise, keep};
@@ -6,43 +6,45 @@
 
 use super::cfg::Weakening;
 use super::event::{Action, AttemptOutcome, Epoch, Placement, RecomputeCause};
-use super::{Attempt, COME_BACK, InFlightRequest, LONGEST_PAUSE, Search, Stage};
+use super::{
+    Attempt, DEFAULT_RETRY_AFTER, EndpointSearch, InFlightRequest, MAX_ROUTE_BACKOFF, Stage,
+};
 use crate::lifecycle::ConnectFailureState;
 
 impl InFlightRequest {
-    pub(super) fn search(
+    pub(super) fn start_search(
         &mut self,
         now: Millis,
         cause: Option<RecomputeCause>,
         out: &mut Vec<Action>,
     ) {
-        let pause = self.cfg.min_route_backoff;
-        // Until the router has answered there is nothing to try again.
+        let backoff = self.cfg.min_route_backoff;
+        // No retry is due until the router has answered.
         let retry_at = Millis::MAX;
-        self.search = Some(Search { cause, since: now, pause, retry_at });
-        self.route(out);
+        self.search = Some(EndpointSearch { cause, started_at: now, backoff, retry_at });
+        self.request_route(out);
     }
 
-    /// Goes on with a search whose endpoint could not be reached.
-    fn search_on(&mut self, now: Millis, search: Search, out: &mut Vec<Action>) {
-        self.search = Some(Search { retry_at: Millis::MAX, ..search });
-        if now.since(search.since) >= self.cfg.route_timeout {
+    /// Resumes a search whose endpoint refused the connection; its start time and backoff stay.
+    fn continue_search(&mut self, now: Millis, search: EndpointSearch, out: &mut Vec<Action>) {
+        self.search = Some(EndpointSearch { retry_at: Millis::MAX, ..search });
+        if now.since(search.started_at) >= self.cfg.route_timeout {
             let message = "no endpoint can go on with the request";
-            self.give_up(now, ErrorCode::NoCapacity, message, COME_BACK, out);
+            self.give_up(now, ErrorCode::NoCapacity, message, DEFAULT_RETRY_AFTER, out);
             return;
         }
-        self.route(out);
+        self.request_route(out);
     }
 
-    pub(super) fn route(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn request_route(&mut self, out: &mut Vec<Action>) {
         out.push(Action::Route {
-            exclude: self.excluded.clone(),
-            prompt_tokens: self.spec.prompt_tokens + u64::from(self.next),
-            max_tokens: self.spec.max_tokens.saturating_sub(self.next),
+            exclude: self.excluded_endpoints.clone(),
+            prompt_tokens: self.spec.prompt_tokens + u64::from(self.next_index),
+            max_tokens: self.spec.max_tokens.saturating_sub(self.next_index),
         });
     }
 
-    pub(super) fn no_route(
+    pub(super) fn on_no_route(
         &mut self,
         now: Millis,
         deadline: bool,
@@ -52,10 +54,10 @@
         let Some(search) = &mut self.search else {
             return;
         };
-        // An endpoint that failed once is better than none.
-        self.excluded.clear();
+        // An endpoint that failed before is better than none.
+        self.excluded_endpoints.clear();
         if let Some(attempt) = &self.attempt {
-            self.excluded.push(attempt.place.endpoint.clone());
+            self.excluded_endpoints.push(attempt.placement.endpoint.clone());
         }
         if !matches!(self.stage, Stage::Dispatched(_)) {
             let (code, message) = if deadline {
@@ -66,117 +68,117 @@
             self.give_up(now, code, message, retry_after, out);
             return;
         }
-        // Pauses differ, so that the requests of a lost failure domain don't all come back at once.
-        let jitter = self.rng.random_range(0..=search.pause.0);
-        search.retry_at = now + search.pause + Millis(jitter);
-        search.pause = (search.pause * 2).min(LONGEST_PAUSE);
-        let waited = now.since(search.since) >= self.cfg.route_timeout;
-        let lost = self.attempt.is_none();
-        if lost && (waited || self.weakened(Weakening::NoPatience)) {
+        // The jitter keeps the requests of a lost failure domain from retrying all at once.
+        let jitter = self.rng.random_range(0..=search.backoff.0);
+        search.retry_at = now + search.backoff + Millis(jitter);
+        search.backoff = (search.backoff * 2).min(MAX_ROUTE_BACKOFF);
+        let is_timed_out = now.since(search.started_at) >= self.cfg.route_timeout;
+        let has_no_attempt = self.attempt.is_none();
+        if has_no_attempt && (is_timed_out || self.has_weakening(Weakening::NoPatience)) {
             let message = "no endpoint can go on with the request";
             self.give_up(now, ErrorCode::NoCapacity, message, retry_after, out);
         }
     }
 
-    pub(super) fn routed(&mut self, now: Millis, place: Placement, out: &mut Vec<Action>) {
+    pub(super) fn on_routed(&mut self, now: Millis, placement: Placement, out: &mut Vec<Action>) {
         let Some(search) = self.search.take() else {
-            // The answer became whole while the router was asked.
+            // The request ended while the router was choosing.
             out.push(Action::ReleaseEndpoint {
-                endpoint: place.endpoint,
+                endpoint: placement.endpoint,
                 outcome: AttemptOutcome::Cancelled,
             });
             return;
         };
-        let life = match std::mem::replace(&mut self.stage, Stage::Over) {
-            Stage::Admitted(life) => life.dispatch(),
-            Stage::Claimed(life) => life.dispatch(),
-            Stage::Dispatched(life)
-                if self.attempt.is_some() && !self.weakened(Weakening::MoveIsUnsent) =>
+        let lifecycle = match std::mem::replace(&mut self.stage, Stage::Finished) {
+            Stage::Admitted(lifecycle) => lifecycle.dispatch(),
+            Stage::Claimed(lifecycle) => lifecycle.dispatch(),
+            Stage::Dispatched(lifecycle)
+                if self.attempt.is_some() && !self.has_weakening(Weakening::MoveIsUnsent) =>
             {
-                life.mark_sent()
+                lifecycle.mark_sent()
             }
-            Stage::Dispatched(life) => life,
-            stage @ (Stage::Received(_) | Stage::Over) => {
+            Stage::Dispatched(lifecycle) => lifecycle,
+            stage @ (Stage::Received(_) | Stage::Finished) => {
                 self.stage = stage;
                 return;
             }
         };
-        let resume = self.resume_at(&life, &place, search.cause, out);
+        let resume = self.resume_point(&lifecycle, &placement, search.cause, out);
         keep!(
             Promise::AtMostOnce,
             self.spec.is_idempotent
-                || !life.may_have_sent()
+                || !lifecycle.may_have_sent()
                 || resume.as_ref().is_some_and(|r| r.is_same_run),
-            "{} would be sent to {} as well",
+            "non-idempotent request {} would be sent to a second endpoint, {}",
             self.spec.request,
-            place.endpoint
+            placement.endpoint
         );
-        self.drop_attempt(AttemptOutcome::Cancelled, out);
-        self.stage = Stage::Dispatched(life);
+        self.end_attempt(AttemptOutcome::Cancelled, out);
+        self.stage = Stage::Dispatched(lifecycle);
         self.epoch.0 += 1;
         let epoch = self.epoch;
         self.attempt = Some(Attempt {
             epoch,
-            place: place.clone(),
-            began: now,
-            first_token: None,
-            heard: now,
+            placement: placement.clone(),
+            started_at: now,
+            first_token_at: None,
+            last_token_at: now,
             tokens: 0,
-            stays: false,
+            stays_on_endpoint: false,
             search,
-            kv_from: resume.as_ref().and_then(|r| r.kv_source.clone()),
+            kv_source: resume.as_ref().and_then(|r| r.kv_source.clone()),
         });
-        out.push(Action::Dispatch { epoch, placement: place, resume });
+        out.push(Action::Dispatch { epoch, placement, resume });
     }
 
-    pub(super) fn connect_failed(&mut self, now: Millis, epoch: Epoch, out: &mut Vec<Action>) {
+    pub(super) fn on_connect_failed(&mut self, now: Millis, epoch: Epoch, out: &mut Vec<Action>) {
         if !self.is_current(epoch) {
             return;
         }
-        self.exclude_current();
+        self.exclude_current_endpoint();
         let attempt = self.attempt.as_ref();
         let search = attempt.map(|a| a.search);
-        // Nothing was moved, so the next attempt can still import from the same source.
-        self.kv_from = attempt.and_then(|a| a.kv_from.clone());
-        self.drop_attempt(AttemptOutcome::Failed, out);
-        self.stage = match std::mem::replace(&mut self.stage, Stage::Over) {
-            Stage::Dispatched(life) => match life.revert_failed_connect() {
-                ConnectFailureState::Admitted(life) => Stage::Admitted(life),
-                ConnectFailureState::Claimed(life) => Stage::Claimed(life),
-                ConnectFailureState::Dispatched(life) => Stage::Dispatched(life),
+        // The KV cache was not transferred, so the next attempt can import from the same source.
+        self.kv_source = attempt.and_then(|a| a.kv_source.clone());
+        self.end_attempt(AttemptOutcome::Failed, out);
+        self.stage = match std::mem::replace(&mut self.stage, Stage::Finished) {
+            Stage::Dispatched(lifecycle) => match lifecycle.revert_failed_connect() {
+                ConnectFailureState::Admitted(lifecycle) => Stage::Admitted(lifecycle),
+                ConnectFailureState::Claimed(lifecycle) => Stage::Claimed(lifecycle),
+                ConnectFailureState::Dispatched(lifecycle) => Stage::Dispatched(lifecycle),
             },
             stage => stage,
         };
-        // Dead endpoints look free until their lease ends. While the live ones are full, a request
-        // that was accepted would be sent to one dead endpoint after the other and be given up
-        // within a second; that nothing ran there must not count against it.
+        // A dead endpoint looks free until its lease expires. While the live ones are full, an
+        // accepted request is sent to one dead endpoint after another; if each connect failure
+        // counted as a failed attempt, the request would fail within a second although nothing ran.
         match search.filter(|_| matches!(self.stage, Stage::Dispatched(_))) {
-            Some(search) => self.search_on(now, search, out),
-            None => self.failed(now, search.and_then(|s| s.cause), out),
+            Some(search) => self.continue_search(now, search, out),
+            None => self.retry_or_fail(now, search.and_then(|s| s.cause), out),
         }
     }
 
-    pub(super) fn exclude_current(&mut self) {
+    pub(super) fn exclude_current_endpoint(&mut self) {
         let Some(attempt) = &self.attempt else {
             return;
         };
-        if !self.excluded.contains(&attempt.place.endpoint) {
-            self.excluded.push(attempt.place.endpoint.clone());
+        if !self.excluded_endpoints.contains(&attempt.placement.endpoint) {
+            self.excluded_endpoints.push(attempt.placement.endpoint.clone());
         }
     }
 
-    pub(super) fn failed(
+    pub(super) fn retry_or_fail(
         &mut self,
         now: Millis,
         cause: Option<RecomputeCause>,
         out: &mut Vec<Action>,
     ) {
-        self.failures += 1;
-        if self.failures >= self.cfg.max_failures {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= self.cfg.max_failures {
             let message = "one endpoint after the other failed the request";
-            self.give_up(now, ErrorCode::UpstreamFailed, message, COME_BACK, out);
+            self.give_up(now, ErrorCode::UpstreamFailed, message, DEFAULT_RETRY_AFTER, out);
             return;
         }
-        self.search(now, cause, out);
+        self.start_search(now, cause, out);
     }
 }
--- a/coordination/flight/src/handoff.rs
+++ b/coordination/flight/src/handoff.rs
@@ -1,4 +1,4 @@
-//! What an entry instance that is reclaimed gives to a peer: all that a request needs to go on.
+//! The messages by which a reclaimed entry instance hands its requests over to a peer.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Millis, Name};
@@ -8,43 +8,43 @@
 use crate::flight::{Placement, RequestSpec};
 use crate::transcript::Transcript;
 
-/// Requests handed to a peer. A peer that answers has all that it names, and runs them.
+/// A batch of requests for a peer to take over. The peer runs all requests that its reply lists.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HandOff {
     /// The entry instance that is leaving.
     pub from: Name,
-    /// The requests.
+    /// The requests to take over.
     pub runs: Vec<HandOffRun>,
 }
 
-/// One request on its way to a peer.
+/// One request to take over, with all that is needed to continue it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HandOffRun {
-    /// What was asked for; its deadline is the time left.
+    /// The request and its terms. In the message its deadline is the time left.
     pub spec: RequestSpec,
-    /// The client account.
+    /// The client account that sent the request.
     pub account: Name,
-    /// The name by which its caller can come back for it.
+    /// The key by which the caller can fetch the answer from the peer.
     pub key: ClaimKey,
-    /// The content.
+    /// Hash of method, path and body; a caller that presents the key with another hash is refused.
     pub body_hash: BodyHash,
-    /// The path that was called.
+    /// The HTTP path of the request.
     pub path: String,
-    /// The model.
+    /// The model that answers the request.
     pub model: Name,
-    /// The body for the endpoint.
+    /// The request body to send to the endpoint.
     pub body: String,
-    /// What its caller has.
+    /// The part of the answer that was sent to the caller.
     pub transcript: Transcript,
-    /// The endpoint that ran it.
+    /// The endpoint that ran the request at the hand-off, if any.
     #[serde(rename = "from")]
     pub placement: Option<Placement>,
 }
 
-/// The requests that the peer took over.
+/// The reply to a [`HandOff`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandOffReply {
-    /// Their names.
+    /// Ids of the requests that the peer runs now.
     #[serde(rename = "taken")]
     pub accepted: Vec<Name>,
 }
@@ -56,13 +56,14 @@
 }
 
 impl HandOffRun {
-    /// Turns the deadline into the time left, since clocks of two instances differ.
+    /// Replaces the deadline by the time left, since the clocks of two instances differ.
     pub fn with_relative_deadline(mut self, now: Millis) -> Self {
         self.spec.deadline = self.spec.deadline - now;
         self
     }
 
-    /// Turns the time left into a deadline on the clock of the instance that takes it over.
+    /// Replaces the time left by a deadline on the clock of the instance that takes the request
+    /// over.
     pub fn with_absolute_deadline(mut self, now: Millis) -> Self {
         self.spec.deadline = self.spec.deadline + now;
         self
--- a/coordination/flight/src/home.rs
+++ b/coordination/flight/src/home.rs
@@ -1,4 +1,5 @@
-//! The home of a key: the one entry instance of a failure domain that knows where it runs.
+//! The home of an idempotency key: the entry instance of a failure domain that records where the
+//! request with the key runs.
 
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
@@ -7,8 +8,8 @@
 use sill_wire::claim::{BodyHash, ClaimKey};
 use sill_wire::handoff::{Location, RunAt};
 
-/// Returns the member that is home to a key, by rendezvous hashing: when a member goes, only its
-/// own keys move.
+/// Returns the home of a key among the members, by rendezvous hashing: when a member is removed,
+/// only its own keys get another home.
 pub fn home_member<'a, T>(key: &ClaimKey, members: &'a [T]) -> Option<&'a T>
 where
     T: Hash,
@@ -16,47 +17,48 @@
     members.iter().max_by_key(|member| {
         let mut hasher = rustc_hash::FxHasher::default();
         (key, member).hash(&mut hasher);
-        mix(hasher.finish())
+        mix_bits(hasher.finish())
     })
 }
 
-/// The fast hasher's low bits of similar names are alike; without this a member would be home to
-/// far more keys than others.
-fn mix(mut x: u64) -> u64 {
+/// Mixes the bits of a hash. The low bits of the fast hasher are similar for similar names;
+/// unmixed, one member would be the home of far more keys than the others.
+fn mix_bits(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// Where keyed requests run, as their home knows it. Bounded; the oldest are forgotten first.
+/// Where keyed requests run, as recorded by the home of their keys. Bounded; the oldest records are
+/// evicted first.
 #[derive(Debug)]
 pub struct RunDirectory {
     capacity: usize,
     retention: Millis,
-    runs: Map<ClaimKey, Located>,
-    by_age: VecDeque<Aged>,
+    runs: Map<ClaimKey, RunRecord>,
+    insertion_order: VecDeque<AgeEntry>,
 }
 
 #[derive(Debug, Clone)]
-struct Located {
+struct RunRecord {
     run: RunAt,
     body: BodyHash,
     at: Millis,
 }
 
 #[derive(Debug)]
-struct Aged {
+struct AgeEntry {
     at: Millis,
     key: ClaimKey,
 }
 
 impl RunDirectory {
-    /// Makes an empty directory.
+    /// Makes an empty directory that holds `capacity` records, each for at most `retention`.
     pub fn new(capacity: usize, retention: Millis) -> Self {
-        Self { capacity, retention, runs: Map::default(), by_age: VecDeque::new() }
+        Self { capacity, retention, runs: Map::default(), insertion_order: VecDeque::new() }
     }
 
-    /// Looks a key up, and notes the asker where it is new.
+    /// Looks up where a key runs; if it is new, records the asker as the one that runs it.
     pub fn locate(
         &mut self,
         now: Millis,
@@ -64,11 +66,11 @@
         body: &BodyHash,
         asker: RunAt,
     ) -> Location {
-        self.forget_old(now);
+        self.evict_expired(now);
         match self.runs.get(key) {
-            Some(located) if located.body != *body => Location::BodyMismatch,
-            Some(located) if located.run == asker => Location::New,
-            Some(located) => Location::At(located.run.clone()),
+            Some(record) if record.body != *body => Location::BodyMismatch,
+            Some(record) if record.run == asker => Location::New,
+            Some(record) => Location::At(record.run.clone()),
             None => {
                 self.record_run(now, key, body, asker);
                 Location::New
@@ -76,35 +78,35 @@
         }
     }
 
-    /// Notes that a request runs elsewhere now.
+    /// Records where a request runs, in place of an earlier record.
     pub fn record_run(&mut self, now: Millis, key: &ClaimKey, body: &BodyHash, run: RunAt) {
-        let located = Located { run, body: body.clone(), at: now };
-        self.runs.insert(key.clone(), located);
-        self.by_age.push_back(Aged { at: now, key: key.clone() });
-        while self.by_age.len() > self.capacity {
-            self.forget_oldest();
+        let record = RunRecord { run, body: body.clone(), at: now };
+        self.runs.insert(key.clone(), record);
+        self.insertion_order.push_back(AgeEntry { at: now, key: key.clone() });
+        while self.insertion_order.len() > self.capacity {
+            self.evict_oldest();
         }
     }
 
-    /// Forgets a key whose request was refused, so that it can be sent again.
+    /// Removes the record of a request that was refused, so that the request can be sent again.
     pub fn remove(&mut self, key: &ClaimKey, run: &RunAt) {
-        if self.runs.get(key).is_some_and(|located| located.run == *run) {
+        if self.runs.get(key).is_some_and(|record| record.run == *run) {
             self.runs.remove(key);
         }
     }
 
-    fn forget_old(&mut self, now: Millis) {
-        while self.by_age.front().is_some_and(|aged| aged.at + self.retention <= now) {
-            self.forget_oldest();
+    fn evict_expired(&mut self, now: Millis) {
+        while self.insertion_order.front().is_some_and(|oldest| oldest.at + self.retention <= now) {
+            self.evict_oldest();
         }
     }
 
-    fn forget_oldest(&mut self) {
-        let Some(aged) = self.by_age.pop_front() else {
+    fn evict_oldest(&mut self) {
+        let Some(oldest) = self.insertion_order.pop_front() else {
             return;
         };
-        if self.runs.get(&aged.key).is_some_and(|located| located.at == aged.at) {
-            self.runs.remove(&aged.key);
+        if self.runs.get(&oldest.key).is_some_and(|record| record.at == oldest.at) {
+            self.runs.remove(&oldest.key);
         }
     }
 }
--- a/coordination/flight/src/journal.rs
+++ b/coordination/flight/src/journal.rs
@@ -1,69 +1,70 @@
-//! A bounded journal of what became of requests, and why.
+//! A bounded journal of the steps of recent requests, with reasons.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Map, Millis, Name};
 
-/// Steps kept for one request; the first and the last matter most, so the middle is dropped.
+/// Maximum number of steps kept per request. The first and last steps explain most, so steps in the
+/// middle are dropped.
 const MAX_STEPS: usize = 64;
 
-/// One step of a request's life.
+/// One step in the lifecycle of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestStep {
     /// Milliseconds since the request was received.
     pub at: Millis,
-    /// What happened, and why.
+    /// What happened and why, as text for people.
     pub what: String,
 }
 
-/// All that is known of a request.
+/// The journal record of one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// The client account.
+    /// The client account that sent the request.
     pub account: Name,
-    /// What was asked for.
+    /// The model or service that was requested.
     pub target: Name,
-    /// When it was received, on the entry's clock.
+    /// When the request was received, on the clock of the entry instance.
     #[serde(rename = "received")]
     pub received_at: Millis,
-    /// Its steps in order.
+    /// The steps in order of time.
     pub steps: Vec<RequestStep>,
-    /// Steps that were dropped from the middle.
+    /// Number of steps that were dropped from the middle.
     #[serde(rename = "dropped")]
     pub dropped_steps: u32,
 }
 
-/// Records of the newest requests.
+/// Records of the most recent requests.
 #[derive(Debug)]
 pub struct Journal {
     capacity: usize,
     records: Map<Name, RequestRecord>,
-    by_age: VecDeque<Name>,
+    insertion_order: VecDeque<Name>,
 }
 
 impl Journal {
-    /// Makes an empty journal for that many requests.
+    /// Makes an empty journal that holds `capacity` requests.
     pub fn new(capacity: usize) -> Self {
-        Self { capacity, records: Map::default(), by_age: VecDeque::new() }
+        Self { capacity, records: Map::default(), insertion_order: VecDeque::new() }
     }
 
-    /// Begins a record; the oldest one goes when the journal is full.
+    /// Adds the record of a request, and evicts the oldest record if the journal is full.
     pub fn open(&mut self, now: Millis, request: &Name, account: &Name, target: &Name) {
         let (account, target) = (account.clone(), target.clone());
         let record =
             RequestRecord { account, target, received_at: now, ..RequestRecord::default() };
         if self.records.insert(request.clone(), record).is_none() {
-            self.by_age.push_back(request.clone());
+            self.insertion_order.push_back(request.clone());
         }
-        if self.by_age.len() > self.capacity
-            && let Some(oldest) = self.by_age.pop_front()
+        if self.insertion_order.len() > self.capacity
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
             self.records.remove(&oldest);
         }
     }
 
-    /// Adds a step to a record.
+    /// Adds a step to the record of a request; does nothing if the record was evicted.
     pub fn add_step(&mut self, now: Millis, request: &Name, what: String) {
         let Some(record) = self.records.get_mut(request) else {
             return;
@@ -75,7 +76,7 @@
         record.steps.push(RequestStep { at: now - record.received_at, what });
     }
 
-    /// Returns a record.
+    /// Returns the record of a request, unless it was evicted.
     pub fn get(&self, request: &str) -> Option<&RequestRecord> {
         self.records.get(request)
     }
--- a/coordination/flight/src/lib.rs
+++ b/coordination/flight/src/lib.rs
@@ -1,4 +1,4 @@
-//! A request's life: claims, attempts, retries, resume and hand-off.
+//! The lifecycle of a request: claims, attempts, retries, stream resume and hand-off.
 
 pub mod claims;
 pub mod drain;
--- a/coordination/flight/src/lifecycle.rs
+++ b/coordination/flight/src/lifecycle.rs
@@ -1,8 +1,8 @@
-//! The life of a request by typestate: received, admitted, claimed, dispatched, answered.
+//! The lifecycle of a request by typestate: received, admitted, claimed, dispatched, answered.
 //!
-//! A refusal that certifies not-run is a [`NotRunRefusal`], and only the states in which no byte has left
-//! make one. A caller who is told not-run sends the request again, so a false certificate means
-//! that the same notice is sent twice; the compiler refuses it:
+//! A refusal that certifies not-run is a [`NotRunRefusal`], and only the states in which no byte
+//! has been sent to an endpoint can make one. A caller resends a request that was certified
+//! not-run, so a false certificate makes the request run twice; the compiler rejects it:
 //!
 //! ```compile_fail,E0599
 //! use sill_flight::lifecycle::Lifecycle;
@@ -12,7 +12,7 @@
 //! dispatched.refuse(ErrorCode::NoCapacity, "full", None);
 //! ```
 //!
-//! Before the dispatch it is allowed:
+//! Before the dispatch a refusal is allowed:
 //!
 //! ```
 //! use sill_flight::lifecycle::Lifecycle;
@@ -23,7 +23,7 @@
 //! assert_eq!(refusal.code(), ErrorCode::NoCapacity);
 //! ```
 //!
-//! Nor can a certificate be written by hand:
+//! A refusal can't be constructed outside this module either:
 //!
 //! ```compile_fail,E0451
 //! use sill_flight::lifecycle::NotRunRefusal;
@@ -40,51 +40,51 @@
 use sill_base::{Millis, Name};
 use sill_wire::ErrorCode;
 
-/// A request in one state of its life.
+/// A request in one state of its lifecycle.
 #[derive(Debug)]
 pub struct Lifecycle<S> {
     request: Name,
     state: S,
 }
 
-/// It was read, and nothing is decided.
+/// The request was read; limits and claims are not checked yet.
 #[derive(Debug)]
 pub struct Received(());
 
-/// Its account is within its limit.
+/// The client account is within its limit.
 #[derive(Debug)]
 pub struct Admitted(());
 
-/// This entry instance owns the claim on its key.
+/// This entry instance owns the claim on the idempotency key.
 #[derive(Debug)]
 pub struct Claimed(());
 
-/// It was handed to the network for an endpoint.
+/// The request was passed to the network for an endpoint.
 #[derive(Debug)]
 pub struct Dispatched {
-    /// Whether a byte may have left.
-    left: bool,
-    claimed: bool,
+    /// Whether an attempt before the current one may have sent a byte.
+    may_have_sent: bool,
+    is_claimed: bool,
 }
 
-/// Its whole answer came.
+/// The complete answer arrived.
 #[derive(Debug)]
 pub struct Answered(());
 
-/// States in which no byte of the request has left for an endpoint.
+/// States in which no byte of the request has been sent to an endpoint.
 pub trait UnsentState: sealed::Sealed {}
 
-/// States from which a request may be sent.
+/// States from which a request may be dispatched.
 pub trait SendableState: UnsentState {
-    /// Whether a claim is held.
-    const CLAIMED: bool;
+    /// Whether the request holds a claim in this state.
+    const HAS_CLAIM: bool;
 }
 
 mod sealed {
     pub trait Sealed {}
 }
 
-/// A certified refusal: no byte of the request has left for an endpoint.
+/// A refusal that certifies that no byte of the request was sent to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NotRunRefusal {
     request: Name,
@@ -93,46 +93,46 @@
     retry_after: Option<Millis>,
 }
 
-/// An answer that says nothing on whether the request was run.
+/// A failure that leaves open whether the request was run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestFailure {
-    /// The request.
+    /// The request's id.
     pub request: Name,
-    /// For programs.
+    /// The error code, for programs.
     pub code: ErrorCode,
-    /// For people.
+    /// The error text, for people.
     pub message: String,
-    /// When to come back.
+    /// When the caller may retry.
     pub retry_after: Option<Millis>,
 }
 
-/// What a request is after an attempt that could not connect.
+/// The state to which a request returns after an attempt that could not connect.
 #[derive(Debug)]
 pub enum ConnectFailureState {
-    /// No byte has left; the request is admitted only.
+    /// No byte was sent, and the request holds no claim.
     Admitted(Lifecycle<Admitted>),
-    /// No byte has left; the claim is held still.
+    /// No byte was sent, and the request still holds its claim.
     Claimed(Lifecycle<Claimed>),
-    /// Bytes of an earlier attempt have left.
+    /// An earlier attempt may have sent bytes.
     Dispatched(Lifecycle<Dispatched>),
 }
 
 impl Lifecycle<Received> {
-    /// Begins the life of a request.
+    /// Starts the lifecycle of a request that was read.
     pub fn new(request: Name) -> Self {
         Self { request, state: Received(()) }
     }
 
-    /// Goes on once the limits let it in.
+    /// Moves on once the client account is within its limit.
     pub fn admit(self) -> Lifecycle<Admitted> {
-        self.to(Admitted(()))
+        self.with_state(Admitted(()))
     }
 }
 
 impl Lifecycle<Admitted> {
-    /// Goes on once the claim was granted.
+    /// Moves on once the claim is granted.
     pub fn claim(self) -> Lifecycle<Claimed> {
-        self.to(Claimed(()))
+        self.with_state(Claimed(()))
     }
 }
 
@@ -140,7 +140,7 @@
 where
     S: UnsentState,
 {
-    /// Refuses the request for good, and certifies that it was not run.
+    /// Refuses the request, and certifies that it was not run.
     pub fn refuse<M>(
         self,
         code: ErrorCode,
@@ -153,7 +153,7 @@
         NotRunRefusal { request: self.request, code, message: message.into(), retry_after }
     }
 
-    /// Ends the request without a certificate, as where the same key was run before.
+    /// Fails the request without a certificate, as when another request with its key was run.
     pub fn fail_before_send<M>(
         self,
         code: ErrorCode,
@@ -171,41 +171,43 @@
 where
     S: SendableState,
 {
-    /// Hands the request to the network; from here on bytes may have left.
+    /// Passes the request to the network; from here on bytes may be sent.
     pub fn dispatch(self) -> Lifecycle<Dispatched> {
-        self.to(Dispatched { left: false, claimed: S::CLAIMED })
+        self.with_state(Dispatched { may_have_sent: false, is_claimed: S::HAS_CLAIM })
     }
 }
 
 impl Lifecycle<Dispatched> {
-    /// Takes over a request that another entry instance dispatched.
+    /// Continues a request that another entry instance dispatched.
     pub fn from_hand_off(request: Name) -> Self {
-        Lifecycle { request, state: Dispatched { left: true, claimed: false } }
+        Lifecycle { request, state: Dispatched { may_have_sent: true, is_claimed: false } }
     }
 
-    /// Returns whether a byte of an attempt before this one may have left.
+    /// Returns whether an attempt before the current one may have sent a byte.
     pub fn may_have_sent(&self) -> bool {
-        self.state.left
+        self.state.may_have_sent
     }
 
-    /// Notes that the attempt is over and that its bytes may have left.
+    /// Records that the current attempt has ended and may have sent bytes.
     pub fn mark_sent(mut self) -> Self {
-        self.state.left = true;
+        self.state.may_have_sent = true;
         self
     }
 
-    /// Goes back after an attempt that never had a connection.
+    /// Returns to the state before an attempt that never connected.
     pub fn revert_failed_connect(self) -> ConnectFailureState {
         match self.state {
-            Dispatched { left: true, .. } => ConnectFailureState::Dispatched(self),
-            Dispatched { claimed: true, .. } => ConnectFailureState::Claimed(self.to(Claimed(()))),
-            Dispatched { claimed: false, .. } => {
-                ConnectFailureState::Admitted(self.to(Admitted(())))
+            Dispatched { may_have_sent: true, .. } => ConnectFailureState::Dispatched(self),
+            Dispatched { is_claimed: true, .. } => {
+                ConnectFailureState::Claimed(self.with_state(Claimed(())))
+            }
+            Dispatched { is_claimed: false, .. } => {
+                ConnectFailureState::Admitted(self.with_state(Admitted(())))
             }
         }
     }
 
-    /// Gives the request up.
+    /// Fails the request; whether it was run stays open.
     pub fn fail<M>(self, code: ErrorCode, message: M, retry_after: Option<Millis>) -> RequestFailure
     where
         M: Into<String>,
@@ -213,40 +215,40 @@
         RequestFailure { request: self.request, code, message: message.into(), retry_after }
     }
 
-    /// Ends it with its whole answer.
+    /// Ends the request with its complete answer.
     pub fn answer(self) -> Lifecycle<Answered> {
-        self.to(Answered(()))
+        self.with_state(Answered(()))
     }
 }
 
 impl<S> Lifecycle<S> {
-    /// Returns the request's name.
+    /// Returns the request's id.
     pub fn request(&self) -> &Name {
         &self.request
     }
 
-    fn to<T>(self, state: T) -> Lifecycle<T> {
+    fn with_state<T>(self, state: T) -> Lifecycle<T> {
         Lifecycle { request: self.request, state }
     }
 }
 
 impl NotRunRefusal {
-    /// Returns the code for programs.
+    /// Returns the error code, for programs.
     pub fn code(&self) -> ErrorCode {
         self.code
     }
 
-    /// Returns the message for people.
+    /// Returns the error text, for people.
     pub fn message(&self) -> &str {
         &self.message
     }
 
-    /// Returns when to come back.
+    /// Returns when the caller may retry.
     pub fn retry_after(&self) -> Option<Millis> {
         self.retry_after
     }
 
-    /// Returns the request's name.
+    /// Returns the request's id.
     pub fn request(&self) -> &Name {
         &self.request
     }
@@ -261,9 +263,9 @@
 impl UnsentState for Claimed {}
 
 impl SendableState for Admitted {
-    const CLAIMED: bool = false;
+    const HAS_CLAIM: bool = false;
 }
 
 impl SendableState for Claimed {
-    const CLAIMED: bool = true;
+    const HAS_CLAIM: bool = true;
 }
--- a/coordination/flight/src/sse.rs
+++ b/coordination/flight/src/sse.rs
@@ -1,57 +1,60 @@
-//! Splits a stream of server-sent events, and finds what the system has to know of each.
+//! Splits a stream of server-sent events, and extracts token index and text of each without a JSON
+//! parser.
 
-/// Finds the ends of events in a stream that arrives in pieces.
+/// Splits a stream that arrives in chunks into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: Vec<u8>,
+    buf: Vec<u8>,
 }
 
-/// What an event is, as far as the system has to know.
+/// The kind of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventKind<'a> {
     /// A token of the answer.
     Token {
-        /// Its index.
+        /// The token's index in the answer, from the event's `id` line.
         index: u32,
-        /// Its text as in JSON between the quotes; none where it needs a parser to be found.
+        /// The token's text, still escaped as in its JSON string; none if finding it needs a JSON
+        /// parser.
         escaped: Option<&'a str>,
     },
-    /// The end marker.
+    /// The end marker `[DONE]`.
     Done,
-    /// Other data: the finish reason, usage counts, an error.
+    /// Other data, such as the finish reason, usage counts or an error.
     Other,
 }
 
-/// An event that outgrows this is no event, in bytes.
-const MAX_EVENT: usize = 4 << 20;
+/// Size of the largest event, in bytes; a stream with a larger one is malformed.
+const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// An event grew past all bounds.
+/// An event is larger than 4 MiB.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLong;
 
 impl EventSplitter {
-    /// Passes every whole event, with its closing blank line, to `each`; the rest is kept.
+    /// Passes every complete event, with its closing blank line, to `on_event`, and buffers the
+    /// remaining bytes.
     ///
     /// # Errors
     ///
-    /// Fails when an event never ends.
-    pub fn push<F>(&mut self, bytes: &[u8], mut each: F) -> Result<(), EventTooLong>
+    /// Fails if an incomplete event is larger than 4 MiB.
+    pub fn push<F>(&mut self, bytes: &[u8], mut on_event: F) -> Result<(), EventTooLong>
     where
         F: FnMut(&[u8]),
     {
-        if self.rest.is_empty() {
-            let used = split(bytes, &mut each);
-            self.rest.extend_from_slice(&bytes[used..]);
+        if self.buf.is_empty() {
+            let consumed = split_events(bytes, &mut on_event);
+            self.buf.extend_from_slice(&bytes[consumed..]);
         } else {
-            self.rest.extend_from_slice(bytes);
-            let used = split(&self.rest, &mut each);
-            self.rest.drain(..used);
+            self.buf.extend_from_slice(bytes);
+            let consumed = split_events(&self.buf, &mut on_event);
+            self.buf.drain(..consumed);
         }
-        if self.rest.len() > MAX_EVENT { Err(EventTooLong) } else { Ok(()) }
+        if self.buf.len() > MAX_EVENT_BYTES { Err(EventTooLong) } else { Ok(()) }
     }
 }
 
-fn split<F>(bytes: &[u8], each: &mut F) -> usize
+fn split_events<F>(bytes: &[u8], on_event: &mut F) -> usize
 where
     F: FnMut(&[u8]),
 {
@@ -60,7 +63,7 @@
     while let Some(found) = bytes[at..].iter().position(|b| *b == b'\n') {
         let end = at + found + 1;
         if bytes.get(end) == Some(&b'\n') {
-            each(&bytes[start..=end]);
+            on_event(&bytes[start..=end]);
             start = end + 1;
             at = start;
         } else {
@@ -70,7 +73,7 @@
     start
 }
 
-/// Reads one event.
+/// Returns the kind of an event, with token index and text where it has them.
 pub fn event_kind(event: &[u8]) -> EventKind<'_> {
     let Ok(text) = std::str::from_utf8(event) else {
         return EventKind::Other;
@@ -85,21 +88,21 @@
         }
     }
     match index {
-        Some(index) => EventKind::Token { index, escaped: content(data) },
+        Some(index) => EventKind::Token { index, escaped: token_text(data) },
         None if data.trim_end() == "[DONE]" => EventKind::Done,
         None => EventKind::Other,
     }
 }
 
-/// Returns the data of an event.
+/// Returns the content of the first `data` line of an event.
 pub fn event_data(event: &[u8]) -> Option<&str> {
     let text = std::str::from_utf8(event).ok()?;
     text.lines().find_map(|line| line.strip_prefix("data: "))
 }
 
-/// Finds the text of a token without a parse: a JSON string ends at the first quote that has an
-/// even number of backslashes before it.
-fn content(data: &str) -> Option<&str> {
+/// Finds the text of a token without a JSON parser: a JSON string ends at the first quote that has
+/// an even number of backslashes before it.
+fn token_text(data: &str) -> Option<&str> {
     const CHAT: &str = "\"delta\":{\"content\":\"";
     const COMPLETION: &str = "\"text\":\"";
     let start = match data.find(CHAT) {
@@ -107,11 +110,11 @@
         None => data.find(COMPLETION)? + COMPLETION.len(),
     };
     let rest = &data[start..];
-    let mut escaped = false;
+    let mut is_escaped = false;
     let end = rest.bytes().position(|b| {
-        let ends = b == b'"' && !escaped;
-        escaped = b == b'\\' && !escaped;
-        ends
+        let is_end = b == b'"' && !is_escaped;
+        is_escaped = b == b'\\' && !is_escaped;
+        is_end
     })?;
     Some(&rest[..end])
 }
--- a/coordination/flight/src/transcript.rs
+++ b/coordination/flight/src/transcript.rs
@@ -1,66 +1,69 @@
-//! What was sent of an answer so far: enough to resume it, to send it again, and to hand it off.
+//! The part of an answer that was sent to the caller, kept to resume, resend and hand off the
+//! answer.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Promise, keep};
 
 /// The tokens of one answer, in order and without a gap.
 ///
-/// The text is held as it stood in the endpoint's JSON, still escaped, so that a token costs a copy
-/// and no parse.
+/// The text is kept escaped, as in the JSON of the endpoint, so that adding a token takes a copy
+/// and no JSON parser.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transcript {
-    /// The completion's id, as the caller saw it.
+    /// The completion's id, as sent to the caller; none before the first token.
     pub id: Option<String>,
-    /// The completion's time, as the caller saw it.
+    /// The completion's creation time, as sent to the caller.
     pub created: u64,
-    /// Why the answer ended, once it did.
+    /// The finish reason that the endpoint gave at the end of the answer.
     #[serde(rename = "finish")]
     pub finish_reason: Option<String>,
-    /// Tokens of the prompt, as the endpoint counted them.
+    /// Number of tokens of the prompt, as reported by the endpoint.
     pub prompt_tokens: Option<u32>,
-    /// Whether the end marker came.
+    /// Whether the end marker arrived.
     #[serde(rename = "whole")]
     pub is_complete: bool,
     escaped: String,
+    /// End of each token in `escaped`, in bytes.
     ends: Vec<u32>,
 }
 
 impl Transcript {
-    /// Returns the index of the next token.
+    /// Returns the index that the next token must have.
     pub fn next_index(&self) -> u32 {
         self.ends.len() as u32
     }
 
-    /// Adds the token of an index, with its text as in JSON between the quotes.
+    /// Adds the token with this index; its text is escaped as in a JSON string.
     pub fn push(&mut self, index: u32, escaped: &str) {
         keep!(
             Promise::WholeAnswer,
             index == self.next_index() && !self.is_complete,
-            "token {index} came where {} was due",
-            self.next_index()
+            "transcript received token {index}, expected {} (complete: {})",
+            self.next_index(),
+            self.is_complete
         );
         self.escaped.push_str(escaped);
         self.ends.push(self.escaped.len() as u32);
     }
 
-    /// Returns the text of one token, as in JSON between the quotes.
+    /// Returns the text of one token, escaped as in a JSON string.
     pub fn escaped_token(&self, index: u32) -> &str {
         let index = index as usize;
         let start = if index == 0 { 0 } else { self.ends[index - 1] as usize };
         &self.escaped[start..self.ends[index] as usize]
     }
 
-    /// Returns the texts of all tokens.
+    /// Returns the unescaped texts of all tokens.
     pub fn tokens(&self) -> Vec<String> {
         (0..self.next_index()).map(|i| unescape(self.escaped_token(i))).collect()
     }
 
-    /// Returns the whole text.
+    /// Returns the unescaped text of all tokens.
     pub fn text(&self) -> String {
         unescape(&self.escaped)
     }
 
-    /// Returns the bytes held, to bound them.
+    /// Returns the memory that the tokens use, in bytes.
     pub fn size_bytes(&self) -> usize {
         self.escaped.len() + self.ends.len() * size_of::<u32>()
     }
--- a/coordination/flight/tests/cases.rs
+++ b/coordination/flight/tests/cases.rs
@@ -1,4 +1,5 @@
-//! Single decisions: faults that random runs found, planned stops, homes of keys, the journal.
+//! Single decisions of the state machines: lost endpoints, planned stops, homes of keys, the
+//! journal and the event splitter.
 
 use std::panic::catch_unwind;
 
@@ -13,11 +14,11 @@
 use sill_wire::handoff::{Location, RunAt};
 use sill_wire::{ErrorCode, Incarnation};
 
-fn spec(idempotent: bool) -> RequestSpec {
+fn spec(is_idempotent: bool) -> RequestSpec {
     RequestSpec {
         request: "r1".into(),
         kind: ServiceKind::Model,
-        is_idempotent: idempotent,
+        is_idempotent,
         claim: None,
         is_keyed: false,
         deadline: Millis(60_000),
@@ -26,31 +27,32 @@
     }
 }
 
-fn place(name: &str) -> Placement {
+fn placement(name: &str) -> Placement {
     let incarnation = Incarnation(1);
     Placement { endpoint: name.into(), incarnation, address: name.into(), cached_tokens: 0 }
 }
 
-fn steps(flight: &mut InFlightRequest, events: Vec<Event>) -> Vec<Action> {
+fn apply_events(request: &mut InFlightRequest, events: Vec<Event>) -> Vec<Action> {
     let mut out = Vec::new();
     for event in events {
         out.clear();
-        flight.step(Millis(10), event, &mut out);
+        request.step(Millis(10), event, &mut out);
     }
     out
 }
 
-/// The endpoint loses the last tokens of its answer and closes it with the end marker all the same.
-/// No index jumps, so only the count tells; the caller would get a shorter answer as a whole one.
+/// An endpoint loses the last tokens of its answer but still sends the end marker. No index is
+/// skipped, so only the reported count shows the loss; without the check the caller gets a
+/// truncated answer as a complete one.
 #[test]
-fn an_answer_that_lost_its_last_tokens_is_resumed() {
-    let mut flight = InFlightRequest::new(RequestCfg::default(), spec(true), 1);
+fn an_answer_without_its_last_tokens_is_resumed() {
+    let mut request = InFlightRequest::new(RequestCfg::default(), spec(true), 1);
     let epoch = Epoch(1);
-    let out = steps(
-        &mut flight,
+    let out = apply_events(
+        &mut request,
         vec![
             Event::Admitted,
-            Event::Routed(place("m1")),
+            Event::Routed(placement("m1")),
             Event::Token { epoch, index: 0 },
             Event::Done { epoch, tokens: Some(3) },
         ],
@@ -59,38 +61,40 @@
     assert!(matches!(out.last(), Some(Action::Route { .. })), "{out:?}");
 }
 
-/// Three of four endpoints are reclaimed under load. Until their leases end the dead ones look free,
-/// while the live one is full, so an accepted request finds only endpoints that refuse the
-/// connection. The caller would get 502 within a second, though nothing ran there and a slot is free
-/// soon after (a_wave_of_reclaims_leaves_every_answer_whole, on a busy machine).
+/// Three of four endpoints are reclaimed under load. Until their leases expire the dead ones look
+/// free, while the live one is full, so an accepted request is routed only to endpoints that refuse
+/// the connection. If these counted as failed attempts, the caller would get 502 within a second,
+/// although nothing ran and a slot is free soon after. On a busy host
+/// `a_wave_of_reclaims_leaves_every_answer_whole` runs into this.
 #[test]
-fn an_accepted_request_outlasts_endpoints_that_cannot_be_reached() {
-    let mut flight = InFlightRequest::new(RequestCfg::default(), spec(true), 1);
-    let lost = Event::StreamCut { epoch: Epoch(1) };
+fn an_accepted_request_survives_unreachable_endpoints() {
+    let mut request = InFlightRequest::new(RequestCfg::default(), spec(true), 1);
+    let cut = Event::StreamCut { epoch: Epoch(1) };
     let begin = vec![
         Event::Admitted,
-        Event::Routed(place("m1")),
+        Event::Routed(placement("m1")),
         Event::Token { epoch: Epoch(1), index: 0 },
-        lost,
+        cut,
     ];
-    steps(&mut flight, begin);
+    apply_events(&mut request, begin);
     for epoch in 2..40 {
-        let dead = place(&format!("dead{epoch}"));
-        let unreached = Event::ConnectFailed { epoch: Epoch(epoch) };
-        let out = steps(&mut flight, vec![Event::Routed(dead), unreached]);
+        let dead = placement(&format!("dead{epoch}"));
+        let failed = Event::ConnectFailed { epoch: Epoch(epoch) };
+        let out = apply_events(&mut request, vec![Event::Routed(dead), failed]);
         assert!(matches!(out.last(), Some(Action::Route { .. })), "attempt {epoch}: {out:?}");
     }
-    let out = steps(&mut flight, vec![Event::Routed(place("m2"))]);
+    let out = apply_events(&mut request, vec![Event::Routed(placement("m2"))]);
     let Some(Action::Dispatch { resume: Some(resume), .. }) = out.last() else { panic!("{out:?}") };
     assert_eq!(resume.next_index, 1);
 }
 
-/// An entry is reclaimed while a request that may run once is between two endpoints. The peer that
-/// takes it over knows no run to go on with, and must not start another one (seed 5834).
+/// An entry instance is reclaimed while a non-idempotent request is between two endpoints. The peer
+/// that takes it over gets no run to continue, and a new one would run the request twice (seed 5834
+/// of the simulation).
 #[test]
-fn a_lost_run_is_not_started_again_by_the_peer() {
-    let mut flight = InFlightRequest::from_hand_off(RequestCfg::default(), spec(false), 5, 1);
-    let out = steps(&mut flight, vec![Event::TakenOver { from: None }]);
+fn a_lost_non_idempotent_run_is_not_restarted_by_the_peer() {
+    let mut request = InFlightRequest::from_hand_off(RequestCfg::default(), spec(false), 5, 1);
+    let out = apply_events(&mut request, vec![Event::TakenOver { from: None }]);
     let [Action::Fail(failed)] = out.as_slice() else { panic!("{out:?}") };
     assert_eq!(failed.code, ErrorCode::OutcomeUnknown);
 }
@@ -98,20 +102,35 @@
 struct StopCase {
     name: &'static str,
     in_flight: [u64; 4],
-    stops: usize,
-    last: Option<DrainAction>,
+    stop_requests: usize,
+    last_action: Option<DrainAction>,
 }
 
-/// A planned stop while answers are still running: whoever stops too early cuts them off, and
-/// their callers get half an answer.
+/// A planned stop begins while requests are in flight. If the process exits before they finish,
+/// their callers get truncated answers.
 #[test]
-fn a_stop_waits_for_all_in_flight() {
+fn a_stop_waits_for_requests_in_flight() {
     let exit = |cut, forced| Some(DrainAction::Exit { cut, forced });
     let cases = [
-        StopCase { name: "idle", in_flight: [0; 4], stops: 1, last: exit(0, false) },
-        StopCase { name: "ends", in_flight: [2, 2, 1, 0], stops: 1, last: exit(0, false) },
-        StopCase { name: "limit", in_flight: [2; 4], stops: 1, last: exit(2, true) },
-        StopCase { name: "twice", in_flight: [3; 4], stops: 2, last: exit(3, true) },
+        StopCase { name: "idle", in_flight: [0; 4], stop_requests: 1, last_action: exit(0, false) },
+        StopCase {
+            name: "all finish",
+            in_flight: [2, 2, 1, 0],
+            stop_requests: 1,
+            last_action: exit(0, false),
+        },
+        StopCase {
+            name: "timeout",
+            in_flight: [2; 4],
+            stop_requests: 1,
+            last_action: exit(2, true),
+        },
+        StopCase {
+            name: "second stop request",
+            in_flight: [3; 4],
+            stop_requests: 2,
+            last_action: exit(3, true),
+        },
     ];
     for case in cases {
         let cfg =
@@ -123,29 +142,31 @@
         for (i, in_flight) in case.in_flight.into_iter().enumerate() {
             let at = Millis(100 * (i as u64 + 1));
             drain.step(at, DrainEvent::Tick { in_flight }, &mut out);
-            if case.stops > 1 {
+            if case.stop_requests > 1 {
                 drain.step(at, DrainEvent::Stop, &mut out);
             }
         }
-        assert_eq!(out.last().copied(), case.last, "{}", case.name);
+        assert_eq!(out.last().copied(), case.last_action, "{}", case.name);
     }
-    let weak = DrainCfg { close_delay: Millis(1), timeout: Millis(9), cuts_in_flight: true };
-    let cut = catch_unwind(|| {
-        let mut drain = Drain::new(weak);
+    let cutting = DrainCfg { close_delay: Millis(1), timeout: Millis(9), cuts_in_flight: true };
+    let result = catch_unwind(|| {
+        let mut drain = Drain::new(cutting);
         let mut out = Vec::new();
         drain.step(Millis(0), DrainEvent::Stop, &mut out);
         drain.step(Millis(2), DrainEvent::Tick { in_flight: 1 }, &mut out);
         drain.step(Millis(3), DrainEvent::Tick { in_flight: 1 }, &mut out);
     });
-    assert!(cut.is_err(), "a stop that cuts requests off is not noticed");
+    assert!(result.is_err(), "a stop that cuts off requests in flight was not detected");
 }
 
 fn key(number: usize) -> ClaimKey {
     ClaimKey { account: "clerks".into(), key: format!("k{number}").into() }
 }
 
+/// If homes are spread unevenly, one entry instance carries most of the lookups; if the keys of
+/// other homes move when a member is removed, their running requests are no longer found.
 #[test]
-fn homes_are_even_and_few_keys_move() {
+fn homes_are_even_and_only_keys_of_a_removed_member_move() {
     let members: Vec<Name> = (0..8).map(|i| Name::from(format!("10.0.0.{i}:7000"))).collect();
     let homes = |members: &[Name]| -> Vec<Name> {
         (0..8000).filter_map(|i| home_member(&key(i), members).cloned()).collect()
@@ -157,11 +178,13 @@
     }
     let after = homes(&members[1..]);
     let moved = before.iter().zip(&after).filter(|(b, a)| **b != members[0] && b != a);
-    assert_eq!(moved.count(), 0);
+    assert_eq!(moved.count(), 0, "keys of members that remain moved to another home");
 }
 
+/// A resent request must find the run of its key. A key that is not found runs a second time, and a
+/// directory that never evicts grows without bound.
 #[test]
-fn a_home_knows_where_a_key_runs() {
+fn a_run_directory_locates_the_run_of_a_key() {
     let mut directory = RunDirectory::new(2, Millis(1000));
     let body = BodyHash("b".into());
     let at = |address: &str| RunAt { address: address.into(), request: "r".into() };
@@ -175,9 +198,14 @@
     assert_eq!(locate(1000, 1, &body, "e2"), Location::New);
     assert_eq!(locate(1000, 2, &body, "e1"), Location::New);
     assert_eq!(locate(1000, 3, &body, "e1"), Location::New);
-    assert_eq!(locate(1000, 1, &body, "e3"), Location::New, "the oldest is forgotten when full");
+    assert_eq!(
+        locate(1000, 1, &body, "e3"),
+        Location::New,
+        "a full directory did not evict its oldest key"
+    );
 }
 
+/// Many requests, or many steps of one request, must not make the journal grow without bound.
 #[test]
 fn the_journal_is_bounded() {
     let mut journal = Journal::new(2);
@@ -188,15 +216,16 @@
     for step in 0..100 {
         journal.add_step(Millis(5 + step), &"r3".into(), format!("step {step}"));
     }
-    let record = journal.get("r3").expect("the newest is kept");
+    let record = journal.get("r3").expect("the newest record is kept");
     assert_eq!((record.steps.len(), record.dropped_steps), (64, 36));
     assert_eq!(record.steps[0].what, "step 0");
     assert_eq!(record.steps[63].at, Millis(99));
 }
 
-/// Events are cut anywhere on their way through the network.
+/// The network splits a stream at any byte. If a splitter handles only some of these, tokens are
+/// lost.
 #[test]
-fn events_are_found_however_they_are_cut() {
+fn events_split_at_any_byte_are_found() {
     let stream = "id: 0\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\\\"b\\\\\"}}]}\n\n\
                   data: {\"usage\":{}}\n\ndata: [DONE]\n\n";
     for size in 1..stream.len() {
@@ -205,15 +234,20 @@
         let mut others = 0;
         let mut done = false;
         for piece in stream.as_bytes().chunks(size) {
-            let pushed = splitter.push(piece, |event| match sse::event_kind(event) {
+            let result = splitter.push(piece, |event| match sse::event_kind(event) {
                 sse::EventKind::Token { index, escaped } => {
-                    transcript.push(index, escaped.expect("the usual shape"));
+                    transcript
+                        .push(index, escaped.expect("the text is found without a JSON parser"));
                 }
                 sse::EventKind::Done => done = true,
                 sse::EventKind::Other => others += 1,
             });
-            assert_eq!(pushed, Ok(()));
+            assert_eq!(result, Ok(()));
         }
-        assert_eq!((transcript.text().as_str(), others, done), ("a\"b\\", 1, true), "{size}");
+        assert_eq!(
+            (transcript.text().as_str(), others, done),
+            ("a\"b\\", 1, true),
+            "chunks of {size} bytes"
+        );
     }
 }
--- a/coordination/flight/tests/claims.rs
+++ b/coordination/flight/tests/claims.rs
@@ -1,4 +1,4 @@
-//! The table of claims: who may send, and what a resent request is told.
+//! The table of claims: which owner may send, and which verdict a resend gets.
 
 use sill_base::Millis;
 use sill_flight::claims::{ClaimBounds, ClaimTable};
@@ -8,7 +8,7 @@
 struct Case {
     name: &'static str,
     asks: Vec<(u64, ClaimAsk)>,
-    last: ClaimVerdict,
+    verdict: ClaimVerdict,
 }
 
 fn key(name: &str) -> ClaimKey {
@@ -40,32 +40,36 @@
     ClaimVerdict::Taken { owner: owner(by), outcome }
 }
 
-/// A caller sends a request again because its answer was lost: through another entry, while the
-/// first still runs, after it ended, or after its entry died. Were the key granted twice, the same
-/// notice would be sent twice.
+/// A caller whose answer was lost resends its request: through another entry instance, while the
+/// first still runs, after it finished, or after its entry instance died. If the key were granted
+/// to a second owner, the request would run twice.
 #[test]
 fn a_key_is_granted_to_one_owner() {
     let cases = [
-        Case { name: "free", asks: vec![(0, take("k", "b", "e1"))], last: ClaimVerdict::Granted },
+        Case {
+            name: "unclaimed key",
+            asks: vec![(0, take("k", "b", "e1"))],
+            verdict: ClaimVerdict::Granted,
+        },
         Case {
             name: "another key",
             asks: vec![(0, take("k", "b", "e1")), (0, take("l", "b", "e2"))],
-            last: ClaimVerdict::Granted,
+            verdict: ClaimVerdict::Granted,
         },
         Case {
-            name: "the same ask arrives twice",
+            name: "the same owner takes the key twice",
             asks: vec![(0, take("k", "b", "e1")), (5, take("k", "b", "e1"))],
-            last: ClaimVerdict::Granted,
+            verdict: ClaimVerdict::Granted,
         },
         Case {
-            name: "another entry",
+            name: "another entry instance",
             asks: vec![(0, take("k", "b", "e1")), (5, take("k", "b", "e2"))],
-            last: taken("e1", None),
+            verdict: taken("e1", None),
         },
         Case {
             name: "another body",
             asks: vec![(0, take("k", "b", "e1")), (5, take("k", "c", "e2"))],
-            last: ClaimVerdict::BodyMismatch,
+            verdict: ClaimVerdict::BodyMismatch,
         },
         Case {
             name: "finished",
@@ -74,7 +78,7 @@
                 (1, finish("k", "e1", "yes")),
                 (5, take("k", "b", "e2")),
             ],
-            last: taken("e1", Some(answered(Some("yes")))),
+            verdict: taken("e1", Some(answered(Some("yes")))),
         },
         Case {
             name: "finished, then the first ask arrives again",
@@ -83,35 +87,35 @@
                 (1, finish("k", "e1", "yes")),
                 (5, take("k", "b", "e1")),
             ],
-            last: taken("e1", Some(answered(Some("yes")))),
+            verdict: taken("e1", Some(answered(Some("yes")))),
         },
         Case {
-            name: "the first outcome stands",
+            name: "a second outcome does not replace the first",
             asks: vec![
                 (0, take("k", "b", "e1")),
                 (1, finish("k", "e1", "yes")),
                 (2, finish("k", "e1", "no")),
                 (5, take("k", "b", "e2")),
             ],
-            last: taken("e1", Some(answered(Some("yes")))),
+            verdict: taken("e1", Some(answered(Some("yes")))),
         },
         Case {
-            name: "finished by another",
+            name: "finished by another owner",
             asks: vec![
                 (0, take("k", "b", "e1")),
                 (1, finish("k", "e2", "no")),
                 (5, take("k", "b", "e2")),
             ],
-            last: taken("e1", None),
+            verdict: taken("e1", None),
         },
         Case {
-            name: "a large answer is not kept, its status is",
+            name: "of a large answer only the status is kept",
             asks: vec![
                 (0, take("k", "b", "e1")),
                 (1, finish("k", "e1", "too long to be kept")),
                 (5, take("k", "b", "e2")),
             ],
-            last: taken("e1", Some(answered(None))),
+            verdict: taken("e1", Some(answered(None))),
         },
         Case {
             name: "released",
@@ -120,31 +124,31 @@
                 (1, release("k", "e1")),
                 (5, take("k", "c", "e2")),
             ],
-            last: ClaimVerdict::Granted,
+            verdict: ClaimVerdict::Granted,
         },
         Case {
-            name: "released by another",
+            name: "released by another owner",
             asks: vec![
                 (0, take("k", "b", "e1")),
                 (1, release("k", "e2")),
                 (5, take("k", "b", "e2")),
             ],
-            last: taken("e1", None),
+            verdict: taken("e1", None),
         },
         Case {
-            name: "released after the end",
+            name: "released after it finished",
             asks: vec![
                 (0, take("k", "b", "e1")),
                 (1, finish("k", "e1", "yes")),
                 (2, release("k", "e1")),
                 (5, take("k", "b", "e2")),
             ],
-            last: taken("e1", Some(answered(Some("yes")))),
+            verdict: taken("e1", Some(answered(Some("yes")))),
         },
         Case {
             name: "released before the delayed take arrives",
             asks: vec![(0, release("k", "e1")), (1, take("k", "b", "e1"))],
-            last: ClaimVerdict::Unavailable,
+            verdict: ClaimVerdict::Unavailable,
         },
         Case {
             name: "a late release does not touch the next owner",
@@ -155,46 +159,46 @@
                 (3, release("k", "e1")),
                 (4, take("k", "b", "e3")),
             ],
-            last: taken("e2", None),
+            verdict: taken("e2", None),
         },
         Case {
             name: "just before the retention ends",
             asks: vec![(0, take("k", "b", "e1")), (999, take("k", "b", "e2"))],
-            last: taken("e1", None),
+            verdict: taken("e1", None),
         },
         Case {
             name: "after the retention",
             asks: vec![(0, take("k", "b", "e1")), (1000, take("k", "b", "e2"))],
-            last: ClaimVerdict::Granted,
+            verdict: ClaimVerdict::Granted,
         },
         Case {
-            name: "the log's clock goes back",
+            name: "the clock of the log goes backwards",
             asks: vec![
                 (500, take("k", "b", "e1")),
                 (0, take("k", "b", "e2")),
                 (1499, take("k", "b", "e2")),
             ],
-            last: taken("e1", None),
+            verdict: taken("e1", None),
         },
         Case {
-            name: "full",
+            name: "full table",
             asks: vec![
                 (0, take("1", "b", "e1")),
                 (0, take("2", "b", "e1")),
                 (0, take("3", "b", "e1")),
                 (0, take("4", "b", "e1")),
             ],
-            last: ClaimVerdict::Unavailable,
+            verdict: ClaimVerdict::Unavailable,
         },
         Case {
-            name: "full, but the oldest expired",
+            name: "full table whose oldest claim expired",
             asks: vec![
                 (0, take("1", "b", "e1")),
                 (9, take("2", "b", "e1")),
                 (9, take("3", "b", "e1")),
                 (1001, take("4", "b", "e1")),
             ],
-            last: ClaimVerdict::Granted,
+            verdict: ClaimVerdict::Granted,
         },
     ];
     for case in cases {
@@ -203,21 +207,21 @@
             max_answer_bytes: 8,
             max_total_answer_bytes: 16,
         });
-        let mut last = None;
+        let mut verdict = None;
         for (at, ask) in &case.asks {
             // A control instance may restart from its snapshot between any two asks.
-            let written = serde_json::to_string(&table).expect("a table can be written");
-            table = serde_json::from_str(&written).expect("and read");
-            last = Some(table.apply(Millis(*at), ask));
+            let snapshot = serde_json::to_string(&table).expect("a claim table can be serialized");
+            table = serde_json::from_str(&snapshot).expect("a claim table can be deserialized");
+            verdict = Some(table.apply(Millis(*at), ask));
         }
-        assert_eq!(last, Some(case.last), "{}", case.name);
+        assert_eq!(verdict, Some(case.verdict), "{}", case.name);
     }
 }
 
-/// The room for kept answers is given back when claims expire, else no answer would be kept after
-/// a while.
+/// If expired claims did not release the bytes of their answers, no answer would be kept after some
+/// time.
 #[test]
-fn the_room_for_answers_is_given_back() {
+fn expired_claims_release_the_bytes_of_their_answers() {
     let mut table = ClaimTable::new(ClaimBounds {
         max_claims: 3,
         max_answer_bytes: 8,
