--- a/coordination/flight/src/claims.rs
+++ b/coordination/flight/src/claims.rs
@@ -168,15 +168,15 @@
             return ClaimVerdict::Taken { owner: claim.owner.clone(), outcome: recorded.clone() };
         }
         if recorded.is_none() {
-            let kept = outcome.without_large_body(max_bytes);
-            self.answer_bytes += kept.body_len();
-            *recorded = Some(kept);
+            let bounded = outcome.without_large_body(max_bytes);
+            self.answer_bytes += bounded.body_len();
+            *recorded = Some(bounded);
         }
         ClaimVerdict::Done
     }
 
     fn release(&mut self, key: &ClaimKey, owner: &ClaimOwner) -> ClaimVerdict {
-        let released = Claim {
+        let released_claim = Claim {
             owner: owner.clone(),
             expires_at: self.now + RELEASED_CLAIM_RETENTION,
             state: ClaimState::Released,
@@ -189,7 +189,7 @@
             }
             None if self.claims.len() >= self.bounds.max_claims => ClaimVerdict::Done,
             _ => {
-                self.insert(key, released);
+                self.insert(key, released_claim);
                 ClaimVerdict::Done
             }
         }
--- a/coordination/flight/src/sse.rs
+++ b/coordination/flight/src/sse.rs
@@ -60,8 +60,8 @@
 {
     let mut start = 0;
     let mut at = 0;
-    while let Some(found) = bytes[at..].iter().position(|b| *b == b'\n') {
-        let end = at + found + 1;
+    while let Some(offset) = bytes[at..].iter().position(|b| *b == b'\n') {
+        let end = at + offset + 1;
         if bytes.get(end) == Some(&b'\n') {
             on_event(&bytes[start..=end]);
             start = end + 1;
@@ -83,8 +83,8 @@
     for line in text.lines() {
         if let Some(id) = line.strip_prefix("id: ") {
             index = id.trim().parse().ok();
-        } else if let Some(rest) = line.strip_prefix("data: ") {
-            data = rest;
+        } else if let Some(content) = line.strip_prefix("data: ") {
+            data = content;
         }
     }
     match index {
@@ -109,12 +109,12 @@
         Some(at) => at + CHAT.len(),
         None => data.find(COMPLETION)? + COMPLETION.len(),
     };
-    let rest = &data[start..];
+    let text = &data[start..];
     let mut is_escaped = false;
-    let end = rest.bytes().position(|b| {
+    let end = text.bytes().position(|b| {
         let is_end = b == b'"' && !is_escaped;
         is_escaped = b == b'\\' && !is_escaped;
         is_end
     })?;
-    Some(&rest[..end])
+    Some(&text[..end])
 }
--- a/coordination/flight/tests/claims.rs
+++ b/coordination/flight/tests/claims.rs
@@ -19,24 +19,24 @@
     ClaimOwner { entry: entry.into(), incarnation: Incarnation(1), request: "r1".into() }
 }
 
-fn take(name: &str, body: &str, by: &str) -> ClaimAsk {
+fn take_ask(name: &str, body: &str, by: &str) -> ClaimAsk {
     let body = BodyHash(body.into());
     ClaimAsk::Take { key: key(name), body, owner: owner(by), retention: Millis(1000) }
 }
 
-fn finish(name: &str, by: &str, body: &str) -> ClaimAsk {
-    ClaimAsk::Finish { key: key(name), owner: owner(by), outcome: answered(Some(body)) }
+fn finish_ask(name: &str, by: &str, body: &str) -> ClaimAsk {
+    ClaimAsk::Finish { key: key(name), owner: owner(by), outcome: answered_outcome(Some(body)) }
 }
 
-fn release(name: &str, by: &str) -> ClaimAsk {
+fn release_ask(name: &str, by: &str) -> ClaimAsk {
     ClaimAsk::Release { key: key(name), owner: owner(by) }
 }
 
-fn answered(body: Option<&str>) -> ClaimOutcome {
+fn answered_outcome(body: Option<&str>) -> ClaimOutcome {
     ClaimOutcome::Answered { status: 200, body: body.map(str::to_owned) }
 }
 
-fn taken(by: &str, outcome: Option<ClaimOutcome>) -> ClaimVerdict {
+fn taken_verdict(by: &str, outcome: Option<ClaimOutcome>) -> ClaimVerdict {
     ClaimVerdict::Taken { owner: owner(by), outcome }
 }
 
@@ -48,155 +48,155 @@
     let cases = [
         Case {
             name: "unclaimed key",
-            asks: vec![(0, take("k", "b", "e1"))],
+            asks: vec![(0, take_ask("k", "b", "e1"))],
             verdict: ClaimVerdict::Granted,
         },
         Case {
             name: "another key",
-            asks: vec![(0, take("k", "b", "e1")), (0, take("l", "b", "e2"))],
+            asks: vec![(0, take_ask("k", "b", "e1")), (0, take_ask("l", "b", "e2"))],
             verdict: ClaimVerdict::Granted,
         },
         Case {
             name: "the same owner takes the key twice",
-            asks: vec![(0, take("k", "b", "e1")), (5, take("k", "b", "e1"))],
+            asks: vec![(0, take_ask("k", "b", "e1")), (5, take_ask("k", "b", "e1"))],
             verdict: ClaimVerdict::Granted,
         },
         Case {
             name: "another entry instance",
-            asks: vec![(0, take("k", "b", "e1")), (5, take("k", "b", "e2"))],
-            verdict: taken("e1", None),
+            asks: vec![(0, take_ask("k", "b", "e1")), (5, take_ask("k", "b", "e2"))],
+            verdict: taken_verdict("e1", None),
         },
         Case {
             name: "another body",
-            asks: vec![(0, take("k", "b", "e1")), (5, take("k", "c", "e2"))],
+            asks: vec![(0, take_ask("k", "b", "e1")), (5, take_ask("k", "c", "e2"))],
             verdict: ClaimVerdict::BodyMismatch,
         },
         Case {
             name: "finished",
             asks: vec![
-                (0, take("k", "b", "e1")),
-                (1, finish("k", "e1", "yes")),
-                (5, take("k", "b", "e2")),
+                (0, take_ask("k", "b", "e1")),
+                (1, finish_ask("k", "e1", "yes")),
+                (5, take_ask("k", "b", "e2")),
             ],
-            verdict: taken("e1", Some(answered(Some("yes")))),
+            verdict: taken_verdict("e1", Some(answered_outcome(Some("yes")))),
         },
         Case {
             name: "finished, then the first ask arrives again",
             asks: vec![
-                (0, take("k", "b", "e1")),
-                (1, finish("k", "e1", "yes")),
-                (5, take("k", "b", "e1")),
+                (0, take_ask("k", "b", "e1")),
+                (1, finish_ask("k", "e1", "yes")),
+                (5, take_ask("k", "b", "e1")),
             ],
-            verdict: taken("e1", Some(answered(Some("yes")))),
+            verdict: taken_verdict("e1", Some(answered_outcome(Some("yes")))),
         },
         Case {
             name: "a second outcome does not replace the first",
             asks: vec![
-                (0, take("k", "b", "e1")),
-                (1, finish("k", "e1", "yes")),
-                (2, finish("k", "e1", "no")),
-                (5, take("k", "b", "e2")),
+                (0, take_ask("k", "b", "e1")),
+                (1, finish_ask("k", "e1", "yes")),
+                (2, finish_ask("k", "e1", "no")),
+                (5, take_ask("k", "b", "e2")),
             ],
-            verdict: taken("e1", Some(answered(Some("yes")))),
+            verdict: taken_verdict("e1", Some(answered_outcome(Some("yes")))),
         },
         Case {
             name: "finished by another owner",
             asks: vec![
-                (0, take("k", "b", "e1")),
-                (1, finish("k", "e2", "no")),
-                (5, take("k", "b", "e2")),
+                (0, take_ask("k", "b", "e1")),
+                (1, finish_ask("k", "e2", "no")),
+                (5, take_ask("k", "b", "e2")),
             ],
-            verdict: taken("e1", None),
+            verdict: taken_verdict("e1", None),
         },
         Case {
             name: "of a large answer only the status is kept",
             asks: vec![
-                (0, take("k", "b", "e1")),
-                (1, finish("k", "e1", "too long to be kept")),
-                (5, take("k", "b", "e2")),
+                (0, take_ask("k", "b", "e1")),
+                (1, finish_ask("k", "e1", "too long to be kept")),
+                (5, take_ask("k", "b", "e2")),
             ],
-            verdict: taken("e1", Some(answered(None))),
+            verdict: taken_verdict("e1", Some(answered_outcome(None))),
         },
         Case {
             name: "released",
             asks: vec![
-                (0, take("k", "b", "e1")),
-                (1, release("k", "e1")),
-                (5, take("k", "c", "e2")),
+                (0, take_ask("k", "b", "e1")),
+                (1, release_ask("k", "e1")),
+                (5, take_ask("k", "c", "e2")),
             ],
             verdict: ClaimVerdict::Granted,
         },
         Case {
             name: "released by another owner",
             asks: vec![
-                (0, take("k", "b", "e1")),
-                (1, release("k", "e2")),
-                (5, take("k", "b", "e2")),
+                (0, take_ask("k", "b", "e1")),
+                (1, release_ask("k", "e2")),
+                (5, take_ask("k", "b", "e2")),
             ],
-            verdict: taken("e1", None),
+            verdict: taken_verdict("e1", None),
         },
         Case {
             name: "released after it finished",
             asks: vec![
-                (0, take("k", "b", "e1")),
-                (1, finish("k", "e1", "yes")),
-                (2, release("k", "e1")),
-                (5, take("k", "b", "e2")),
+                (0, take_ask("k", "b", "e1")),
+                (1, finish_ask("k", "e1", "yes")),
+                (2, release_ask("k", "e1")),
+                (5, take_ask("k", "b", "e2")),
             ],
-            verdict: taken("e1", Some(answered(Some("yes")))),
+            verdict: taken_verdict("e1", Some(answered_outcome(Some("yes")))),
         },
         Case {
             name: "released before the delayed take arrives",
-            asks: vec![(0, release("k", "e1")), (1, take("k", "b", "e1"))],
+            asks: vec![(0, release_ask("k", "e1")), (1, take_ask("k", "b", "e1"))],
             verdict: ClaimVerdict::Unavailable,
         },
         Case {
             name: "a late release does not touch the next owner",
             asks: vec![
-                (0, take("k", "b", "e1")),
-                (1, release("k", "e1")),
-                (2, take("k", "b", "e2")),
-                (3, release("k", "e1")),
-                (4, take("k", "b", "e3")),
+                (0, take_ask("k", "b", "e1")),
+                (1, release_ask("k", "e1")),
+                (2, take_ask("k", "b", "e2")),
+                (3, release_ask("k", "e1")),
+                (4, take_ask("k", "b", "e3")),
             ],
-            verdict: taken("e2", None),
+            verdict: taken_verdict("e2", None),
         },
         Case {
             name: "just before the retention ends",
-            asks: vec![(0, take("k", "b", "e1")), (999, take("k", "b", "e2"))],
-            verdict: taken("e1", None),
+            asks: vec![(0, take_ask("k", "b", "e1")), (999, take_ask("k", "b", "e2"))],
+            verdict: taken_verdict("e1", None),
         },
         Case {
             name: "after the retention",
-            asks: vec![(0, take("k", "b", "e1")), (1000, take("k", "b", "e2"))],
+            asks: vec![(0, take_ask("k", "b", "e1")), (1000, take_ask("k", "b", "e2"))],
             verdict: ClaimVerdict::Granted,
         },
         Case {
             name: "the clock of the log goes backwards",
             asks: vec![
-                (500, take("k", "b", "e1")),
-                (0, take("k", "b", "e2")),
-                (1499, take("k", "b", "e2")),
+                (500, take_ask("k", "b", "e1")),
+                (0, take_ask("k", "b", "e2")),
+                (1499, take_ask("k", "b", "e2")),
             ],
-            verdict: taken("e1", None),
+            verdict: taken_verdict("e1", None),
         },
         Case {
             name: "full table",
             asks: vec![
-                (0, take("1", "b", "e1")),
-                (0, take("2", "b", "e1")),
-                (0, take("3", "b", "e1")),
-                (0, take("4", "b", "e1")),
+                (0, take_ask("1", "b", "e1")),
+                (0, take_ask("2", "b", "e1")),
+                (0, take_ask("3", "b", "e1")),
+                (0, take_ask("4", "b", "e1")),
             ],
             verdict: ClaimVerdict::Unavailable,
         },
         Case {
             name: "full table whose oldest claim expired",
             asks: vec![
-                (0, take("1", "b", "e1")),
-                (9, take("2", "b", "e1")),
-                (9, take("3", "b", "e1")),
-                (1001, take("4", "b", "e1")),
+                (0, take_ask("1", "b", "e1")),
+                (9, take_ask("2", "b", "e1")),
+                (9, take_ask("3", "b", "e1")),
+                (1001, take_ask("4", "b", "e1")),
             ],
             verdict: ClaimVerdict::Granted,
         },
@@ -228,10 +228,14 @@
         max_total_answer_bytes: 8,
     });
     for (round, at) in [(1, 0), (2, 2000), (3, 4000)] {
-        table.apply(Millis(at), &take("k", "b", "e1"));
-        table.apply(Millis(at), &finish("k", "e1", "12345678"));
-        let verdict = table.apply(Millis(at + 1), &take("k", "b", "e2"));
-        assert_eq!(verdict, taken("e1", Some(answered(Some("12345678")))), "round {round}");
+        table.apply(Millis(at), &take_ask("k", "b", "e1"));
+        table.apply(Millis(at), &finish_ask("k", "e1", "12345678"));
+        let verdict = table.apply(Millis(at + 1), &take_ask("k", "b", "e2"));
+        assert_eq!(
+            verdict,
+            taken_verdict("e1", Some(answered_outcome(Some("12345678")))),
+            "round {round}"
+        );
     }
     assert_eq!(table.len(), 1);
 }
