--- a/coordination/fleet/src/lib.rs
+++ b/coordination/fleet/src/lib.rs
@@ -1,4 +1,5 @@
-//! Capacity: what to start, stop, load and drain, where, and at what price.
+//! Capacity planning: which instances to start, stop, load and drain, in which failure domains, and
+//! whether reclaimable or on-demand.
 
 pub mod backoff;
 mod baseline;
@@ -17,5 +18,5 @@
 pub use event::{Action, Event, ServiceTarget, StartId};
 pub use machine::Fleet;
 pub use offer::{Offer, OfferKey};
-pub use orders::{FenceCheck, Issuer, OrderCfg, Weakening};
-pub use plan::{Need, Plan, cheapest};
+pub use orders::{FenceCheck, OrderCfg, OrderIssuer, Weakening};
+pub use plan::{Need, Plan, cheapest_plan};
--- a/coordination/flight/src/journal.rs
+++ b/coordination/flight/src/journal.rs
@@ -1,79 +1,83 @@
-//! A bounded journal of what became of requests, and why.
+//! A bounded journal of the steps of recent requests, with reasons.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Map, Millis, Name};
 
-/// Steps kept for one request; the first and the last matter most, so the middle is dropped.
+/// Maximum number of steps kept per request. The first and last steps explain most, so steps in the
+/// middle are dropped.
 const MAX_STEPS: usize = 64;
 
-/// One step of a request's life.
+/// One step in the lifecycle of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Step {
+pub struct RequestStep {
     /// Milliseconds since the request was received.
     pub at: Millis,
-    /// What happened, and why.
+    /// What happened and why, as text for people.
     pub what: String,
 }
 
-/// All that is known of a request.
+/// The journal record of one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
-    /// The client account.
+pub struct RequestRecord {
+    /// The client account that sent the request.
     pub account: Name,
-    /// What was asked for.
+    /// The model or service that was requested.
     pub target: Name,
-    /// When it was received, on the entry's clock.
-    pub received: Millis,
-    /// Its steps in order.
-    pub steps: Vec<Step>,
-    /// Steps that were dropped from the middle.
-    pub dropped: u32,
+    /// When the request was received, on the clock of the entry instance.
+    #[serde(rename = "received")]
+    pub received_at: Millis,
+    /// The steps in order of time.
+    pub steps: Vec<RequestStep>,
+    /// Number of steps that were dropped from the middle.
+    #[serde(rename = "dropped")]
+    pub dropped_steps: u32,
 }
 
-/// Records of the newest requests.
+/// Records of the most recent requests.
 #[derive(Debug)]
 pub struct Journal {
     capacity: usize,
-    records: Map<Name, Record>,
-    by_age: VecDeque<Name>,
+    records: Map<Name, RequestRecord>,
+    insertion_order: VecDeque<Name>,
 }
 
 impl Journal {
-    /// Makes an empty journal for that many requests.
+    /// Makes an empty journal that holds `capacity` requests.
     pub fn new(capacity: usize) -> Self {
-        Self { capacity, records: Map::default(), by_age: VecDeque::new() }
+        Self { capacity, records: Map::default(), insertion_order: VecDeque::new() }
     }
 
-    /// Begins a record; the oldest one goes when the journal is full.
+    /// Adds the record of a request, and evicts the oldest record if the journal is full.
     pub fn open(&mut self, now: Millis, request: &Name, account: &Name, target: &Name) {
         let (account, target) = (account.clone(), target.clone());
-        let record = Record { account, target, received: now, ..Record::default() };
+        let record =
+            RequestRecord { account, target, received_at: now, ..RequestRecord::default() };
         if self.records.insert(request.clone(), record).is_none() {
-            self.by_age.push_back(request.clone());
+            self.insertion_order.push_back(request.clone());
         }
-        if self.by_age.len() > self.capacity
-            && let Some(oldest) = self.by_age.pop_front()
+        if self.insertion_order.len() > self.capacity
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
             self.records.remove(&oldest);
         }
     }
 
-    /// Adds a step to a record.
-    pub fn note(&mut self, now: Millis, request: &Name, what: String) {
+    /// Adds a step to the record of a request; does nothing if the record was evicted.
+    pub fn add_step(&mut self, now: Millis, request: &Name, what: String) {
         let Some(record) = self.records.get_mut(request) else {
             return;
         };
         if record.steps.len() == MAX_STEPS {
             record.steps.remove(MAX_STEPS / 2);
-            record.dropped += 1;
+            record.dropped_steps += 1;
         }
-        record.steps.push(Step { at: now - record.received, what });
+        record.steps.push(RequestStep { at: now - record.received_at, what });
     }
 
-    /// Returns a record.
-    pub fn get(&self, request: &str) -> Option<&Record> {
+    /// Returns the record of a request, unless it was evicted.
+    pub fn get(&self, request: &str) -> Option<&RequestRecord> {
         self.records.get(request)
     }
 }
--- a/coordination/flight/src/sse.rs
+++ b/coordination/flight/src/sse.rs
@@ -1,66 +1,69 @@
-//! Splits a stream of server-sent events, and finds what the system has to know of each.
+//! Splits a stream of server-sent events, and extracts token index and text of each without a JSON
+//! parser.
 
-/// Finds the ends of events in a stream that arrives in pieces.
+/// Splits a stream that arrives in chunks into events.
 #[derive(Debug, Default)]
-pub struct Splitter {
-    rest: Vec<u8>,
+pub struct EventSplitter {
+    buf: Vec<u8>,
 }
 
-/// What an event is, as far as the system has to know.
+/// The kind of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind<'a> {
+pub enum EventKind<'a> {
     /// A token of the answer.
     Token {
-        /// Its index.
+        /// The token's index in the answer, from the event's `id` line.
         index: u32,
-        /// Its text as in JSON between the quotes; none where it needs a parser to be found.
+        /// The token's text, still escaped as in its JSON string; none if finding it needs a JSON
+        /// parser.
         escaped: Option<&'a str>,
     },
-    /// The end marker.
+    /// The end marker `[DONE]`.
     Done,
-    /// Other data: the finish reason, usage counts, an error.
+    /// Other data, such as the finish reason, usage counts or an error.
     Other,
 }
 
-/// An event that outgrows this is no event, in bytes.
-const MAX_EVENT: usize = 4 << 20;
+/// Size of the largest event, in bytes; a stream with a larger one is malformed.
+const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// An event grew past all bounds.
+/// An event is larger than 4 MiB.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TooLong;
+pub struct EventTooLong;
 
-impl Splitter {
-    /// Passes every whole event, with its closing blank line, to `each`; the rest is kept.
+impl EventSplitter {
+    /// Passes every complete event, with its closing blank line, to `on_event`, and buffers the
+    /// remaining bytes.
     ///
     /// # Errors
     ///
-    /// Fails when an event never ends.
-    pub fn push<F>(&mut self, bytes: &[u8], mut each: F) -> Result<(), TooLong>
+    /// Fails if an incomplete event is larger than 4 MiB.
+    pub fn push<F>(&mut self, bytes: &[u8], mut on_event: F) -> Result<(), EventTooLong>
     where
         F: FnMut(&[u8]),
     {
-        if self.rest.is_empty() {
-            let used = split(bytes, &mut each);
-            self.rest.extend_from_slice(&bytes[used..]);
+        if self.buf.is_empty() {
+            let consumed = split_events(bytes, &mut on_event);
+            self.buf.extend_from_slice(&bytes[consumed..]);
         } else {
-            self.rest.extend_from_slice(bytes);
-            let used = split(&self.rest, &mut each);
-            self.rest.drain(..used);
+            self.buf.extend_from_slice(bytes);
+            let consumed = split_events(&self.buf, &mut on_event);
+            self.buf.drain(..consumed);
         }
-        if self.rest.len() > MAX_EVENT { Err(TooLong) } else { Ok(()) }
+        if self.buf.len() > MAX_EVENT_BYTES { Err(EventTooLong) } else { Ok(()) }
     }
 }
 
-fn split<F>(bytes: &[u8], each: &mut F) -> usize
+fn split_events<F>(bytes: &[u8], on_event: &mut F) -> usize
 where
     F: FnMut(&[u8]),
 {
     let mut start = 0;
     let mut at = 0;
-    while let Some(found) = bytes[at..].iter().position(|b| *b == b'\n') {
-        let end = at + found + 1;
+    while let Some(offset) = bytes[at..].iter().position(|b| *b == b'\n') {
+        let end = at + offset + 1;
         if bytes.get(end) == Some(&b'\n') {
-            each(&bytes[start..=end]);
+            on_event(&bytes[start..=end]);
             start = end + 1;
             at = start;
         } else {
@@ -70,48 +73,48 @@
     start
 }
 
-/// Reads one event.
-pub fn kind(event: &[u8]) -> Kind<'_> {
+/// Returns the kind of an event, with token index and text where it has them.
+pub fn event_kind(event: &[u8]) -> EventKind<'_> {
     let Ok(text) = std::str::from_utf8(event) else {
-        return Kind::Other;
+        return EventKind::Other;
     };
     let mut index = None;
     let mut data = "";
     for line in text.lines() {
         if let Some(id) = line.strip_prefix("id: ") {
             index = id.trim().parse().ok();
-        } else if let Some(rest) = line.strip_prefix("data: ") {
-            data = rest;
+        } else if let Some(content) = line.strip_prefix("data: ") {
+            data = content;
         }
     }
     match index {
-        Some(index) => Kind::Token { index, escaped: content(data) },
-        None if data.trim_end() == "[DONE]" => Kind::Done,
-        None => Kind::Other,
+        Some(index) => EventKind::Token { index, escaped: token_text(data) },
+        None if data.trim_end() == "[DONE]" => EventKind::Done,
+        None => EventKind::Other,
     }
 }
 
-/// Returns the data of an event.
-pub fn data(event: &[u8]) -> Option<&str> {
+/// Returns the content of the first `data` line of an event.
+pub fn event_data(event: &[u8]) -> Option<&str> {
     let text = std::str::from_utf8(event).ok()?;
     text.lines().find_map(|line| line.strip_prefix("data: "))
 }
 
-/// Finds the text of a token without a parse: a JSON string ends at the first quote that has an
-/// even number of backslashes before it.
-fn content(data: &str) -> Option<&str> {
+/// Finds the text of a token without a JSON parser: a JSON string ends at the first quote that has
+/// an even number of backslashes before it.
+fn token_text(data: &str) -> Option<&str> {
     const CHAT: &str = "\"delta\":{\"content\":\"";
     const COMPLETION: &str = "\"text\":\"";
     let start = match data.find(CHAT) {
         Some(at) => at + CHAT.len(),
         None => data.find(COMPLETION)? + COMPLETION.len(),
     };
-    let rest = &data[start..];
-    let mut escaped = false;
-    let end = rest.bytes().position(|b| {
-        let ends = b == b'"' && !escaped;
-        escaped = b == b'\\' && !escaped;
-        ends
+    let text = &data[start..];
+    let mut is_escaped = false;
+    let end = text.bytes().position(|b| {
+        let is_end = b == b'"' && !is_escaped;
+        is_escaped = b == b'\\' && !is_escaped;
+        is_end
     })?;
-    Some(&rest[..end])
+    Some(&text[..end])
 }
