--- a/coordination/route/src/policy.rs
+++ b/coordination/route/src/policy.rs
@@ -1,113 +1,118 @@
-//! How endpoints are compared, and the figures that the comparison uses.
+//! The policy by which endpoints are compared, and its parameters.
 
 use sill_base::Millis;
 use sill_wire::Priority;
 
-/// How an endpoint is chosen among those that may be.
+/// How an endpoint is chosen among the eligible ones.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Policy {
-    /// The lowest expected cost; all others are baselines to measure it against.
+    /// The lowest expected cost. All other policies are baselines for comparison.
     #[default]
     Cost,
-    /// Any endpoint.
+    /// A random endpoint.
     Random,
-    /// The endpoint with the fewest requests for its slots.
+    /// The endpoint with the fewest requests per slot.
     LeastLoaded,
-    /// The longest cached prefix, however busy the endpoint is.
+    /// The endpoint with the longest cached prefix, regardless of its load.
     PrefixOnly,
 }
 
-/// Figures of the router.
+/// Parameters of the router.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PolicyCfg {
-    /// How endpoints are compared.
+    /// The policy by which endpoints are compared.
     pub policy: Policy,
-    /// How long an announcement may be used after it was sent.
+    /// Time after which an announcement expires, counted from when it was sent.
     pub announcement_ttl: Millis,
-    /// How long the newest word of an endpoint that went is kept, against late copies.
+    /// Retention of the latest version of a removed endpoint, against late copies of its
+    /// announcements.
     pub tombstone_ttl: Millis,
-    /// How long a block is believed to be cached after it was last used.
+    /// Time for which a block is assumed to stay cached after its last use.
     pub block_ttl: Millis,
-    /// Cached blocks remembered over all endpoints.
+    /// Highest number of cached blocks tracked over all endpoints.
     pub max_blocks: usize,
-    /// Requests at an endpoint, in parts of its slots, up to which a request is sent there. That of
-    /// high priority bounds what an endpoint is given at all.
-    pub load_factor: ByPriority,
-    /// Load of the pool, in parts of its slots, from which on requests are refused, so that those
-    /// which are taken still get their first token in time.
-    pub pool_factor: ByPriority,
-    /// Time to the first token that callers want. Above the bounds of `load_factor` and `pool_factor`, a request is
-    /// still taken where a part of it is enough for the first token, in the same parts as `wait_factor`. The bounds
-    /// alone would turn callers away for seconds who could be served in a moment, where answers are short. None has
-    /// the bounds hold in any case.
-    pub first_token: Option<Millis>,
-    /// Load of the pool, in parts of its slots, up to which a request goes to a lesser endpoint when
-    /// the best has no room for it.
+    /// Number of requests at an endpoint, as a fraction of its slots, from which on no more are
+    /// sent there. The bound of high priority holds for requests of every priority.
+    pub load_factor: PriorityBounds,
+    /// Load of the pool, as a fraction of its slots, from which on requests are refused, so that
+    /// the admitted ones still get their first token in time.
+    pub pool_factor: PriorityBounds,
+    /// Time to the first token that callers expect. Above the bounds of `load_factor` and
+    /// `pool_factor`, a request is still admitted if its first token is expected within this time
+    /// multiplied by the `wait_factor` of its priority. Where answers are short, the bounds alone
+    /// would refuse callers for seconds who could be served within moments. With `None`, the bounds
+    /// always hold.
+    pub ttft_target: Option<Millis>,
+    /// Load of the pool, as a fraction of its slots, below which a request spills over to a
+    /// lower-ranked endpoint when the best one has no room for it.
     pub spill_below: f64,
-    /// Expected waiting at an endpoint, in parts of the time that the whole prompt takes, up to
-    /// which a request is sent there.
-    pub wait_factor: ByPriority,
-    /// Added to the time that the whole prompt takes, for `wait_factor`.
+    /// Highest expected wait at an endpoint at which a request is sent there, as a fraction of the
+    /// prefill time of the request's whole prompt plus `wait_base`.
+    pub wait_factor: PriorityBounds,
+    /// Time added to the prefill time of the whole prompt before `wait_factor` is applied.
     pub wait_base: Millis,
-    /// Weight of computing a prompt, which also delays the prompts that come after it.
+    /// Weight of the prefill time, since a prefill also delays the prompts queued behind it.
     pub prefill_weight: f64,
-    /// Time in which a new endpoint comes up to its full slots.
+    /// Time over which the usable slots of a new endpoint rise to all of its slots.
     pub slow_start: Millis,
-    /// Added cost of another failure domain.
-    pub elsewhere: Millis,
-    /// Added cost of an endpoint whose slots are all taken, against an idle one.
-    pub crowding: Millis,
-    /// Weight of an endpoint's price against the dearest, on the time that a request takes.
+    /// Added cost of an endpoint in another failure domain.
+    pub cross_domain_cost: Millis,
+    /// Added cost of an endpoint whose slots are all in use, compared with an idle one.
+    pub load_cost: Millis,
+    /// Weight of the time that a request takes, multiplied by the endpoint's price relative to the
+    /// highest price.
     pub price_weight: f64,
-    /// Endpoints drawn for each request, beside its home and those that hold its prompt; all where it is none.
-    /// Where many entry instances hear of the same loads, all of them would send to the idlest endpoint until
-    /// the next word of it.
-    pub drawn: Option<Drawn>,
-    /// Chance in a second that a reclaimable endpoint is reclaimed, while nothing points to it.
+    /// Number of endpoints sampled for each request, in addition to the prompt's home and the
+    /// endpoints that have part of it cached. With `None`, all endpoints are compared. Without
+    /// sampling, many entry instances that receive the same load reports would all send to the
+    /// least loaded endpoint until its next report.
+    pub sample_size: Option<SampleSize>,
+    /// Chance per second that a reclaimable endpoint is reclaimed outside of a reclaim wave.
     pub reclaim_per_s: f64,
-    /// How long one reclaim makes others of its failure domain likely.
+    /// Time for which a reclaim makes others in its failure domain likely.
     pub wave_window: Millis,
-    /// Weight of the work lost by a reclaim.
+    /// Weight of the expected work lost to a reclaim.
     pub risk_weight: f64,
-    /// Part of a prompt that its home endpoint is presumed to hold, where nothing is known.
+    /// Fraction of a prompt that its home endpoint is assumed to have cached, unless more is known.
     pub home_share: f64,
-    /// Prefill speed of endpoints that name none, in tokens a second.
+    /// Prefill speed, in tokens per second, of endpoints that announce none.
     pub prefill_tokens_per_s: u32,
-    /// Time between tokens of endpoints that name none.
-    pub decode: Millis,
-    /// Time for which an endpoint is passed over after it failed, doubled with each failure.
-    pub suspect: Millis,
-    /// Shortest time after which a refused caller may come back.
+    /// Time between two tokens of endpoints that announce none.
+    pub decode_per_token: Millis,
+    /// Backoff after a failure of an endpoint, during which it ranks behind all others. It doubles
+    /// with each consecutive failure, up to 32 times this value.
+    pub failure_backoff: Millis,
+    /// Shortest time after which a refused caller may retry.
     pub retry_after: Millis,
 }
 
-/// How many endpoints are drawn for a request, on average.
+/// Average number of endpoints sampled for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Drawn {
-    /// Of the own failure domain.
-    pub here: f64,
-    /// Of the others together.
-    pub elsewhere: f64,
+pub struct SampleSize {
+    /// Endpoints of the entry instance's failure domain.
+    pub local: f64,
+    /// Endpoints of all other failure domains together.
+    pub remote: f64,
 }
 
-/// A bound for each priority: low is refused first.
+/// A bound for each priority. Low priority has the lowest bounds and is refused first.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ByPriority {
-    /// For low priority.
+pub struct PriorityBounds {
+    /// Bound of low priority.
     pub low: f64,
-    /// For normal priority.
+    /// Bound of normal priority.
     pub normal: f64,
-    /// For high priority.
+    /// Bound of high priority.
     pub high: f64,
 }
 
-impl ByPriority {
-    /// No bound for any priority, to measure against.
+impl PriorityBounds {
+    /// No bound for any priority, as a baseline for comparison.
     pub const UNBOUNDED: Self =
         Self { low: f64::INFINITY, normal: f64::INFINITY, high: f64::INFINITY };
 
     /// Returns the bound of a priority.
-    pub fn of(&self, priority: Priority) -> f64 {
+    pub fn bound(&self, priority: Priority) -> f64 {
         match priority {
             Priority::Low => self.low,
             Priority::Normal => self.normal,
@@ -124,25 +129,25 @@
             tombstone_ttl: Millis(600_000),
             block_ttl: Millis(600_000),
             max_blocks: 1 << 18,
-            load_factor: ByPriority { low: 1.0, normal: 1.25, high: 1.5 },
-            pool_factor: ByPriority { low: 0.8, normal: 0.9, high: 1.05 },
-            first_token: Some(Millis(820)),
+            load_factor: PriorityBounds { low: 1.0, normal: 1.25, high: 1.5 },
+            pool_factor: PriorityBounds { low: 0.8, normal: 0.9, high: 1.05 },
+            ttft_target: Some(Millis(820)),
             spill_below: 0.6,
-            wait_factor: ByPriority { low: 0.25, normal: 0.75, high: 1.5 },
+            wait_factor: PriorityBounds { low: 0.25, normal: 0.75, high: 1.5 },
             wait_base: Millis(200),
             prefill_weight: 4.0,
             slow_start: Millis(10_000),
-            elsewhere: Millis(50),
-            crowding: Millis(200),
-            drawn: None,
+            cross_domain_cost: Millis(50),
+            load_cost: Millis(200),
+            sample_size: None,
             price_weight: 0.02,
             reclaim_per_s: 1.0 / 21_600.0,
             wave_window: Millis(30_000),
             risk_weight: 1.0,
             home_share: 0.7,
             prefill_tokens_per_s: 5_000,
-            decode: Millis(20),
-            suspect: Millis(1_000),
+            decode_per_token: Millis(20),
+            failure_backoff: Millis(1_000),
             retry_after: Millis(1_000),
         }
     }
