--- a/coordination/member/src/foreign.rs
+++ b/coordination/member/src/foreign.rs
@@ -43,8 +43,8 @@
     summary: Option<DomainSummary>,
     /// When the summary was made, at the earliest.
     made_at: Millis,
-    /// Peer addresses in the domain: those of its latest summary first, then those it made contact
-    /// with.
+    /// Peer addresses in the domain: those of its latest summary first, then others from which a
+    /// request or a reply arrived.
     contacts: Vec<Name>,
     /// Offset into the contacts; each failure of a contact increments it.
     contact_offset: usize,
--- a/coordination/member/tests/sim/mod.rs
+++ b/coordination/member/tests/sim/mod.rs
@@ -385,7 +385,7 @@
     }
 
     /// Sends an announcement to the next running entry instance of the domain, as the client of the
-    /// endpoint would; to frozen ones on the way as well, since they accept connections.
+    /// endpoint would. Frozen instances before it get the announcement too, and read it later.
     fn send_announcement(&mut self, endpoint: usize, announcement: Announcement) {
         let domain = &announcement.domain;
         let count = self.nodes.len();
