--- a/daemons/control/src/api/announce.rs
+++ b/daemons/control/src/api/announce.rs
@@ -11,7 +11,7 @@
 
 use crate::api::caller;
 use crate::api::reply::{App, refused};
-use crate::app::judge;
+use crate::app::decision;
 
 pub async fn post(app: App, req: HttpRequest, body: Bytes) -> HttpResponse {
     let authorization = caller::text(&req, "authorization").unwrap_or_default();
@@ -25,7 +25,7 @@
     let taken = fact.and_then(|fact| app.link.heartbeat(app.clock.now(), fact));
     if let Err(findings) = taken {
         event!(Warn, "announcement_refused", reason = findings);
-        return http::json(400, &judge::invalid(findings));
+        return http::json(400, &decision::invalid(findings));
     }
     // Endpoints keep to the addresses that they were given; others may be reached by another way.
     http::json(200, &AnnounceReply { accepted: true, reason: None, entries: Vec::new() })
--- a/daemons/control/src/api/tree.rs
+++ b/daemons/control/src/api/tree.rs
@@ -12,8 +12,8 @@
 use crate::api::caller;
 use crate::api::reply::{App, STALE, refusal_status, refused};
 use crate::app::command::{ChangeAsk, Holder};
-use crate::app::{Ask, Outcome, judge};
-use crate::running;
+use crate::app::{Ask, Outcome, decision};
+use crate::entry_status;
 use crate::shared::Shared;
 use crate::submit::{self, NoOutcome};
 
@@ -126,7 +126,7 @@
     };
     let document = app.read_aside(read).await;
     let document =
-        document.map_err(|findings: Findings| http::json(400, &judge::invalid(findings)))?;
+        document.map_err(|findings: Findings| http::json(400, &decision::invalid(findings)))?;
     answer_change(app, req, path, Some(document)).await
 }
 
@@ -174,7 +174,7 @@
 
 async fn in_force(app: &App, reply: &ChangeReply) -> bool {
     let end = app.clock.now() + IN_FORCE;
-    on_runtime(app, async |shared| running::calls::ask_all(&shared).await).await;
+    on_runtime(app, async |shared| entry_status::calls::pull_from_peers(&shared).await).await;
     while app.clock.now() < end {
         if app.running.all_run(app.clock.now(), reply.revision) {
             return true;
--- a/daemons/control/src/app/judge.rs
+++ b/daemons/control/src/app/decision.rs
@@ -8,49 +8,49 @@
 
 /// What is to be done about an ask.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Judged {
+pub enum Decision {
     /// It was asked before, and this came of it.
-    Known(Outcome),
+    Answer(Outcome),
     /// This is to be written.
     Write(Command),
 }
 
 impl App {
     /// Checks an ask against the present state.
-    pub fn judge(&self, at: Millis, ask: &Ask) -> Judged {
+    pub fn decide(&self, at: Millis, ask: &Ask) -> Decision {
         match ask {
-            Ask::Claims { asks } => Judged::Write(Command::Claims { at, asks: asks.clone() }),
+            Ask::Claims { asks } => Decision::Write(Command::Claims { at, asks: asks.clone() }),
             Ask::Usage(statement) => match self.usage(statement.window) {
-                Some(stated) => Judged::Known(Outcome::Usage(stated.clone())),
-                None => Judged::Write(Command::Usage(statement.clone())),
+                Some(stated) => Decision::Answer(Outcome::Usage(stated.clone())),
+                None => Decision::Write(Command::Usage(statement.clone())),
             },
             Ask::Drain(ask) => match self.known(&ask.origin, &ask.content()) {
-                Some(outcome) => Judged::Known(outcome),
-                None => Judged::Write(Command::Drain { at, ask: ask.clone() }),
+                Some(outcome) => Decision::Answer(outcome),
+                None => Decision::Write(Command::Drain { at, ask: ask.clone() }),
             },
             Ask::Change(ask) => match self.known(&ask.origin, &ask.content()) {
-                Some(outcome) => Judged::Known(outcome),
-                None => self.judge_change(at, ask),
+                Some(outcome) => Decision::Answer(outcome),
+                None => self.decide_change(at, ask),
             },
         }
     }
 
-    fn judge_change(&self, at: Millis, ask: &ChangeAsk) -> Judged {
+    fn decide_change(&self, at: Millis, ask: &ChangeAsk) -> Decision {
         let (content, against) = (ask.content(), self.revision());
         match self.check_change(ask) {
             Ok(ask) => match self.overtaken(&ask) {
-                Some(reply) => Judged::Known(Outcome::Changed(reply)),
+                Some(reply) => Decision::Answer(Outcome::Changed(reply)),
                 None => {
                     let checked = Checked { ask, content, against };
-                    Judged::Write(Command::Change { at, checked })
+                    Decision::Write(Command::Change { at, checked })
                 }
             },
             // An outside system sends what is invalid as often as it likes; were each try written,
             // it could fill the log.
-            Err(refusal) if ask.edition.is_some() => Judged::Known(Outcome::Refused(refusal)),
+            Err(refusal) if ask.edition.is_some() => Decision::Answer(Outcome::Refused(refusal)),
             Err(refusal) => {
                 let checked = Checked { ask: ask.clone(), content, against };
-                Judged::Write(Command::Refuse { at, checked, refusal })
+                Decision::Write(Command::Refuse { at, checked, refusal })
             }
         }
     }
--- a/daemons/control/src/app/history.rs
+++ b/daemons/control/src/app/history.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns what is newer than a revision.
-    pub fn newer_than(&self, tree: &Tree, have: Revision) -> FeedReply {
+    pub fn changes_since(&self, tree: &Tree, have: Revision) -> FeedReply {
         if tree.revision <= have.0 {
             return FeedReply::Current;
         }
--- a/daemons/control/src/app/mod.rs
+++ b/daemons/control/src/app/mod.rs
@@ -7,8 +7,8 @@
 pub mod audit;
 pub mod change_ids;
 pub mod command;
+pub mod decision;
 pub mod history;
-pub mod judge;
 pub mod state;
 
 pub use command::{Ask, Command, Outcome};
--- a/daemons/control/src/app/state.rs
+++ b/daemons/control/src/app/state.rs
@@ -159,8 +159,8 @@
     }
 
     /// Returns what is newer than a revision.
-    pub fn newer_than(&self, have: Revision) -> FeedReply {
-        self.history.newer_than(&self.tree, have)
+    pub fn changes_since(&self, have: Revision) -> FeedReply {
+        self.history.changes_since(&self.tree, have)
     }
 
     /// Returns the audit records that an operator may see and a filter lets through.
@@ -175,7 +175,7 @@
     }
 
     /// Returns whether a token is the root's or owns any subtree.
-    pub fn is_known(&self, operator: &Operator) -> bool {
+    pub fn has_access(&self, operator: &Operator) -> bool {
         let mut paths = self.tree.subtrees.keys();
         *operator == Operator::Root || paths.any(|path| self.tree.is_owned_by(operator, path))
     }
--- a/daemons/control/src/daemon.rs
+++ b/daemons/control/src/daemon.rs
@@ -18,6 +18,7 @@
 use crate::cfg::{ControlCfg, Voter};
 use crate::directory::Directory;
 use crate::duty::{self, DutyCfg, Platform};
+use crate::entry_status::{self, EntryStatusTable};
 use crate::link::{self, Link};
 use crate::log::disk::{OpenDisk, real_disk};
 use crate::log::driver::Driver;
@@ -27,7 +28,6 @@
 use crate::rpc::{
     Ack, Hello, QuorumSend, ReadIndex, ReadIndexReply, RunningAsk, RunningSync, Submit,
 };
-use crate::running::{self, Running};
 use crate::served::{self, Served};
 use crate::shared::Shared;
 use crate::{api, feed, submit};
@@ -112,7 +112,7 @@
             answers(&shared).start(peer_listener)?
         };
         runtime.spawn(hello::run(shared.clone()));
-        runtime.spawn(running::calls::pass_on(shared.clone()));
+        runtime.spawn(entry_status::calls::push_to_peers(shared.clone()));
         runtime.spawn(link::calls::run(shared.clone()));
         runtime.spawn(served::run(shared.clone()));
         if let Some(platform) = extension.platform {
@@ -184,7 +184,7 @@
     let mut driver = Driver::new(&cfg, open_disk, clock, peers, metrics.clone());
     driver.open()?;
     let log = driver.start()?;
-    let running = Running::default();
+    let running = EntryStatusTable::default();
     let change_turn = tokio::sync::Mutex::new(());
     let reading = Arc::default();
     let link = Link::new(&cfg);
@@ -228,7 +228,7 @@
     let own = shared.clone();
     peers.answer(move |Submit { ask }| {
         let own = own.clone();
-        async move { Ok(submit::lead(&own, &ask).await) }
+        async move { Ok(submit::submit_as_leader(&own, &ask).await) }
     });
     let own = shared.clone();
     peers.answer(move |_: ReadIndex| {
@@ -249,12 +249,12 @@
     });
     let own = shared.clone();
     peers.answer(move |_: RunningAsk| {
-        let known = own.running.known(own.clock.now());
+        let known = own.running.own_entries(own.clock.now());
         async move { Ok(known) }
     });
     let own = shared.clone();
     peers.answer(move |sync: RunningSync| {
-        own.running.told(own.clock.now(), &sync);
+        own.running.merge(own.clock.now(), &sync);
         async { Ok(Ack {}) }
     });
     peers
--- a/daemons/control/src/duty.rs
+++ b/daemons/control/src/duty.rs
@@ -95,7 +95,7 @@
     pub orders_endpoints: bool,
     /// Time for which an instance that leads again waits after its last call of an earlier term, so
     /// that with another one between them its calls never fall into one lease of the platform's.
-    pub turn_wait: Millis,
+    pub handover_wait: Millis,
     /// Figures for the number of endpoints.
     pub counts: CountCfg,
 }
@@ -128,7 +128,7 @@
             continue;
         }
         let is_taken = duties.as_ref().is_some_and(|duties| duties.fence.token == status.term);
-        let must_wait = acted_at.is_some_and(|acted_at| now - acted_at < cfg.turn_wait);
+        let must_wait = acted_at.is_some_and(|acted_at| now - acted_at < cfg.handover_wait);
         if !may_act || !is_taken && must_wait {
             continue;
         }
--- a/daemons/control/src/running.rs
+++ b/daemons/control/src/entry_status.rs
@@ -20,7 +20,7 @@
 
 /// What is known of the entry instances, here and by the other control instances.
 #[derive(Debug, Default)]
-pub struct Running {
+pub struct EntryStatusTable {
     heard: Mutex<Map<Name, Heard>>,
     reported: Mutex<Map<Name, Reported>>,
 }
@@ -44,9 +44,9 @@
     is_new: bool,
 }
 
-impl Running {
+impl EntryStatusTable {
     /// Takes in a poll.
-    pub fn polled(&self, now: Millis, poll: &FeedPoll) {
+    pub fn record_poll(&self, now: Millis, poll: &FeedPoll) {
         if let Some(domain) = &poll.endpoints {
             self.reported(now, domain, true);
         }
@@ -99,7 +99,7 @@
     }
 
     /// Takes in what another control instance heard.
-    pub fn told(&self, now: Millis, sync: &RunningSync) {
+    pub fn merge(&self, now: Millis, sync: &RunningSync) {
         for domain in &sync.endpoints {
             self.reported(now, domain, false);
         }
@@ -138,7 +138,7 @@
     }
 
     /// Returns all that was heard of here, whether or not the others were told.
-    pub fn known(&self, now: Millis) -> RunningSync {
+    pub fn own_entries(&self, now: Millis) -> RunningSync {
         let heard = self.heard.lock();
         let own = heard.iter().filter(|(_, known)| known.is_own && now - known.at < LIVE);
         let entries = own.map(|(name, known)| running_entry(now, name, known)).collect();
--- a/daemons/control/src/running/calls.rs
+++ b/daemons/control/src/entry_status/calls.rs
@@ -18,16 +18,16 @@
 /// They tell it by themselves, but a little later. An operator who waits until a change is in force
 /// everywhere would be told so while an entry instance that has just begun to poll another control
 /// instance, or that stands still, does not run it yet.
-pub async fn ask_all(shared: &Shared) {
+pub async fn pull_from_peers(shared: &Shared) {
     let peers = shared.directory.peers();
     let calls = peers.iter().map(|peer| peer.quick.call(&RunningAsk {}));
     for told in futures_util::future::join_all(calls).await.into_iter().flatten() {
-        shared.running.told(shared.clock.now(), &told);
+        shared.running.merge(shared.clock.now(), &told);
     }
 }
 
 /// Passes on to the other control instances what entry instances run.
-pub async fn pass_on(shared: Arc<Shared>) {
+pub async fn push_to_peers(shared: Arc<Shared>) {
     let mut refresh_at = Millis::ZERO;
     loop {
         tokio::time::sleep(TICK.into()).await;
--- a/daemons/control/src/feed.rs
+++ b/daemons/control/src/feed.rs
@@ -18,11 +18,11 @@
 /// Never fails; the type is what peer calls ask for.
 pub async fn poll(shared: Arc<Shared>, poll: FeedPoll) -> Result<FeedReply, PeerError> {
     shared.metrics.polls.inc();
-    shared.running.polled(shared.clock.now(), &poll);
+    shared.running.record_poll(shared.clock.now(), &poll);
     let mut revision = shared.log.revision();
     let is_newer = revision.wait_for(|revision| *revision > poll.have);
     let is_newer = tokio::time::timeout(poll.wait.into(), is_newer).await.is_ok();
-    let reply = shared.log.app().read().newer_than(poll.have);
+    let reply = shared.log.app().read().changes_since(poll.have);
     if !is_newer && shared.log.status().leader.is_none() {
         return Ok(FeedReply::Empty);
     }
--- a/daemons/control/src/shared.rs
+++ b/daemons/control/src/shared.rs
@@ -9,10 +9,10 @@
 
 use crate::cfg::ControlCfg;
 use crate::directory::Directory;
+use crate::entry_status::EntryStatusTable;
 use crate::link::Link;
 use crate::log::LogHandle;
 use crate::metrics::Metrics;
-use crate::running::Running;
 use crate::served::Served;
 
 /// What the parts of a control instance share.
@@ -25,7 +25,7 @@
     /// The replicated log.
     pub log: LogHandle,
     /// What entry instances run.
-    pub running: Running,
+    pub running: EntryStatusTable,
     /// The other control instances.
     pub directory: Directory,
     /// What is known of endpoints, and of entry instances that serve routes.
--- a/daemons/control/src/submit.rs
+++ b/daemons/control/src/submit.rs
@@ -6,7 +6,7 @@
 use sill_quorum::RoleName;
 use sill_wire::claim::{ClaimAsk, ClaimBatch, ClaimReply, ClaimVerdict};
 
-use crate::app::judge::Judged;
+use crate::app::decision::Decision;
 use crate::app::{Ask, Outcome};
 use crate::log::{CommandText, Submitted};
 use crate::rpc::{ReadIndex, Submit, SubmitReply};
@@ -74,7 +74,7 @@
 async fn attempt(shared: &Arc<Shared>, ask: &Ask) -> SubmitReply {
     let status = shared.log.status();
     if status.role == RoleName::Leader {
-        return lead(shared, ask).await;
+        return submit_as_leader(shared, ask).await;
     }
     let Some(peer) = status.leader.and_then(|name| shared.directory.get(&name)) else {
         return SubmitReply::NotLeader;
@@ -89,7 +89,7 @@
 }
 
 /// Checks an ask and writes it, as the leader.
-pub async fn lead(shared: &Arc<Shared>, ask: &Ask) -> SubmitReply {
+pub async fn submit_as_leader(shared: &Arc<Shared>, ask: &Ask) -> SubmitReply {
     // One change after the other: of changes that are checked at the same time only the first one
     // counts, and the others would have to be checked and written again.
     let _turn = match ask {
@@ -119,9 +119,9 @@
 
 async fn judge(shared: &Arc<Shared>, ask: &Ask) -> Ready {
     let judge =
-        |shared: &Shared, ask: &Ask| match shared.log.app().read().judge(Millis::wall(), ask) {
-            Judged::Known(outcome) => Ready::Known(outcome),
-            Judged::Write(command) => Ready::Write((&command).into()),
+        |shared: &Shared, ask: &Ask| match shared.log.app().read().decide(Millis::wall(), ask) {
+            Decision::Answer(outcome) => Ready::Known(outcome),
+            Decision::Write(command) => Ready::Write((&command).into()),
         };
     if !matches!(ask, Ask::Change(_)) {
         return judge(shared, ask);
--- a/daemons/control/tests/app.rs
+++ b/daemons/control/tests/app.rs
@@ -4,7 +4,7 @@
 use sill_base::{Millis, Name};
 use sill_control::app::audit::AuditFilter;
 use sill_control::app::command::{ChangeAsk, DrainAsk, Holder, Origin};
-use sill_control::app::judge::Judged;
+use sill_control::app::decision::Decision;
 use sill_control::app::{App, Ask, Command, Outcome};
 use sill_quorum::{Entry, Payload};
 use sill_tree::{Document, DocumentText, KeyHash, Operator};
@@ -25,9 +25,9 @@
 }
 
 fn command(app: &App, ask: &Ask) -> Command {
-    match app.judge(Millis(5), ask) {
-        Judged::Write(command) => command,
-        Judged::Known(outcome) => panic!("known already: {outcome:?}"),
+    match app.decide(Millis(5), ask) {
+        Decision::Write(command) => command,
+        Decision::Answer(outcome) => panic!("known already: {outcome:?}"),
     }
 }
 
@@ -39,9 +39,9 @@
 
 fn ask(app: &mut App, ask: ChangeAsk) -> Outcome {
     let ask = Ask::Change(ask);
-    match app.judge(Millis(5), &ask) {
-        Judged::Write(command) => apply(app, &command),
-        Judged::Known(outcome) => outcome,
+    match app.decide(Millis(5), &ask) {
+        Decision::Write(command) => apply(app, &command),
+        Decision::Answer(outcome) => outcome,
     }
 }
 
@@ -221,7 +221,7 @@
     for missed in [0, 1, 5, 199, 200, 201, 500, 999, 1001, newest] {
         let have = newest - missed;
         let mut tree = trees[have].clone();
-        match app.newer_than(Revision(have as u64)) {
+        match app.changes_since(Revision(have as u64)) {
             FeedReply::Current => assert_eq!(missed, 0),
             FeedReply::Changes { changes } => changes.into_iter().for_each(|c| take(&mut tree, c)),
             FeedReply::Snapshot { revision, subtrees } => {
