--- a/daemons/control/src/app/audit.rs
+++ b/daemons/control/src/app/audit.rs
@@ -8,7 +8,7 @@
 use sill_wire::control::AuditRecord;
 
 /// Records that are kept; at 1,800 changes a day they reach back for eleven days.
-const KEPT: usize = 20_000;
+const MAX_RECORDS: usize = 20_000;
 
 /// The newest records.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
 impl AuditTrail {
     /// Adds a record.
     pub fn add(&mut self, record: AuditRecord) {
-        if self.records.len() == KEPT {
+        if self.records.len() == MAX_RECORDS {
             self.records.pop_front();
         }
         self.records.push_back(record);
@@ -44,20 +44,20 @@
         &'a self,
         filter: &'a AuditFilter,
     ) -> impl Iterator<Item = &'a AuditRecord> + 'a {
-        self.records.iter().filter(|record| filter.lets_through(record))
+        self.records.iter().filter(|record| filter.matches(record))
     }
 }
 
 impl AuditFilter {
-    fn lets_through(&self, record: &AuditRecord) -> bool {
-        let by_path = self
+    fn matches(&self, record: &AuditRecord) -> bool {
+        let is_path_match = self
             .path
             .as_ref()
             .is_none_or(|path| sill_tree::effective::is_at_or_above(path, &record.subject));
-        let by_author = self.author.as_ref().is_none_or(|author| *author == record.author);
-        let by_time = self.since.is_none_or(|since| record.at >= since)
+        let is_author_match = self.author.as_ref().is_none_or(|author| *author == record.author);
+        let is_time_match = self.since.is_none_or(|since| record.at >= since)
             && self.until.is_none_or(|until| record.at <= until);
-        by_path && by_author && by_time
+        is_path_match && is_author_match && is_time_match
     }
 }
 
--- a/daemons/control/src/app/change_ids.rs
+++ b/daemons/control/src/app/change_ids.rs
@@ -8,14 +8,14 @@
 use crate::app::command::Outcome;
 
 /// Answers that are kept; at 1,800 changes a day they reach back for eleven days.
-const KEPT: usize = 20_000;
+const MAX_ANSWERS: usize = 20_000;
 
 /// The newest answers by author and `Change-Id`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "VecDeque<Answer>", into = "VecDeque<Answer>")]
 pub struct ChangeIds {
     answers: VecDeque<Answer>,
-    places: Map<AskName, u64>,
+    positions: Map<IdempotencyKey, u64>,
     removed: u64,
 }
 
@@ -23,7 +23,7 @@
 ///
 /// The author belongs to it: another team that guesses a `Change-Id` must not read its answer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct AskName {
+pub struct IdempotencyKey {
     /// Who asked.
     pub author: Name,
     /// The name that the author gave.
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
     /// Its name.
-    pub name: AskName,
+    pub name: IdempotencyKey,
     /// A hash of its content.
     pub content: Name,
     /// What came of it.
@@ -43,24 +43,24 @@
 
 impl ChangeIds {
     /// Returns the answer to an ask.
-    pub fn get(&self, name: &AskName) -> Option<&Answer> {
-        let place = self.places.get(name)?;
-        self.answers.get((place - self.removed) as usize)
+    pub fn get(&self, name: &IdempotencyKey) -> Option<&Answer> {
+        let position = self.positions.get(name)?;
+        self.answers.get((position - self.removed) as usize)
     }
 
     /// Keeps an answer; the first one for a name stays.
-    pub fn keep(&mut self, answer: Answer) {
-        if self.places.contains_key(&answer.name) {
+    pub fn insert(&mut self, answer: Answer) {
+        if self.positions.contains_key(&answer.name) {
             return;
         }
-        if self.answers.len() == KEPT
+        if self.answers.len() == MAX_ANSWERS
             && let Some(oldest) = self.answers.pop_front()
         {
-            self.places.remove(&oldest.name);
+            self.positions.remove(&oldest.name);
             self.removed += 1;
         }
-        let place = self.removed + self.answers.len() as u64;
-        self.places.insert(answer.name.clone(), place);
+        let position = self.removed + self.answers.len() as u64;
+        self.positions.insert(answer.name.clone(), position);
         self.answers.push_back(answer);
     }
 }
@@ -68,7 +68,7 @@
 impl From<VecDeque<Answer>> for ChangeIds {
     fn from(answers: VecDeque<Answer>) -> Self {
         let mut ids = Self::default();
-        answers.into_iter().for_each(|answer| ids.keep(answer));
+        answers.into_iter().for_each(|answer| ids.insert(answer));
         ids
     }
 }
--- a/daemons/control/src/app/command.rs
+++ b/daemons/control/src/app/command.rs
@@ -102,14 +102,14 @@
         /// Wall-clock time at the leader.
         at: Millis,
         /// The change as it was checked.
-        checked: Checked,
+        checked: CheckedChange,
     },
     /// Note that a change was refused.
     Refuse {
         /// Wall-clock time at the leader.
         at: Millis,
         /// The change as it was checked.
-        checked: Checked,
+        checked: CheckedChange,
         /// Why it was refused.
         refusal: ChangeRefusal,
     },
@@ -133,7 +133,7 @@
 
 /// A change with what its check depended on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Checked {
+pub struct CheckedChange {
     /// The change, with what the check filled in.
     pub ask: ChangeAsk,
     /// A hash of what was asked for at first.
--- a/daemons/control/src/app/decision.rs
+++ b/daemons/control/src/app/decision.rs
@@ -3,7 +3,7 @@
 use sill_base::{Findings, Millis};
 use sill_wire::control::ChangeRefusal;
 
-use crate::app::command::{Ask, ChangeAsk, Checked, Command, Outcome, refusal};
+use crate::app::command::{Ask, ChangeAsk, CheckedChange, Command, Outcome, refusal};
 use crate::app::state::App;
 
 /// What is to be done about an ask.
@@ -24,11 +24,11 @@
                 Some(stated) => Decision::Answer(Outcome::Usage(stated.clone())),
                 None => Decision::Write(Command::Usage(statement.clone())),
             },
-            Ask::Drain(ask) => match self.known(&ask.origin, &ask.content()) {
+            Ask::Drain(ask) => match self.previous_outcome(&ask.origin, &ask.content()) {
                 Some(outcome) => Decision::Answer(outcome),
                 None => Decision::Write(Command::Drain { at, ask: ask.clone() }),
             },
-            Ask::Change(ask) => match self.known(&ask.origin, &ask.content()) {
+            Ask::Change(ask) => match self.previous_outcome(&ask.origin, &ask.content()) {
                 Some(outcome) => Decision::Answer(outcome),
                 None => self.decide_change(at, ask),
             },
@@ -38,10 +38,10 @@
     fn decide_change(&self, at: Millis, ask: &ChangeAsk) -> Decision {
         let (content, against) = (ask.content(), self.revision());
         match self.check_change(ask) {
-            Ok(ask) => match self.overtaken(&ask) {
+            Ok(ask) => match self.superseded_reply(&ask) {
                 Some(reply) => Decision::Answer(Outcome::Changed(reply)),
                 None => {
-                    let checked = Checked { ask, content, against };
+                    let checked = CheckedChange { ask, content, against };
                     Decision::Write(Command::Change { at, checked })
                 }
             },
@@ -49,7 +49,7 @@
             // it could fill the log.
             Err(refusal) if ask.edition.is_some() => Decision::Answer(Outcome::Refused(refusal)),
             Err(refusal) => {
-                let checked = Checked { ask: ask.clone(), content, against };
+                let checked = CheckedChange { ask: ask.clone(), content, against };
                 Decision::Write(Command::Refuse { at, checked, refusal })
             }
         }
--- a/daemons/control/src/app/history.rs
+++ b/daemons/control/src/app/history.rs
@@ -8,10 +8,10 @@
 use sill_wire::feed::{Change, FeedReply};
 
 /// Changes that are kept.
-const KEPT: usize = 1000;
+const MAX_CHANGES: usize = 1000;
 
 /// Changes that are sent one by one; who missed more gets the whole tree, if that is less.
-const SENT: usize = 200;
+const MAX_CHANGES_SENT: usize = 200;
 
 /// The newest changes without a gap.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
 impl History {
     /// Adds the newest change.
     pub fn add(&mut self, change: Change) {
-        if self.changes.len() == KEPT {
+        if self.changes.len() == MAX_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(change);
@@ -35,8 +35,8 @@
             return FeedReply::Current;
         }
         let missed = (tree.revision - have.0) as usize;
-        let is_whole = missed <= self.changes.len();
-        if is_whole && missed <= SENT.max(tree.subtrees.len()) {
+        let has_all = missed <= self.changes.len();
+        if has_all && missed <= MAX_CHANGES_SENT.max(tree.subtrees.len()) {
             let skipped = self.changes.len() - missed;
             return FeedReply::Changes {
                 changes: self.changes.iter().skip(skipped).cloned().collect(),
--- a/daemons/control/src/app/state.rs
+++ b/daemons/control/src/app/state.rs
@@ -15,21 +15,21 @@
 use sill_wire::feed::{Change, FeedReply};
 
 use crate::app::audit::{AuditFilter, AuditTrail, without_hashes};
-use crate::app::change_ids::{Answer, AskName, ChangeIds};
+use crate::app::change_ids::{Answer, ChangeIds, IdempotencyKey};
 use crate::app::command::{
-    ChangeAsk, Checked, Command, DrainAsk, Edition, Holder, Origin, Outcome, UsageStatement,
+    ChangeAsk, CheckedChange, Command, DrainAsk, Edition, Holder, Origin, Outcome, UsageStatement,
     refusal,
 };
 use crate::app::history::History;
 
 /// Places of findings that an audit record names.
-const AUDITED_FINDINGS: usize = 20;
+const MAX_AUDITED_FINDINGS: usize = 20;
 
 /// Drains that are remembered.
 const MAX_DRAINS: usize = 10_000;
 
 /// Windows whose usage is remembered; at 5 s each they reach back for ten minutes.
-const MAX_WINDOWS: usize = 120;
+const MAX_USAGE_WINDOWS: usize = 120;
 
 /// Claims that are held at once; each takes about 1 kB of memory here.
 const MAX_CLAIMS: usize = 300_000;
@@ -64,26 +64,26 @@
 
 /// A document that a newer version of the program wrote.
 #[derive(Debug)]
-pub struct NewerDocument {
+pub struct UnsupportedDocument {
     path: Name,
     error: serde_json::Error,
 }
 
 /// Where in the log a command stands.
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct LogPosition {
     index: u64,
     term: u64,
     at: Millis,
 }
 
-impl Display for NewerDocument {
+impl Display for UnsupportedDocument {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "{} is of a newer version of sill-control: {}", self.path, self.error)
     }
 }
 
-impl Error for NewerDocument {}
+impl Error for UnsupportedDocument {}
 
 impl Default for App {
     fn default() -> Self {
@@ -140,13 +140,13 @@
     }
 
     /// Returns the windows whose usage was stated, the newest of them.
-    pub fn stated_windows(&self) -> impl Iterator<Item = &UsageStatement> {
+    pub fn usage_statements(&self) -> impl Iterator<Item = &UsageStatement> {
         self.usage.values()
     }
 
     /// Returns the answer to a change whose edition is not above the one in force. Nothing is done
     /// about it, and it counts as accepted: the outside system need not know what came between.
-    pub fn overtaken(&self, ask: &ChangeAsk) -> Option<ChangeReply> {
+    pub fn superseded_reply(&self, ask: &ChangeAsk) -> Option<ChangeReply> {
         let edition = ask.edition.as_ref()?;
         let current = self.editions.get(&ask.path)?;
         let subtree = self.tree.subtrees.get(&ask.path);
@@ -181,8 +181,8 @@
     }
 
     /// Returns the first answer to an ask that was sent before.
-    pub fn known(&self, origin: &Origin, content: &Name) -> Option<Outcome> {
-        let answer = self.change_ids.get(&ask_name(origin))?;
+    pub fn previous_outcome(&self, origin: &Origin, content: &Name) -> Option<Outcome> {
+        let answer = self.change_ids.get(&idempotency_key(origin))?;
         if answer.content == *content {
             return Some(answer.outcome.clone());
         }
@@ -196,10 +196,10 @@
     ///
     /// Fails on one that this version of the program can't read. Going on without it would make this
     /// instance's state differ from the others' for good.
-    pub fn read_documents(&self) -> Result<(), NewerDocument> {
+    pub fn read_documents(&self) -> Result<(), UnsupportedDocument> {
         for (path, subtree) in &self.tree.subtrees {
             let read = subtree.document.read();
-            read.map_err(|error| NewerDocument { path: path.clone(), error })?;
+            read.map_err(|error| UnsupportedDocument { path: path.clone(), error })?;
         }
         Ok(())
     }
@@ -224,8 +224,8 @@
             Payload::Members(members) => {
                 let voters: Vec<&str> = members.voters.iter().map(|id| &*id.name).collect();
                 let reason = format!("voters: {}", voters.join(", "));
-                let place = self.place(index, entry.term, Millis::ZERO);
-                self.audit.add(record(place, "control".into(), "voters", "".into(), reason));
+                let position = self.log_position(index, entry.term, Millis::ZERO);
+                self.audit.add(record(position, "control".into(), "voters", "".into(), reason));
                 None
             }
             Payload::Command(text) => {
@@ -233,7 +233,7 @@
                 let command = command.unwrap_or_else(|err| {
                     panic!("entry {index} is of a newer version of sill-control: {err}")
                 });
-                Some(self.carry_out(index, entry.term, command))
+                Some(self.apply_command(index, entry.term, command))
             }
         };
         keep!(
@@ -244,33 +244,33 @@
         outcome
     }
 
-    fn carry_out(&mut self, index: u64, term: u64, command: Command) -> Outcome {
+    fn apply_command(&mut self, index: u64, term: u64, command: Command) -> Outcome {
         match command {
             Command::Change { at, checked } => {
-                let place = self.place(index, term, at);
-                self.change(place, checked, None)
+                let position = self.log_position(index, term, at);
+                self.change(position, checked, None)
             }
             Command::Refuse { at, checked, refusal } => {
-                let place = self.place(index, term, at);
-                self.change(place, checked, Some(refusal))
+                let position = self.log_position(index, term, at);
+                self.change(position, checked, Some(refusal))
             }
             Command::Drain { at, ask } => {
-                let place = self.place(index, term, at);
-                self.drain(place, ask)
+                let position = self.log_position(index, term, at);
+                self.drain(position, ask)
             }
             Command::Claims { at, asks } => {
-                let at = self.place(index, term, at).at;
+                let at = self.log_position(index, term, at).at;
                 self.claim(at, &asks)
             }
-            Command::Usage(statement) => self.state_usage(statement),
+            Command::Usage(statement) => self.record_usage(statement),
         }
     }
 
     /// Returns the place of a command. Its time never goes back, also when a leader with a slower
     /// clock takes over.
-    fn place(&mut self, index: u64, term: u64, at: Millis) -> Place {
+    fn log_position(&mut self, index: u64, term: u64, at: Millis) -> LogPosition {
         self.now = self.now.max(at);
-        Place { index, term, at: self.now }
+        LogPosition { index, term, at: self.now }
     }
 
     fn claim(&mut self, at: Millis, asks: &[ClaimAsk]) -> Outcome {
@@ -278,23 +278,23 @@
         Outcome::Verdicts { verdicts }
     }
 
-    fn state_usage(&mut self, statement: UsageStatement) -> Outcome {
+    fn record_usage(&mut self, statement: UsageStatement) -> Outcome {
         let window = statement.window;
-        let stated = self.usage.entry(window).or_insert(statement).clone();
-        while self.usage.len() > MAX_WINDOWS {
+        let first = self.usage.entry(window).or_insert(statement).clone();
+        while self.usage.len() > MAX_USAGE_WINDOWS {
             self.usage.pop_first();
         }
-        Outcome::Usage(stated)
+        Outcome::Usage(first)
     }
 
     fn change(
         &mut self,
-        place: Place,
-        checked: Checked,
+        position: LogPosition,
+        checked: CheckedChange,
         refused: Option<ChangeRefusal>,
     ) -> Outcome {
-        let Checked { ask, content, against } = checked;
-        if let Some(outcome) = self.known(&ask.origin, &content) {
+        let CheckedChange { ask, content, against } = checked;
+        if let Some(outcome) = self.previous_outcome(&ask.origin, &content) {
             return outcome;
         }
         let author = self.author(&ask.origin.holder);
@@ -303,15 +303,15 @@
             // Another change was committed between the check and this entry. The check may not
             // hold any more, as with a limit that both changes raised by all that was left.
             None if against != self.revision() => return Outcome::Recheck,
-            None => match (self.overtaken(&ask), refused) {
+            None => match (self.superseded_reply(&ask), refused) {
                 (Some(reply), _) => Outcome::Changed(reply),
                 (None, Some(refusal)) => Outcome::Refused(refusal),
                 (None, None) => Outcome::Changed(self.put(&ask, author.clone())),
             },
         };
-        self.note_change(place, &ask, &outcome, author);
-        let name = ask_name(&ask.origin);
-        self.change_ids.keep(Answer { name, content, outcome: outcome.clone() });
+        self.audit_change(position, &ask, &outcome, author);
+        let name = idempotency_key(&ask.origin);
+        self.change_ids.insert(Answer { name, content, outcome: outcome.clone() });
         outcome
     }
 
@@ -347,9 +347,15 @@
         ChangeReply { revision, path, in_force: false }
     }
 
-    fn note_change(&mut self, place: Place, ask: &ChangeAsk, outcome: &Outcome, author: Name) {
+    fn audit_change(
+        &mut self,
+        position: LogPosition,
+        ask: &ChangeAsk,
+        outcome: &Outcome,
+        author: Name,
+    ) {
         let why = ask.origin.reason.clone();
-        let mut entry = record(place, author, "change", ask.path.clone(), why);
+        let mut entry = record(position, author, "change", ask.path.clone(), why);
         match outcome {
             Outcome::Changed(reply) => {
                 entry.revision = Some(reply.revision);
@@ -372,12 +378,12 @@
         self.audit.add(entry);
     }
 
-    fn drain(&mut self, place: Place, ask: DrainAsk) -> Outcome {
+    fn drain(&mut self, position: LogPosition, ask: DrainAsk) -> Outcome {
         let content = ask.content();
-        if let Some(outcome) = self.known(&ask.origin, &content) {
+        if let Some(outcome) = self.previous_outcome(&ask.origin, &content) {
             return outcome;
         }
-        let name = ask_name(&ask.origin);
+        let name = idempotency_key(&ask.origin);
         let author = self.author(&ask.origin.holder);
         let (action, outcome) = if ask.origin.holder != Holder::Root {
             let refusal = refusal("forbidden", "only the root's token may drain an instance");
@@ -386,13 +392,13 @@
             let refusal = refusal("too_many", "too many drains are remembered");
             ("refused", Outcome::Refused(refusal))
         } else {
-            let drain = Drain { author: author.clone(), at: place.at };
+            let drain = Drain { author: author.clone(), at: position.at };
             self.drains.insert(ask.subject.clone(), drain);
             ("drain", Outcome::Drained)
         };
         let why = ask.origin.reason.clone();
-        self.audit.add(record(place, author, action, ask.subject.clone(), why));
-        self.change_ids.keep(Answer { name, content, outcome: outcome.clone() });
+        self.audit.add(record(position, author, action, ask.subject.clone(), why));
+        self.change_ids.insert(Answer { name, content, outcome: outcome.clone() });
         outcome
     }
 
@@ -409,12 +415,12 @@
 
 /// Names an ask by its token, not by what the token owns: the answer must be found again after the
 /// change itself has altered that.
-fn ask_name(origin: &Origin) -> AskName {
+fn idempotency_key(origin: &Origin) -> IdempotencyKey {
     let author = match &origin.holder {
         Holder::Root => "root".into(),
         Holder::Token(hash) => hash.0.clone(),
     };
-    AskName { author, change_id: origin.change_id.clone() }
+    IdempotencyKey { author, change_id: origin.change_id.clone() }
 }
 
 impl ChangeAsk {
@@ -443,7 +449,7 @@
 /// wrong place, so only their places are told.
 fn audited_reason(refusal: &ChangeRefusal, reason: &str) -> String {
     let mut text = format!("{}: {}", refusal.code, refusal.message);
-    for finding in refusal.findings.iter().take(AUDITED_FINDINGS) {
+    for finding in refusal.findings.iter().take(MAX_AUDITED_FINDINGS) {
         text.push_str(&format!("; {}", finding.place));
     }
     if !reason.is_empty() {
@@ -452,11 +458,17 @@
     text
 }
 
-fn record(place: Place, author: Name, action: &str, subject: Name, reason: String) -> AuditRecord {
+fn record(
+    position: LogPosition,
+    author: Name,
+    action: &str,
+    subject: Name,
+    reason: String,
+) -> AuditRecord {
     AuditRecord {
-        index: place.index,
-        term: place.term,
-        at: place.at,
+        index: position.index,
+        term: position.term,
+        at: position.at,
         author,
         action: action.into(),
         subject,
--- a/daemons/control/src/duty.rs
+++ b/daemons/control/src/duty.rs
@@ -20,7 +20,7 @@
 use crate::submit;
 
 /// How often duties are looked at.
-const TICK: Millis = Millis(250);
+const TICK_INTERVAL: Millis = Millis(250);
 
 /// Time after the end of a window before its usage is stated, so that the last reports are in: an
 /// entry instance reports at least every half second, and its control instance every 400 ms.
@@ -28,24 +28,24 @@
 
 /// Time after the end of a window at which its usage is stated even without some reports. Entry instances
 /// that are cut off report again when the cut ends; the platform waits for ten seconds.
-const USAGE_LATEST: Millis = Millis(8000);
+const USAGE_DEADLINE: Millis = Millis(8000);
 
 /// Windows that a new leader still states; the platform takes no older ones.
-const USAGE_WINDOWS: u64 = 3;
+const MAX_USAGE_WINDOWS: u64 = 3;
 
 /// How long a commit of usage may take.
-const PATIENCE: Millis = Millis(2000);
+const USAGE_COMMIT_TIMEOUT: Millis = Millis(2000);
 
 /// How long an instance must have been up before it orders endpoints: it knows only those that made
 /// themselves heard since.
-const SETTLE: Millis = Millis(3000);
+const MIN_UPTIME_TO_ORDER: Millis = Millis(3000);
 
 /// How often the number of endpoints is looked at.
-const PLAN_EVERY: Millis = Millis(500);
+const PLAN_INTERVAL: Millis = Millis(500);
 
 /// How long an endpoint that said it ends still tells the planner of a reclaim. Some say nothing before; the
 /// planner looks twice a second.
-const JUST_ENDED: Millis = Millis(2000);
+const ENDED_RETENTION: Millis = Millis(2000);
 
 /// Who acts, and a number that is higher for each later one.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -110,7 +110,7 @@
     planner: CountPlanner,
     plan_at: Millis,
     /// Whether a later holder was seen; this term never acts again then.
-    is_over: bool,
+    is_fenced: bool,
 }
 
 /// Carries out the duties while this instance leads.
@@ -118,21 +118,21 @@
     let mut duties: Option<Duties> = None;
     let mut acted_at = None;
     loop {
-        tokio::time::sleep(TICK.into()).await;
+        tokio::time::sleep(TICK_INTERVAL.into()).await;
         let (now, status) = (shared.clock.now(), shared.log.status());
         let may_act = status.role == RoleName::Leader && now < status.reads_until;
         if status.role != RoleName::Leader {
-            if let Some(lost) = duties.take() {
-                event!(Info, "duties_lost", term = lost.fence.token);
+            if let Some(duties) = duties.take() {
+                event!(Info, "duties_lost", term = duties.fence.token);
             }
             continue;
         }
-        let is_taken = duties.as_ref().is_some_and(|duties| duties.fence.token == status.term);
+        let has_duties = duties.as_ref().is_some_and(|duties| duties.fence.token == status.term);
         let must_wait = acted_at.is_some_and(|acted_at| now - acted_at < cfg.handover_wait);
-        if !may_act || !is_taken && must_wait {
+        if !may_act || !has_duties && must_wait {
             continue;
         }
-        if !is_taken {
+        if !has_duties {
             event!(Info, "duties_taken", term = status.term);
             let fence = Fence { holder: shared.cfg.name.clone(), token: status.term };
             duties = Some(Duties::new(shared.clone(), platform.clone(), cfg.clone(), fence));
@@ -155,19 +155,23 @@
             reported: BTreeSet::new(),
             planner,
             plan_at: Millis::ZERO,
-            is_over: false,
+            is_fenced: false,
         }
     }
 
     async fn act(&mut self, now: Millis) {
-        if self.is_over {
+        if self.is_fenced {
             return;
         }
         if let Some(length) = self.cfg.usage_window {
             self.report_usage(now, length).await;
         }
-        if self.cfg.orders_endpoints && now >= SETTLE && now >= self.plan_at && !self.is_over {
-            self.plan_at = now + PLAN_EVERY;
+        if self.cfg.orders_endpoints
+            && now >= MIN_UPTIME_TO_ORDER
+            && now >= self.plan_at
+            && !self.is_fenced
+        {
+            self.plan_at = now + PLAN_INTERVAL;
             self.order_endpoints(now).await;
         }
     }
@@ -179,20 +183,20 @@
     async fn report_usage(&mut self, now: Millis, length: Millis) {
         let true_now = self.shared.link.true_time(now);
         let newest = window_of(true_now - USAGE_DELAY, length);
-        for window in newest.saturating_sub(USAGE_WINDOWS)..newest {
+        for window in newest.saturating_sub(MAX_USAGE_WINDOWS)..newest {
             if self.reported.contains(&window) {
                 continue;
             }
             let Some(counts) = self.shared.link.usage(window) else { continue };
             let ended = true_now - length * (window + 1);
             let is_complete = self.shared.link.is_usage_complete(now, now - ended);
-            if !is_complete && ended < USAGE_LATEST {
+            if !is_complete && ended < USAGE_DEADLINE {
                 continue;
             }
             let ask = Ask::Usage(UsageStatement { window, counts });
-            let stated = submit::submit_within(&self.shared, &ask, PATIENCE).await;
-            let Ok(Outcome::Usage(statement)) = stated else { return };
-            if !self.still_leads() {
+            let commit = submit::submit_within(&self.shared, &ask, USAGE_COMMIT_TIMEOUT).await;
+            let Ok(Outcome::Usage(statement)) = commit else { return };
+            if !self.holds_lease() {
                 return;
             }
             let outcome = self.platform.report_usage(&self.fence, &statement).await;
@@ -210,7 +214,7 @@
                     self.reported.insert(window);
                 }
                 CallOutcome::Fenced => {
-                    self.is_over = true;
+                    self.is_fenced = true;
                     return;
                 }
                 CallOutcome::NoneLeft | CallOutcome::Unanswered(_) => {}
@@ -219,30 +223,31 @@
     }
 
     async fn order_endpoints(&mut self, now: Millis) {
-        for (service, slots, range) in self.ranges() {
-            let live = self.live(now, &service);
+        for (service, slots, range) in self.capacity_ranges() {
+            let live = self.live_endpoints(now, &service);
             if live.is_empty() {
                 continue;
             }
-            let work = self.work(now, &service);
+            let reports = self.service_reports(now, &service);
             let view = PoolView {
                 service: &service,
                 range: &range,
                 slots: slots.max(1),
-                prefill_tokens_per_s: speed(&work).map(|speed| speed.prefill_tokens_per_s),
+                prefill_tokens_per_s: median_engine_speed(&reports)
+                    .map(|speed| speed.prefill_tokens_per_s),
                 endpoints: &live,
-                demand: demand(&work),
+                demand: demand(&reports),
             };
             for order in self.planner.plan(now, &view) {
-                if !self.still_leads() {
+                if !self.holds_lease() {
                     return;
                 }
-                self.order(now, order).await;
+                self.place_order(now, order).await;
             }
         }
     }
 
-    async fn order(&mut self, now: Millis, order: CountOrder) {
+    async fn place_order(&mut self, now: Millis, order: CountOrder) {
         let outcome = self.platform.order_count(&self.fence, &order).await;
         event!(
             Info,
@@ -258,17 +263,17 @@
         match outcome {
             CallOutcome::Done => self.planner.record_grant(&order),
             CallOutcome::NoneLeft => self.planner.record_refusal(now, &order),
-            CallOutcome::Fenced => self.is_over = true,
+            CallOutcome::Fenced => self.is_fenced = true,
             CallOutcome::Unanswered(_) => self.planner.record_no_answer(&order),
         }
     }
 
-    fn still_leads(&self) -> bool {
+    fn holds_lease(&self) -> bool {
         let status = self.shared.log.status();
         status.term == self.fence.token && self.shared.clock.now() < status.reads_until
     }
 
-    fn ranges(&self) -> Vec<(Name, u32, CapacityRange)> {
+    fn capacity_ranges(&self) -> Vec<(Name, u32, CapacityRange)> {
         let app = self.shared.log.app().read();
         let document: Option<&Document> = app.tree().subtrees.get(SERVED).map(|s| &*s.document);
         let services = document.into_iter().flat_map(|document| &document.services);
@@ -283,12 +288,12 @@
         ranges.collect()
     }
 
-    fn live(&self, now: Millis, service: &Name) -> Vec<LiveEndpoint> {
+    fn live_endpoints(&self, now: Millis, service: &Name) -> Vec<LiveEndpoint> {
         let facts = self.shared.link.endpoints(now).into_iter();
         let has_just_ended =
-            |f: &EndpointFact| f.state == EndpointState::Gone && f.age < JUST_ENDED;
-        let is_told = |f: &EndpointFact| f.state < EndpointState::Silent || has_just_ended(f);
-        let of_service = facts.filter(|f| f.service == *service && is_told(f));
+            |f: &EndpointFact| f.state == EndpointState::Gone && f.age < ENDED_RETENTION;
+        let is_counted = |f: &EndpointFact| f.state < EndpointState::Silent || has_just_ended(f);
+        let of_service = facts.filter(|f| f.service == *service && is_counted(f));
         let live = of_service.map(|fact| LiveEndpoint {
             is_leaving: fact.state != EndpointState::Ready,
             domain: fact.domain,
@@ -298,20 +303,20 @@
     }
 
     /// Returns what each entry instance reports of a service.
-    fn work(&self, now: Millis, service: &Name) -> Vec<ServiceReport> {
-        let reports = self.shared.link.reports(now).into_iter();
-        reports.flat_map(|report| report.services).filter(|s| s.service == *service).collect()
+    fn service_reports(&self, now: Millis, service: &Name) -> Vec<ServiceReport> {
+        let all = self.shared.link.reports(now).into_iter();
+        all.flat_map(|report| report.services).filter(|s| s.service == *service).collect()
     }
 }
 
 /// Returns the speed of a service's engines, as most entry instances have learned it.
-fn speed(work: &[ServiceReport]) -> Option<EngineSpeed> {
-    median_speed(work.iter().filter_map(|report| report.speed))
+fn median_engine_speed(reports: &[ServiceReport]) -> Option<EngineSpeed> {
+    median_speed(reports.iter().filter_map(|report| report.speed))
 }
 
-fn demand(work: &[ServiceReport]) -> Demand {
+fn demand(reports: &[ServiceReport]) -> Demand {
     let mut demand = Demand::default();
-    for report in work {
+    for report in reports {
         demand.running += report.running;
         demand.fresh_tokens_per_s += report.fresh_tokens_per_s;
         demand.refused_per_s += report.refused_per_s;
--- a/daemons/control/src/entry_status/calls.rs
+++ b/daemons/control/src/entry_status/calls.rs
@@ -8,10 +8,10 @@
 use crate::shared::Shared;
 
 /// How often news are passed on to the other control instances.
-const TICK: Millis = Millis(50);
+const PUSH_INTERVAL: Millis = Millis(50);
 
 /// How often everything is passed on, so that they know who is alive.
-const REFRESH: Millis = Millis(4000);
+const REFRESH_INTERVAL: Millis = Millis(4000);
 
 /// Asks the other control instances which entry instances they have heard of.
 ///
@@ -21,8 +21,8 @@
 pub async fn pull_from_peers(shared: &Shared) {
     let peers = shared.directory.peers();
     let calls = peers.iter().map(|peer| peer.quick.call(&RunningAsk {}));
-    for told in futures_util::future::join_all(calls).await.into_iter().flatten() {
-        shared.running.merge(shared.clock.now(), &told);
+    for sync in futures_util::future::join_all(calls).await.into_iter().flatten() {
+        shared.running.merge(shared.clock.now(), &sync);
     }
 }
 
@@ -30,14 +30,14 @@
 pub async fn push_to_peers(shared: Arc<Shared>) {
     let mut refresh_at = Millis::ZERO;
     loop {
-        tokio::time::sleep(TICK.into()).await;
+        tokio::time::sleep(PUSH_INTERVAL.into()).await;
         let now = shared.clock.now();
-        let everything = now >= refresh_at;
-        if everything {
-            refresh_at = now + REFRESH;
+        let is_refresh = now >= refresh_at;
+        if is_refresh {
+            refresh_at = now + REFRESH_INTERVAL;
         }
-        let entries = shared.running.own(now, everything);
-        let endpoints = shared.running.new_reports(now);
+        let entries = shared.running.take_updates(now, is_refresh);
+        let endpoints = shared.running.take_new_reports(now);
         if entries.is_empty() && endpoints.is_empty() {
             continue;
         }
--- a/daemons/control/src/log/disk.rs
+++ b/daemons/control/src/log/disk.rs
@@ -1,4 +1,4 @@
-//! The replicated log in a data folder.
+//! Persists the replicated log in the instance's data folder.
 
 use std::io;
 use std::path::Path;
@@ -9,28 +9,28 @@
 use sill_quorum::{PersistentState, ReplicaId, Write};
 use sill_store::{AnyDisk, FolderDisk, Recovered, Store, WriteError};
 
-/// Opens the disk under a data folder; tests give one that fails.
+/// Opens the disk that holds a data folder. Tests pass one that injects faults.
 pub type OpenDisk = Box<dyn Fn(&Path) -> io::Result<AnyDisk> + Send>;
 
-/// Opens the data folder itself.
+/// Returns an opener that uses the data folder of the file system.
 pub fn real_disk() -> OpenDisk {
     Box::new(|folder| Ok(Box::new(FolderDisk::open(folder)?)))
 }
 
-/// A record of the store.
+/// A record in the store's log.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 enum Record {
-    /// Whose disk this is.
+    /// The replica that owns the disk; the last one in the log counts.
     Id(ReplicaId),
-    /// A write of the replica.
+    /// State that the replica asked to persist.
     Write(Write),
 }
 
-/// The first line of a snapshot of the store; the application's state follows as it is, since as a
-/// string inside of JSON a large one would take twice the time.
+/// The first line of a snapshot of the store. The application state follows as raw text: embedded
+/// in this JSON as a string, a large state would take twice as long to write.
 #[derive(Debug, Serialize, Deserialize)]
-struct Whole {
+struct SnapshotHeader {
     id: ReplicaId,
     persisted: PersistentState,
 }
@@ -43,11 +43,11 @@
 }
 
 impl LogDisk {
-    /// Opens a folder; an empty one makes a new incarnation of the instance.
+    /// Opens a data folder. An empty one gets a new incarnation, numbered by the wall clock.
     ///
     /// # Errors
     ///
-    /// Fails when the folder is in use, damaged, or another instance's.
+    /// Fails when the folder is in use, damaged, or belongs to another instance.
     pub fn open(
         open_disk: &OpenDisk,
         folder: &Path,
@@ -71,17 +71,17 @@
         Ok((Self { store, id }, persisted))
     }
 
-    /// Returns whose disk this is.
+    /// Returns the id of the replica that owns the disk.
     pub fn id(&self) -> &ReplicaId {
         &self.id
     }
 
-    /// Becomes the disk of another life of the instance.
+    /// Assigns the disk to another incarnation of the instance.
     ///
     /// # Errors
     ///
     /// Fails when the disk is full or broken.
-    pub fn begin_life(&mut self, incarnation: u64) -> Result<(), WriteError> {
+    pub fn begin_incarnation(&mut self, incarnation: u64) -> Result<(), WriteError> {
         let id = ReplicaId { name: self.id.name.clone(), incarnation };
         let record = serde_json::to_vec(&Record::Id(id.clone())).map_err(io::Error::from)?;
         self.store.append(&[record])?;
@@ -89,39 +89,39 @@
         Ok(())
     }
 
-    /// Makes a write durable.
+    /// Persists a write; it is durable when this returns.
     ///
     /// # Errors
     ///
-    /// Fails when the disk is full or broken; the replica must not go on then.
+    /// Fails when the disk is full or broken; the replica must then be stopped.
     pub fn write(&mut self, write: Write) -> Result<(), WriteError> {
         if let Some(persisted) = write.full_state {
-            return self.write_anew(*persisted);
+            return self.rewrite(*persisted);
         }
         let record = serde_json::to_vec(&Record::Write(write)).map_err(io::Error::from)?;
         self.store.append(&[record])
     }
 
-    /// Writes everything into new files.
+    /// Replaces the store's files by new ones that hold the given state.
     ///
     /// # Errors
     ///
     /// Fails when the disk is full or broken.
-    pub fn write_anew(&mut self, mut persisted: PersistentState) -> Result<(), WriteError> {
+    pub fn rewrite(&mut self, mut persisted: PersistentState) -> Result<(), WriteError> {
         let data = persisted.snapshot.as_mut().map(|snapshot| std::mem::take(&mut snapshot.data));
-        let whole = Whole { id: self.id.clone(), persisted };
-        let mut buf = serde_json::to_vec(&whole).map_err(io::Error::from)?;
+        let header = SnapshotHeader { id: self.id.clone(), persisted };
+        let mut buf = serde_json::to_vec(&header).map_err(io::Error::from)?;
         buf.push(b'\n');
         buf.extend_from_slice(data.unwrap_or_default().as_bytes());
         self.store.replace::<Vec<u8>>(&buf, &[])
     }
 
-    /// Returns the bytes of the log.
+    /// Returns the size of the log in bytes.
     pub fn log_size(&self) -> u64 {
         self.store.log_size()
     }
 
-    /// Returns the bytes of log and snapshot.
+    /// Returns the size of log and snapshot together, in bytes.
     pub fn size(&self) -> u64 {
         self.store.size()
     }
@@ -136,16 +136,16 @@
 fn replay(recovered: Recovered) -> Result<(Option<ReplicaId>, PersistentState)> {
     let (mut id, mut persisted) = (None, PersistentState::default());
     if let Some(snapshot) = recovered.snapshot {
-        let text = String::from_utf8(snapshot).wrap_err("the snapshot")?;
+        let text = String::from_utf8(snapshot).wrap_err("the snapshot is not UTF-8")?;
         let (head, data) = text.split_once('\n').unwrap_or((&text, ""));
-        let whole: Whole = serde_json::from_str(head).wrap_err("the snapshot")?;
-        (id, persisted) = (Some(whole.id), whole.persisted);
+        let header: SnapshotHeader = serde_json::from_str(head).wrap_err("the head of the snapshot can't be parsed")?;
+        (id, persisted) = (Some(header.id), header.persisted);
         if let Some(snapshot) = &mut persisted.snapshot {
             snapshot.data = data.into();
         }
     }
     for (i, record) in recovered.records.into_iter().enumerate() {
-        let record = serde_json::from_slice(&record).wrap_err_with(|| format!("record {i}"))?;
+        let record = serde_json::from_slice(&record).wrap_err_with(|| format!("log record {i} can't be parsed"))?;
         match record {
             Record::Id(found) => id = Some(found),
             Record::Write(write) => persisted.apply(write),
--- a/daemons/control/src/log/driver.rs
+++ b/daemons/control/src/log/driver.rs
@@ -1,4 +1,4 @@
-//! The thread that runs the replica and carries out its actions in order.
+//! The thread that runs the replica and executes its actions in order.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -18,33 +18,35 @@
 use crate::app::App;
 use crate::cfg::ControlCfg;
 use crate::log::disk::{LogDisk, OpenDisk};
-use crate::log::handle::{Input, LogHandle, News, Status, Submitted};
+use crate::log::handle::{Input, LogHandle, Notifier, Status, SubmitResult};
 use crate::log::peers::Peers;
 use crate::metrics::Metrics;
 
-/// Inputs that are taken in before the replica runs again, so that they share one write.
-const BATCH: usize = 512;
+/// Inputs handled before the replica runs again, so that their entries share one disk write.
+const MAX_BATCH: usize = 512;
 
-/// The log is compacted when it is larger than this, in bytes, and than the snapshot.
-const COMPACT_SIZE: u64 = 8 << 20;
+/// The log is compacted when it is larger than this, in bytes, and larger than the snapshot.
+const COMPACT_MIN_BYTES: u64 = 8 << 20;
 
-/// Entries that a log is not compacted below, unless it is very large.
-const COMPACT_ENTRIES: u64 = 1000;
+/// A log with fewer compactable entries than this is compacted only above [`COMPACT_FORCE_BYTES`].
+const COMPACT_MIN_ENTRIES: u64 = 1000;
 
 /// The log is compacted when it is larger than this, in bytes, however few entries it has. A served
-/// document with hundreds of routes takes half a megabyte an entry, and the smallest disks 128 MB.
-const COMPACT_ALWAYS: u64 = 24 << 20;
+/// document with hundreds of routes takes half a megabyte per entry, and the smallest disks hold
+/// 128 MB.
+const COMPACT_FORCE_BYTES: u64 = 24 << 20;
 
-/// Entries kept in memory behind a snapshot; with the largest documents they take 32 MB.
-const TRAILING: u64 = 64;
+/// Entries kept in memory before a snapshot's index; with the largest documents they take 32 MB.
+const TRAILING_ENTRIES: u64 = 64;
 
-/// Pause before a folder that could not be written is opened again.
-const REOPEN: Millis = Millis(1000);
+/// Pause before the data folder is reopened after a disk fault.
+const REOPEN_PAUSE: Millis = Millis(1000);
 
-/// The longest sleep without a look at the clock.
+/// The longest wait for input before the clock is read again.
 const MAX_SLEEP: Millis = Millis(100);
 
-/// What the thread of the log works with.
+/// Drives the replica: feeds it inputs, persists its writes, sends its messages, and applies what it
+/// commits.
 pub struct Driver {
     clock: Clock,
     cfg: Cfg,
@@ -55,11 +57,11 @@
     replica: Option<Replica>,
     app: Arc<RwLock<App>>,
     status: Arc<RwLock<Status>>,
-    news: News,
+    notifier: Notifier,
     peers: Peers,
     metrics: Arc<Metrics>,
-    waiting: BTreeMap<u64, Waiting>,
-    proposed: Map<u64, Vec<oneshot::Sender<Submitted>>>,
+    pending: BTreeMap<u64, PendingCommand>,
+    proposals: Map<u64, Vec<oneshot::Sender<SubmitResult>>>,
     next_tag: u64,
     reopen_at: Millis,
     is_compacting: bool,
@@ -67,15 +69,15 @@
     inputs: Receiver<Input>,
 }
 
-/// Someone who waits for a command.
+/// A command in the log whose submitter waits for its result.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct PendingCommand {
     term: u64,
-    done: oneshot::Sender<Submitted>,
+    done: oneshot::Sender<SubmitResult>,
 }
 
 impl Driver {
-    /// Makes what the thread works with; nothing is opened yet.
+    /// Creates a driver. The data folder is opened by [`Self::open`].
     pub fn new(
         cfg: &ControlCfg,
         open_disk: OpenDisk,
@@ -86,7 +88,7 @@
         let (input, inputs) = mpsc::channel();
         Self {
             clock,
-            cfg: Cfg { trailing_entries: TRAILING, ..cfg.spans.clone() },
+            cfg: Cfg { trailing_entries: TRAILING_ENTRIES, ..cfg.spans.clone() },
             folder: cfg.data.clone(),
             open_disk,
             name: cfg.name.clone(),
@@ -94,11 +96,11 @@
             replica: None,
             app: Arc::default(),
             status: Arc::default(),
-            news: News::default(),
+            notifier: Notifier::default(),
             peers,
             metrics,
-            waiting: BTreeMap::new(),
-            proposed: Map::default(),
+            pending: BTreeMap::new(),
+            proposals: Map::default(),
             next_tag: 0,
             reopen_at: Millis::ZERO,
             is_compacting: false,
@@ -113,32 +115,33 @@
     ///
     /// Fails when the thread can't be started.
     pub fn start(mut self) -> io::Result<LogHandle> {
-        // An empty instance that may start the log asks the others whether they are new too. Until the
-        // thread first looked, one whose disk holds the log would say yes; with enough disks lost, a
-        // second history would begin and overwrite this one.
-        self.report();
+        // An empty instance that may bootstrap the log asks its peers whether they are new as well. The
+        // default status says so. If it were visible until the thread first publishes its own, an
+        // instance whose disk holds the log would answer yes; with enough disks lost, a second history
+        // would then start and overwrite this one.
+        self.publish_status();
         let handle = LogHandle {
             input: self.input.clone(),
             status: self.status.clone(),
             app: self.app.clone(),
-            news: self.news.clone(),
+            notifier: self.notifier.clone(),
         };
         thread::Builder::new().name("log".to_owned()).spawn(move || self.run())?;
         Ok(handle)
     }
 
-    /// Opens the folder and makes the replica.
+    /// Opens the data folder and restores the replica from it.
     ///
     /// # Errors
     ///
-    /// Fails when the folder can't be used.
+    /// Fails when the folder can't be opened or read.
     pub fn open(&mut self) -> Result<()> {
         let (disk, persisted) = LogDisk::open(&self.open_disk, &self.folder, &self.name)?;
         if let Some(snapshot) = &persisted.snapshot {
             self.restore(snapshot)?;
         }
-        // Not drawn from the clock: it tells this run of the replica from all earlier ones, also where
-        // the time of day went back between them.
+        // Not derived from the clock: the seed distinguishes this run of the replica from all earlier
+        // ones, even if the wall clock went back between them.
         let seed = rand::random();
         let (cfg, id) = (self.cfg.clone(), disk.id().clone());
         self.replica = Some(Replica::restore(cfg, id, persisted, seed, self.clock.now()));
@@ -146,26 +149,28 @@
         Ok(())
     }
 
-    /// Begins a life after one that takes part, if the disk is empty and its life counts as the older.
+    /// Starts an incarnation after the one that is a member, if the disk is empty and its own number is
+    /// lower.
     ///
-    /// Lives are numbered by the time of day, which may go back between two disks. The others would take
-    /// whatever the empty one says for a late message of a life that is over, and it would never vote
-    /// again. One that has never taken part has promised nothing by its number, so it may take another.
-    fn begin_life_after(&mut self, known: u64) {
+    /// Incarnations are numbered by the wall clock, which may go back between two disks. Peers would
+    /// treat the messages of the empty instance as late ones of an ended incarnation, and it would
+    /// never vote again. An instance that was never a member has made no promise under its number, so
+    /// it may change it.
+    fn begin_incarnation_after(&mut self, active: u64) {
         let is_new = self.replica.as_ref().is_some_and(Replica::is_new);
-        let Some(disk) = self.disk.as_mut().filter(|disk| is_new && disk.id().incarnation < known)
+        let Some(disk) = self.disk.as_mut().filter(|disk| is_new && disk.id().incarnation < active)
         else {
             return;
         };
-        event!(Warn, "later_life_begun", known = known, own = disk.id().incarnation);
+        event!(Warn, "later_life_begun", known = active, own = disk.id().incarnation);
         let now = self.clock.now();
-        match disk.begin_life(known + 1) {
+        match disk.begin_incarnation(active + 1) {
             Ok(()) => {
                 let (cfg, id, seed) = (self.cfg.clone(), disk.id().clone(), rand::random());
                 self.replica =
                     Some(Replica::restore(cfg, id, PersistentState::default(), seed, now));
             }
-            Err(err) => self.stop_taking_part(now, &err),
+            Err(err) => self.suspend_replica(now, &err),
         }
     }
 
@@ -173,28 +178,28 @@
     fn run(mut self) {
         loop {
             let mut batch = Vec::new();
-            match self.inputs.recv_timeout(self.sleep().into()) {
+            match self.inputs.recv_timeout(self.sleep_time().into()) {
                 Ok(first) => batch.push(first),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            batch.extend(self.inputs.try_iter().take(BATCH));
+            batch.extend(self.inputs.try_iter().take(MAX_BATCH));
             if batch.iter().any(|input| matches!(input, Input::Stop)) {
                 return;
             }
-            self.take(batch);
+            self.handle_inputs(batch);
             self.compact();
-            self.report();
+            self.publish_status();
         }
     }
 
-    fn sleep(&self) -> Millis {
+    fn sleep_time(&self) -> Millis {
         let now = self.clock.now();
         let due = self.replica.as_ref().map_or(self.reopen_at, Replica::wake_at);
         (due - now).max(Millis(1)).min(MAX_SLEEP)
     }
 
-    fn take(&mut self, batch: Vec<Input>) {
+    fn handle_inputs(&mut self, batch: Vec<Input>) {
         let (mut commands, mut waiters) = (Vec::new(), Vec::new());
         for input in batch {
             match input {
@@ -206,7 +211,7 @@
                     commands.push(command);
                     waiters.push(done);
                 }
-                Input::OlderLife(incarnation) => self.begin_life_after(incarnation),
+                Input::ActiveIncarnation(incarnation) => self.begin_incarnation_after(incarnation),
                 Input::Stop => {}
             }
         }
@@ -215,7 +220,7 @@
         } else {
             self.next_tag += 1;
             let tag = self.next_tag;
-            self.proposed.insert(tag, waiters);
+            self.proposals.insert(tag, waiters);
             self.step(Event::Propose { tag, commands });
         }
     }
@@ -227,7 +232,7 @@
         }
         let Some(replica) = &mut self.replica else {
             if let Event::Propose { tag, .. } = event {
-                self.not_leader(tag);
+                self.reject_proposal(tag);
             }
             return;
         };
@@ -240,15 +245,15 @@
                 continue;
             }
             self.apply(std::mem::take(&mut committed));
-            if let Err(err) = self.carry_out(action) {
-                self.stop_taking_part(now, &err);
+            if let Err(err) = self.execute(action) {
+                self.suspend_replica(now, &err);
                 return;
             }
         }
         self.apply(committed);
     }
 
-    fn carry_out(&mut self, action: Action) -> Result<(), WriteError> {
+    fn execute(&mut self, action: Action) -> Result<(), WriteError> {
         match action {
             Action::Persist(write) => {
                 let start = Instant::now();
@@ -259,36 +264,36 @@
             Action::Send(msg) => self.peers.send(msg),
             Action::Restore(snapshot) => {
                 if let Err(err) = self.restore(&snapshot) {
-                    panic!("a snapshot that can't be read: {err:#}");
+                    panic!("snapshot up to entry {} can't be read: {err:#}", snapshot.index);
                 }
             }
             Action::Apply { index, entry } => self.apply(vec![(index, entry)]),
             Action::ProposalAppended { tag, first_index: first, term } => {
-                let waiters = self.proposed.remove(&tag).unwrap_or_default();
+                let waiters = self.proposals.remove(&tag).unwrap_or_default();
                 for (index, done) in (first..).zip(waiters) {
-                    self.waiting.insert(index, Waiting { term, done });
+                    self.pending.insert(index, PendingCommand { term, done });
                 }
             }
-            Action::NotLeader { tag } => self.not_leader(tag),
+            Action::NotLeader { tag } => self.reject_proposal(tag),
         }
         Ok(())
     }
 
-    fn not_leader(&mut self, tag: u64) {
-        for done in self.proposed.remove(&tag).unwrap_or_default() {
-            let _ = done.send(Submitted::NotLeader);
+    fn reject_proposal(&mut self, tag: u64) {
+        for done in self.proposals.remove(&tag).unwrap_or_default() {
+            let _ = done.send(SubmitResult::NotLeader);
         }
     }
 
-    /// Applies entries in one go.
+    /// Applies committed entries under one write lock.
     ///
-    /// After a restart a whole log is committed at once. Whoever reads the state in between would be told
-    /// settings that were replaced long ago, and entry instances that restart as well would run them.
+    /// After a restart a whole log is committed at once. A reader in between would get settings that
+    /// were replaced long ago, and entry instances that restart at the same time would run them.
     fn apply(&mut self, committed: Vec<(u64, Entry)>) {
         let mut app = self.app.write();
-        // After a disk fault the replica starts again from its disk, behind the state.
-        let behind = app.index();
-        let new = committed.into_iter().filter(|(index, _)| *index > behind);
+        // After a disk fault the replica restarts from its disk and commits applied entries again.
+        let applied_index = app.index();
+        let new = committed.into_iter().filter(|(index, _)| *index > applied_index);
         let applied = new.map(|(index, entry)| (index, entry.term, app.apply(index, &entry)));
         let applied: Vec<_> = applied.collect();
         if applied.is_empty() {
@@ -298,17 +303,17 @@
             panic!("{err}");
         }
         drop(app);
-        // Not while the state is locked for writing: whoever is woken looks at the state, and holds what wakes
-        // the others meanwhile.
-        self.news.tell(&self.app.read());
+        // Not under the write lock: a receiver that wakes up reads the state, and would hold up the
+        // notification of the others meanwhile.
+        self.notifier.notify(&self.app.read());
         for (index, term, outcome) in applied {
-            let Some(waiting) = self.waiting.remove(&index) else { continue };
+            let Some(command) = self.pending.remove(&index) else { continue };
             let result = match outcome {
-                Some(outcome) if waiting.term == term => Submitted::Applied(outcome),
-                // Another leader's entry stands there; this one will never be committed.
-                _ => Submitted::NotLeader,
+                Some(outcome) if command.term == term => SubmitResult::Applied(outcome),
+                // Another leader's entry has this index; the submitted one will never be committed.
+                _ => SubmitResult::NotLeader,
             };
-            let _ = waiting.done.send(result);
+            let _ = command.done.send(result);
         }
     }
 
@@ -320,21 +325,22 @@
         event!(Info, "snapshot_taken_in", index = snapshot.index, bytes = snapshot.data.len());
         app.read_documents()?;
         *self.app.write() = app;
-        self.waiting = self.waiting.split_off(&(snapshot.index + 1));
-        self.news.tell(&self.app.read());
+        self.pending = self.pending.split_off(&(snapshot.index + 1));
+        self.notifier.notify(&self.app.read());
         Ok(())
     }
 
-    /// Starts to drop old entries, once the log is large.
+    /// Starts a compaction once the log is large.
     ///
-    /// The state is written as text on a thread of its own. A leader that did it here would send
-    /// no heartbeat meanwhile, and with many claims held would lose its lease each time.
+    /// The state is serialised on a separate thread. On this thread a leader would send no heartbeat
+    /// meanwhile, and with many claims held would lose its lease at each compaction.
     fn compact(&mut self) {
         let (Some(replica), Some(disk)) = (&self.replica, &self.disk) else { return };
-        let is_large = disk.log_size() > COMPACT_SIZE.max(disk.size() / 2);
-        let is_worth_it = replica.compactable_entries() >= COMPACT_ENTRIES
-            || disk.log_size() > COMPACT_ALWAYS && replica.compactable_entries() > TRAILING;
-        if self.is_compacting || !is_large || !is_worth_it {
+        let is_large = disk.log_size() > COMPACT_MIN_BYTES.max(disk.size() / 2);
+        let is_worthwhile = replica.compactable_entries() >= COMPACT_MIN_ENTRIES
+            || disk.log_size() > COMPACT_FORCE_BYTES
+                && replica.compactable_entries() > TRAILING_ENTRIES;
+        if self.is_compacting || !is_large || !is_worthwhile {
             return;
         }
         let start = Instant::now();
@@ -342,41 +348,41 @@
         event!(Info, "log_compacts", index = app.index(), ms = Millis::from(start.elapsed()));
         let input = self.input.clone();
         let spawned = thread::Builder::new().name("compact".to_owned()).spawn(move || {
-            let data = serde_json::to_string(&app).expect("the state can be written as JSON");
+            let data =
+                serde_json::to_string(&app).expect("the application state can be written as JSON");
             let event = Event::Compact { index: app.index(), data: data.into() };
             let _ = input.send(Input::Event(event));
         });
         self.is_compacting = spawned.is_ok();
     }
 
-    /// Leaves the replicated log until the disk can be written again.
+    /// Drops the replica after a disk fault, until the disk can be written again.
     ///
-    /// In memory the replica is ahead of its disk. To the others it must look as if it had been
-    /// killed before the write, so it is made anew from the disk; the applied state stays, and
-    /// serves reads.
-    fn stop_taking_part(&mut self, now: Millis, err: &WriteError) {
+    /// In memory the replica is ahead of its disk. To its peers it must look as if it had been killed
+    /// before the write, so it is restored from the disk. The applied state stays and serves reads.
+    fn suspend_replica(&mut self, now: Millis, err: &WriteError) {
         event!(Error, "disk_fault", error = err);
         self.replica = None;
         self.disk = None;
-        self.reopen_at = now + REOPEN;
+        self.reopen_at = now + REOPEN_PAUSE;
         self.status.write().disk_fault = Some(err.to_string());
-        // After a failed sync the commands may be on the disk or not.
-        let of_proposed = match err {
-            WriteError::Full => Submitted::NotLeader,
-            WriteError::Io(_) | WriteError::Broken => Submitted::Unknown,
+        // After a failed sync the commands may or may not be on the disk.
+        let proposal_result = match err {
+            WriteError::Full => SubmitResult::NotLeader,
+            WriteError::Io(_) | WriteError::Broken => SubmitResult::Unknown,
         };
-        for done in std::mem::take(&mut self.proposed).into_values().flatten() {
-            let _ = done.send(of_proposed.clone());
+        for done in std::mem::take(&mut self.proposals).into_values().flatten() {
+            let _ = done.send(proposal_result.clone());
         }
-        for waiting in std::mem::take(&mut self.waiting).into_values() {
-            let _ = waiting.done.send(Submitted::Unknown);
+        for command in std::mem::take(&mut self.pending).into_values() {
+            let _ = command.done.send(SubmitResult::Unknown);
         }
     }
 
     fn reopen(&mut self, now: Millis) {
-        self.reopen_at = now + REOPEN;
-        let reopened = self.open().and_then(|()| self.write_anew());
-        match reopened {
+        self.reopen_at = now + REOPEN_PAUSE;
+        let result = self.open().and_then(|()| self.rewrite_disk());
+        match result {
             Ok(()) => {
                 event!(Info, "disk_usable_again");
                 self.status.write().disk_fault = None;
@@ -390,15 +396,16 @@
         }
     }
 
-    /// What was read after a failed sync may be lost in a crash, so it is written to new files.
-    fn write_anew(&mut self) -> Result<()> {
+    /// Writes the state to new files: after a failed sync, what was read from the old ones may be lost in
+    /// a crash.
+    fn rewrite_disk(&mut self) -> Result<()> {
         if let (Some(disk), Some(replica)) = (&mut self.disk, &self.replica) {
-            disk.write_anew(replica.persistent_state())?;
+            disk.rewrite(replica.persistent_state())?;
         }
         Ok(())
     }
 
-    fn report(&mut self) {
+    fn publish_status(&mut self) {
         let now = self.clock.now();
         let mut status = self.status.write();
         let before = (status.role, status.term, status.leader.clone());
@@ -425,9 +432,9 @@
         }
         let after = (status.role, status.term, status.leader.clone());
         if before.0 == RoleName::Leader && after.0 != RoleName::Leader {
-            // Whether a later leader commits what this one wrote may not show for long.
-            for waiting in std::mem::take(&mut self.waiting).into_values() {
-                let _ = waiting.done.send(Submitted::Unknown);
+            // It may take long until it shows whether a later leader commits these entries.
+            for command in std::mem::take(&mut self.pending).into_values() {
+                let _ = command.done.send(SubmitResult::Unknown);
             }
         }
         self.metrics.report(&status, &self.app.read());
--- a/daemons/control/src/log/handle.rs
+++ b/daemons/control/src/log/handle.rs
@@ -1,4 +1,4 @@
-//! How the rest of the process talks to the replicated log.
+//! The interface of the log thread to the rest of the process.
 
 use std::sync::Arc;
 use std::sync::mpsc::Sender;
@@ -11,26 +11,27 @@
 
 use crate::app::{App, Command, Outcome};
 
-/// What is sent to the thread of the log.
+/// A message to the log thread.
 #[derive(Debug)]
 pub enum Input {
     /// An event for the replica.
     Event(Event),
-    /// A command to write, if this instance leads.
+    /// Appends a command to the log, if this instance is the leader.
     Submit {
-        /// The command, as it is written to the log.
+        /// The command as JSON, as it is stored in the log.
         command: Arc<str>,
-        /// Gets what came of it.
-        done: oneshot::Sender<Submitted>,
+        /// Receives the result.
+        done: oneshot::Sender<SubmitResult>,
     },
-    /// A life of this instance takes part, by this number; an empty disk begins a later one.
-    OlderLife(u64),
-    /// The process stops.
+    /// The incarnation of this instance that peers have as a member. With an empty disk the instance
+    /// starts a later one.
+    ActiveIncarnation(u64),
+    /// Ends the thread.
     Stop,
 }
 
-/// A command as text. It is written by whoever submits it: on the thread of the log, heartbeats would wait
-/// while a large one is packed.
+/// A command as JSON. The submitter serialises it: on the log thread a large one would delay
+/// heartbeats.
 #[derive(Debug, Clone)]
 pub struct CommandText(Arc<str>);
 
@@ -41,115 +42,115 @@
     }
 }
 
-/// What came of a command that was submitted.
+/// The result of submitting a command.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Submitted {
-    /// It is committed and applied.
+pub enum SubmitResult {
+    /// The command was committed and applied.
     Applied(Outcome),
-    /// This instance doesn't lead; the command was not written.
+    /// This instance is not the leader; the command was not written, or never will be committed.
     NotLeader,
-    /// It was written, but whether it will be committed is unknown.
+    /// The command may have been written; whether it will be committed is unknown.
     Unknown,
 }
 
-/// What the thread of the log reports.
+/// The state of the replica as the log thread last published it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Status {
-    /// The role.
+    /// The replica's role; follower while the disk can't be used.
     pub role: RoleName,
-    /// The term.
+    /// The replica's current term.
     pub term: u64,
-    /// The leader, if one is known.
+    /// The leader of the term, if known.
     pub leader: Option<Name>,
-    /// The commit index.
+    /// The index of the last committed entry.
     pub commit: u64,
-    /// Until when this instance may answer reads as the leader.
+    /// When the leader's lease for reads ends; zero on an instance that may not serve them.
     pub reads_until: Millis,
-    /// Whether it has never taken part in a log.
+    /// Whether the replica has never been part of a log.
     pub is_new: bool,
-    /// Whether it is a voter.
+    /// Whether the replica is a voter among the newest members.
     pub is_voter: bool,
-    /// Which life of this instance its disk holds.
+    /// The incarnation of this instance that its disk belongs to.
     pub incarnation: u64,
     /// The voters of the newest members.
     pub voters: Vec<ReplicaId>,
     /// The learners of the newest members.
     pub learners: Vec<ReplicaId>,
-    /// The learners that have everything, as the leader knows.
+    /// The learners that have caught up; known on the leader only.
     pub ready_learners: Vec<ReplicaId>,
-    /// Why it can't write, if it can't.
+    /// The error of the last disk access, while the disk can't be used.
     pub disk_fault: Option<String>,
 }
 
-/// Wakes those who wait for something to be applied.
+/// Notifies subscribers of applied entries and new revisions.
 #[derive(Debug, Clone)]
-pub struct News {
-    /// The last applied entry.
+pub struct Notifier {
+    /// The index of the last applied entry.
     pub applied: watch::Sender<u64>,
-    /// The newest revision of the tree; claims don't change it.
+    /// The newest revision of the settings tree; claims don't change it.
     pub revision: watch::Sender<Revision>,
 }
 
-/// Talks to the replicated log.
+/// A handle to the log thread. Clones share it.
 #[derive(Debug, Clone)]
 pub struct LogHandle {
     pub(crate) input: Sender<Input>,
     pub(crate) status: Arc<RwLock<Status>>,
     pub(crate) app: Arc<RwLock<App>>,
-    pub(crate) news: News,
+    pub(crate) notifier: Notifier,
 }
 
 impl LogHandle {
-    /// Hands over an event.
+    /// Passes an event to the replica.
     pub fn event(&self, event: Event) {
         // The thread ends only with the process.
         let _ = self.input.send(Input::Event(event));
     }
 
-    /// Hands over that a life of this instance takes part, which its disk may not be.
-    pub fn older_life(&self, incarnation: u64) {
-        let _ = self.input.send(Input::OlderLife(incarnation));
+    /// Reports the incarnation of this instance that peers have as a member; the disk's may be another.
+    pub fn report_active_incarnation(&self, incarnation: u64) {
+        let _ = self.input.send(Input::ActiveIncarnation(incarnation));
     }
 
-    /// Submits a command and waits for what comes of it.
-    pub async fn submit(&self, command: CommandText) -> Submitted {
+    /// Submits a command and waits for its result.
+    pub async fn submit(&self, command: CommandText) -> SubmitResult {
         let (done, result) = oneshot::channel();
         let input = Input::Submit { command: command.0, done };
         if self.input.send(input).is_err() {
-            return Submitted::NotLeader;
+            return SubmitResult::NotLeader;
         }
-        result.await.unwrap_or(Submitted::Unknown)
+        result.await.unwrap_or(SubmitResult::Unknown)
     }
 
-    /// Returns what the log reports.
+    /// Returns the last published status.
     pub fn status(&self) -> Status {
         self.status.read().clone()
     }
 
-    /// Returns the applied state, for reading.
+    /// Returns the applied state; only the log thread writes to it.
     pub fn app(&self) -> &RwLock<App> {
         &self.app
     }
 
-    /// Returns a receiver that learns of each applied entry.
+    /// Returns a receiver of the index of the last applied entry.
     pub fn applied(&self) -> watch::Receiver<u64> {
-        self.news.applied.subscribe()
+        self.notifier.applied.subscribe()
     }
 
-    /// Returns a receiver that learns of each new revision of the tree.
+    /// Returns a receiver of the newest revision of the tree.
     pub fn revision(&self) -> watch::Receiver<Revision> {
-        self.news.revision.subscribe()
+        self.notifier.revision.subscribe()
     }
 
-    /// Ends the thread of the log.
+    /// Stops the log thread.
     pub fn stop(&self) {
         let _ = self.input.send(Input::Stop);
     }
 }
 
-impl News {
-    /// Tells what was applied.
-    pub fn tell(&self, app: &App) {
+impl Notifier {
+    /// Notifies subscribers of the index, and of the revision if it changed.
+    pub fn notify(&self, app: &App) {
         self.applied.send_replace(app.index());
         self.revision.send_if_modified(|revision| {
             let is_new = *revision != app.revision();
@@ -159,7 +160,7 @@
     }
 }
 
-impl Default for News {
+impl Default for Notifier {
     fn default() -> Self {
         Self { applied: watch::Sender::new(0), revision: watch::Sender::new(Revision(0)) }
     }
--- a/daemons/control/src/log/hello.rs
+++ b/daemons/control/src/log/hello.rs
@@ -1,4 +1,4 @@
-//! How control instances find each other, start a log, and take part in one.
+//! Discovery of control instances, bootstrap of the log, and replacement of lost voters.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,88 +13,91 @@
 use crate::rpc::{Hello, HelloReply};
 use crate::shared::Shared;
 
-/// Pause between two tries. A voter that lost its disk takes three of them until it votes again, and
-/// the next disk may be lost four seconds after it is back.
-const PAUSE: Millis = Millis(300);
+/// Pause between two rounds of calls. A voter that lost its disk needs three rounds until it votes
+/// again, and the next disk may be lost four seconds after the instance is back.
+const HELLO_PAUSE: Millis = Millis(300);
 
-/// Pause between two tries to have the one that stands by vote, once the lost voter was taken out.
-const AT_ONCE: Millis = Millis(20);
+/// Pause between two attempts to promote the standby, once the lost voter was removed.
+const PROMOTION_PAUSE: Millis = Millis(20);
 
-/// Pause between two tries while no leader is known: after a loss of power all look for each other, and
-/// entry instances have no settings until they have found one.
+/// Pause between two rounds of calls while no leader is known: after a power loss all control
+/// instances search for each other, and entry instances have no settings until a leader exists.
 const LEADERLESS_PAUSE: Millis = Millis(100);
 
-/// How long one call may take. An instance without power answers nothing, and the others, which start at
-/// the same time, must not be looked for only after it was given up.
-const PATIENCE: Millis = Millis(300);
+/// Timeout of a call. An instance without power never answers, and must not delay the next round of
+/// calls to the others, which start at the same time.
+const CALL_TIMEOUT: Millis = Millis(300);
 
-/// Tries to have it vote before the next look at all.
-const TRIES: usize = 10;
+/// Attempts to promote the standby before the voters are examined again.
+const PROMOTION_ATTEMPTS: usize = 10;
 
-/// Makes this instance known to all others.
+/// Announces this instance to all other control instances, and keeps the set of voters complete.
 ///
-/// With voters by name it does so while it is none of them. With seeds it goes on for as long as it
-/// runs: a voter that was replaced while it was away learns of it in no other way.
+/// With configured voters it announces itself only while it is not a voter. With seeds it does so
+/// for as long as it runs: a voter that was replaced during an outage has no other way to find out.
 pub async fn run(shared: Arc<Shared>) {
-    let mut strangers = Map::default();
-    let mut leads_since = None;
+    let mut seed_clients = Map::default();
+    let mut leader_since = None;
     loop {
         let status = shared.log.status();
         let seeds = shared.cfg.seeds.as_ref();
         if !status.is_voter || seeds.is_some() {
-            let replies = ask_all(&shared, &mut strangers).await;
+            let replies = call_all(&shared, &mut seed_clients).await;
             if status.is_new {
-                found(&shared, &replies);
-                let lives = replies.iter().filter_map(|reply| reply.life);
-                if let Some(life) = lives.max() {
-                    shared.log.older_life(life);
+                bootstrap_if_first(&shared, &replies);
+                let incarnations = replies.iter().filter_map(|reply| reply.life);
+                if let Some(active) = incarnations.max() {
+                    shared.log.report_active_incarnation(active);
                 }
             }
         }
-        leads_since = match (status.role, leads_since) {
+        leader_since = match (status.role, leader_since) {
             (RoleName::Leader, None) => Some(shared.clock.now()),
             (RoleName::Leader, since) => since,
             _ => None,
         };
-        if let (Some(seeds), Some(since)) = (seeds, leads_since) {
+        if let (Some(seeds), Some(since)) = (seeds, leader_since) {
             replace_lost(&shared, seeds, since).await;
         }
-        let is_led = shared.log.status().leader.is_some();
-        let pause = if is_led { PAUSE } else { LEADERLESS_PAUSE };
+        let has_leader = shared.log.status().leader.is_some();
+        let pause = if has_leader { HELLO_PAUSE } else { LEADERLESS_PAUSE };
         tokio::time::sleep(pause.into()).await;
     }
 }
 
-async fn ask_all(shared: &Shared, strangers: &mut Map<SocketAddr, PeerClient>) -> Vec<HelloReply> {
+async fn call_all(
+    shared: &Shared,
+    seed_clients: &mut Map<SocketAddr, PeerClient>,
+) -> Vec<HelloReply> {
     let directory = &shared.directory;
     let is_named = shared.cfg.voters.iter().any(|voter| voter.name == shared.cfg.name);
     let as_voter = is_named || shared.cfg.seeds.is_some();
     let hello = Hello { id: shared.id(), as_voter, place: directory.own().clone() };
     let known: Vec<SocketAddr> = directory.places().iter().map(|place| place.peer).collect();
     for seed in directory.seeds().into_iter().filter(|seed| !known.contains(seed)) {
-        strangers.entry(seed).or_insert_with(|| directory.client(seed));
+        seed_clients.entry(seed).or_insert_with(|| directory.client(seed));
     }
-    strangers.retain(|address, _| !known.contains(address));
+    seed_clients.retain(|address, _| !known.contains(address));
     let peers = directory.peers();
-    let clients = peers.iter().map(|peer| &peer.quick).chain(strangers.values());
-    let calls = clients.map(|client| ask(shared, client, &hello));
+    let clients = peers.iter().map(|peer| &peer.quick).chain(seed_clients.values());
+    let calls = clients.map(|client| call(shared, client, &hello));
     let replies = futures_util::future::join_all(calls).await;
     replies.into_iter().flatten().collect()
 }
 
-async fn ask(shared: &Shared, client: &PeerClient, hello: &Hello) -> Option<HelloReply> {
-    let reply = tokio::time::timeout(PATIENCE.into(), client.call(hello)).await.ok()?.ok()?;
+async fn call(shared: &Shared, client: &PeerClient, hello: &Hello) -> Option<HelloReply> {
+    let reply = tokio::time::timeout(CALL_TIMEOUT.into(), client.call(hello)).await.ok()?.ok()?;
     let directory = &shared.directory;
     reply.known.iter().for_each(|place| directory.learn(place.clone()));
     directory.heard(shared.clock.now(), reply.place.clone(), reply.id.clone());
     Some(reply)
 }
 
-/// Starts the log, if all founders are there, all are new, and this one comes first.
+/// Bootstraps the log, if all founders answered, all are new, and this instance is the first of them.
 ///
-/// A majority would not be enough: two voters that lost their disks would start an empty log, and
-/// forget all that the third one still has.
-fn found(shared: &Shared, replies: &[HelloReply]) {
+/// A majority would not be enough: two voters that lost their disks would bootstrap an empty log, and
+/// discard what the third one still has.
+fn bootstrap_if_first(shared: &Shared, replies: &[HelloReply]) {
     let new = replies.iter().filter(|reply| reply.is_new);
     let (is_first, founders, others): (bool, usize, Vec<ReplicaId>) = match &shared.cfg.seeds {
         Some(seeds) if !seeds.may_found => return,
@@ -118,44 +121,46 @@
     }
 }
 
-/// Replaces a voter that was lost by one that stands by.
+/// Replaces a lost voter by a standby.
 ///
-/// The lost one goes first: promoted before, the new one would have to be there for each entry as
-/// well. Between the two steps all voters left are needed, so the second follows at once.
+/// The lost voter is removed first: if the standby were promoted before, the quorum of the larger set
+/// would need its vote for each entry as well. Between the two steps all remaining voters are
+/// needed, so the second one follows at once.
 async fn replace_lost(shared: &Shared, seeds: &Seeds, since: Millis) {
     let (now, status) = (shared.clock.now(), shared.log.status());
     if status.voters.len() < seeds.voters || now - since < standby::VOTER_LOSS_TIMEOUT {
         return;
     }
     let presences = shared.directory.presences();
-    let due =
+    let replacement =
         standby::replacement(now, &shared.id(), &status.voters, &presences, &status.ready_learners);
-    let Some(Replacement { voter: lost, standby: by }) = due else { return };
-    event!(Warn, "voter_replaced", lost = lost.name, by = by.name);
+    let Some(Replacement { voter: lost, standby }) = replacement else { return };
+    event!(Warn, "voter_replaced", lost = lost.name, by = standby.name);
     shared.log.event(Event::ChangeMembers(MemberChange::Remove(lost)));
-    for _ in 0..TRIES {
-        tokio::time::sleep(AT_ONCE.into()).await;
+    for _ in 0..PROMOTION_ATTEMPTS {
+        tokio::time::sleep(PROMOTION_PAUSE.into()).await;
         let voters = shared.log.status().voters;
-        if voters.contains(&by) {
+        if voters.contains(&standby) {
             return;
         }
         if voters.len() < seeds.voters {
-            shared.log.event(Event::Join { id: by.clone(), as_voter: true });
+            shared.log.event(Event::Join { id: standby.clone(), as_voter: true });
         }
     }
 }
 
-/// Answers a control instance that makes itself known.
+/// Answers the announcement of a control instance, and lets it join the log.
 pub fn answer(shared: &Shared, hello: Hello) -> HelloReply {
     let Hello { id, as_voter, place } = hello;
     let status = shared.log.status();
     shared.directory.heard(shared.clock.now(), place, id.clone());
-    let is_wanted = as_voter && wants_voter(shared, &status, &id);
+    let may_vote = as_voter && may_become_voter_here(shared, &status, &id);
     let members = status.voters.iter().chain(&status.learners);
-    let lives = members.filter(|member| member.name == id.name).map(|member| member.incarnation);
-    let life = lives.max();
+    let incarnations =
+        members.filter(|member| member.name == id.name).map(|member| member.incarnation);
+    let life = incarnations.max();
     if !status.voters.contains(&id) {
-        shared.log.event(Event::Join { id, as_voter: is_wanted });
+        shared.log.event(Event::Join { id, as_voter: may_vote });
     }
     HelloReply {
         id: shared.id(),
@@ -166,8 +171,8 @@
     }
 }
 
-/// Returns whether an instance is to become a voter. An older life of it is no voter any more.
-fn wants_voter(shared: &Shared, status: &Status, id: &ReplicaId) -> bool {
+/// Returns whether an instance may become a voter. An older incarnation of it doesn't count as one.
+fn may_become_voter_here(shared: &Shared, status: &Status, id: &ReplicaId) -> bool {
     let Status { voters, ready_learners, .. } = status;
     match &shared.cfg.seeds {
         Some(seeds) => {
--- a/daemons/control/src/log/mod.rs
+++ b/daemons/control/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated log of this process: its thread, its disk, and its peers.
+//! The replicated log: its thread, its storage, and the connections to its peers.
 
 pub mod disk;
 pub mod driver;
@@ -6,4 +6,4 @@
 pub mod hello;
 pub mod peers;
 
-pub use handle::{CommandText, LogHandle, Status, Submitted};
+pub use handle::{CommandText, LogHandle, Status, SubmitResult};
--- a/daemons/control/src/log/peers.rs
+++ b/daemons/control/src/log/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to other control instances, batched while one call is on its way.
+//! Sends replica messages to other control instances, batched while a call is in flight.
 
 use std::net::SocketAddr;
 
@@ -13,22 +13,22 @@
 
 use crate::rpc::QuorumSend;
 
-/// Messages that wait for a peer; further ones are lost, which the replicas make good.
-const QUEUE: usize = 1024;
+/// Messages queued per peer. Further ones are dropped; the replicas recover from lost messages.
+const QUEUE_CAPACITY: usize = 1024;
 
-/// How long a call with messages may take.
-const TIMEOUT: Millis = Millis(1000);
+/// Timeout of a call that sends messages.
+const CALL_TIMEOUT: Millis = Millis(1000);
 
-/// How long a call with a snapshot may take.
+/// Timeout of a call that sends a snapshot.
 const SNAPSHOT_TIMEOUT: Millis = Millis(30_000);
 
-/// The ways to all other control instances. Clones share them.
+/// Send queues to all other control instances. Clones share them.
 #[derive(Debug, Default, Clone)]
 pub struct Peers {
     queues: Arc<RwLock<Map<Name, Queues>>>,
 }
 
-/// A snapshot has a way of its own, so that it doesn't hold up heartbeats.
+/// The queues of a peer. Snapshots have their own, so that they don't delay heartbeats.
 #[derive(Debug)]
 struct Queues {
     messages: Sender<Message>,
@@ -36,19 +36,19 @@
 }
 
 impl Peers {
-    /// Starts a task for a peer; one at an earlier address ends with its queue.
+    /// Starts the send tasks for a peer. Those for an earlier address end, as their queues are dropped.
     pub fn add(&self, runtime: &Handle, name: Name, address: SocketAddr, key: &Secret) {
         let start = |queue, timeout| {
             let (tx, rx) = mpsc::channel(queue);
             runtime.spawn(run(PeerClient::new(address, key, timeout), rx));
             tx
         };
-        let messages = start(QUEUE, TIMEOUT);
+        let messages = start(QUEUE_CAPACITY, CALL_TIMEOUT);
         let snapshots = start(1, SNAPSHOT_TIMEOUT);
         self.queues.write().insert(name, Queues { messages, snapshots });
     }
 
-    /// Sends a message, or loses it.
+    /// Queues a message to its receiver. It is dropped if the peer is unknown or its queue is full.
     pub fn send(&self, msg: Message) {
         let queues = self.queues.read();
         let Some(queues) = queues.get(&msg.to.name) else { return };
@@ -60,7 +60,7 @@
     }
 }
 
-/// Sends what is queued until the log ends.
+/// Sends queued messages until the queue is closed.
 async fn run(client: PeerClient, mut queue: Receiver<Message>) {
     while let Some(first) = queue.recv().await {
         let mut messages = vec![first];
@@ -69,7 +69,7 @@
         }
         if let Err(err) = client.call(&QuorumSend { messages }).await {
             event!(Debug, "peer_unreachable", address = client.address(), error = err);
-            // What waited meanwhile is old; the replicas send anew what still matters.
+            // Messages queued during the failed call are outdated; the replicas resend what matters.
             while queue.try_recv().is_ok() {}
         }
     }
--- a/daemons/control/src/submit.rs
+++ b/daemons/control/src/submit.rs
@@ -8,21 +8,21 @@
 
 use crate::app::decision::Decision;
 use crate::app::{Ask, Outcome};
-use crate::log::{CommandText, Submitted};
+use crate::log::{CommandText, SubmitResult};
 use crate::rpc::{ReadIndex, Submit, SubmitReply};
 use crate::shared::Shared;
 
 /// How long an operator's ask looks for a leader that commits it.
-const PATIENCE: Millis = Millis(6000);
+const SUBMIT_TIMEOUT: Millis = Millis(6000);
 
 /// How long claims look for a leader while one is known. A request waits for them.
-const CLAIM_PATIENCE: Millis = Millis(1500);
+const CLAIM_TIMEOUT: Millis = Millis(1500);
 
 /// Pause before the next try.
-const PAUSE: Millis = Millis(50);
+const RETRY_PAUSE: Millis = Millis(50);
 
 /// How often a change is checked again because another one came between.
-const RECHECKS: usize = 20;
+const MAX_RECHECKS: usize = 20;
 
 /// Why an ask has no outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 ///
 /// Fails when no leader commits it in time.
 pub async fn submit(shared: &Arc<Shared>, ask: &Ask) -> Result<Outcome, NoOutcome> {
-    submit_within(shared, ask, PATIENCE).await
+    submit_within(shared, ask, SUBMIT_TIMEOUT).await
 }
 
 /// Does the same within a time of the caller's.
@@ -52,9 +52,9 @@
 pub async fn submit_within(
     shared: &Arc<Shared>,
     ask: &Ask,
-    patience: Millis,
+    timeout: Millis,
 ) -> Result<Outcome, NoOutcome> {
-    let end = shared.clock.now() + patience;
+    let end = shared.clock.now() + timeout;
     let mut failure = NoOutcome::NotWritten;
     while shared.clock.now() < end {
         match attempt(shared, ask).await {
@@ -62,11 +62,11 @@
             SubmitReply::NotLeader => {}
             SubmitReply::Unknown => failure = NoOutcome::Unknown,
         }
-        let has_fault = shared.log.status().disk_fault.is_some();
-        if has_fault && shared.directory.is_alone() {
+        let has_disk_fault = shared.log.status().disk_fault.is_some();
+        if has_disk_fault && shared.directory.is_alone() {
             break;
         }
-        tokio::time::sleep(PAUSE.into()).await;
+        tokio::time::sleep(RETRY_PAUSE.into()).await;
     }
     Err(failure)
 }
@@ -96,52 +96,52 @@
         Ask::Change(_) => Some(shared.change_turn.lock().await),
         Ask::Drain(_) | Ask::Claims { .. } | Ask::Usage(_) => None,
     };
-    for _ in 0..RECHECKS {
-        let command = match judge(shared, ask).await {
-            Ready::Known(outcome) => return SubmitReply::Done { outcome },
-            Ready::Write(command) => command,
+    for _ in 0..MAX_RECHECKS {
+        let command = match prepare(shared, ask).await {
+            PreparedAsk::Answer(outcome) => return SubmitReply::Done { outcome },
+            PreparedAsk::Write(command) => command,
         };
         match shared.log.submit(command).await {
-            Submitted::Applied(Outcome::Recheck) => {}
-            Submitted::Applied(outcome) => return SubmitReply::Done { outcome },
-            Submitted::NotLeader => return SubmitReply::NotLeader,
-            Submitted::Unknown => return SubmitReply::Unknown,
+            SubmitResult::Applied(Outcome::Recheck) => {}
+            SubmitResult::Applied(outcome) => return SubmitReply::Done { outcome },
+            SubmitResult::NotLeader => return SubmitReply::NotLeader,
+            SubmitResult::Unknown => return SubmitReply::Unknown,
         }
     }
     SubmitReply::NotLeader
 }
 
 /// An ask that was checked.
-enum Ready {
-    Known(Outcome),
+enum PreparedAsk {
+    Answer(Outcome),
     Write(CommandText),
 }
 
-async fn judge(shared: &Arc<Shared>, ask: &Ask) -> Ready {
-    let judge =
+async fn prepare(shared: &Arc<Shared>, ask: &Ask) -> PreparedAsk {
+    let decide =
         |shared: &Shared, ask: &Ask| match shared.log.app().read().decide(Millis::wall(), ask) {
-            Decision::Answer(outcome) => Ready::Known(outcome),
-            Decision::Write(command) => Ready::Write((&command).into()),
+            Decision::Answer(outcome) => PreparedAsk::Answer(outcome),
+            Decision::Write(command) => PreparedAsk::Write((&command).into()),
         };
     if !matches!(ask, Ask::Change(_)) {
-        return judge(shared, ask);
+        return decide(shared, ask);
     }
     // A large document takes long to check and to pack. Heartbeats and votes of other instances come
     // through the same runtime, and would have to wait.
     let (own, ask) = (shared.clone(), ask.clone());
-    let judging = tokio::task::spawn_blocking(move || judge(&own, &ask));
-    judging.await.expect("checking doesn't panic")
+    let decision = tokio::task::spawn_blocking(move || decide(&own, &ask));
+    decision.await.expect("checking doesn't panic")
 }
 
 /// Waits until this instance's state holds everything that was answered before the call, and
 /// returns whether it does. Without a leader it may not, and what is read may be old.
 pub async fn catch_up(shared: &Arc<Shared>) -> bool {
-    catch_up_within(shared, PATIENCE).await
+    catch_up_within(shared, SUBMIT_TIMEOUT).await
 }
 
 /// Does the same within a time of the caller's.
-pub async fn catch_up_within(shared: &Arc<Shared>, patience: Millis) -> bool {
-    let end = shared.clock.now() + patience;
+pub async fn catch_up_within(shared: &Arc<Shared>, timeout: Millis) -> bool {
+    let end = shared.clock.now() + timeout;
     while shared.clock.now() < end {
         let status = shared.log.status();
         // What is read after this is at least as new as what was newest now.
@@ -152,14 +152,14 @@
         if let Some(peer) = leader
             && let Ok(reply) = peer.quick.call(&ReadIndex {}).await
             && let Some(index) = reply.index
-            && applied(shared, index, end).await
+            && wait_until_applied(shared, index, end).await
         {
             return true;
         }
         if shared.log.status().disk_fault.is_some() {
             return false;
         }
-        tokio::time::sleep(PAUSE.into()).await;
+        tokio::time::sleep(RETRY_PAUSE.into()).await;
     }
     false
 }
@@ -172,27 +172,27 @@
     (shared.clock.now() < shared.log.status().reads_until).then_some(index)
 }
 
-async fn applied(shared: &Shared, index: u64, end: Millis) -> bool {
+async fn wait_until_applied(shared: &Shared, index: u64, end: Millis) -> bool {
     let mut applied = shared.log.applied();
-    let left = end - shared.clock.now();
+    let remaining = end - shared.clock.now();
     let reached = applied.wait_for(|applied| *applied >= index);
-    tokio::time::timeout(left.into(), reached).await.is_ok_and(|reached| reached.is_ok())
+    tokio::time::timeout(remaining.into(), reached).await.is_ok_and(|reached| reached.is_ok())
 }
 
 /// Answers claims. They are refused at once when no leader is known.
 pub async fn claim(shared: Arc<Shared>, batch: ClaimBatch) -> ClaimReply {
     shared.metrics.claim_asks.inc_by(batch.asks.len() as u64);
-    let end = shared.clock.now() + CLAIM_PATIENCE;
+    let end = shared.clock.now() + CLAIM_TIMEOUT;
     let unavailable = batch.asks.iter().map(|_: &ClaimAsk| ClaimVerdict::Unavailable);
     let unavailable: Vec<ClaimVerdict> = unavailable.collect();
     let ask = Ask::Claims { asks: batch.asks };
     while shared.clock.now() < end && shared.log.status().leader.is_some() {
-        let reply = tokio::time::timeout(CLAIM_PATIENCE.into(), attempt(&shared, &ask)).await;
+        let reply = tokio::time::timeout(CLAIM_TIMEOUT.into(), attempt(&shared, &ask)).await;
         match reply {
             Ok(SubmitReply::Done { outcome: Outcome::Verdicts { verdicts } }) => {
                 return ClaimReply { verdicts };
             }
-            Ok(SubmitReply::NotLeader) => tokio::time::sleep(PAUSE.into()).await,
+            Ok(SubmitReply::NotLeader) => tokio::time::sleep(RETRY_PAUSE.into()).await,
             _ => break,
         }
     }
