--- a/bench/load/src/experiment/model.rs
+++ b/bench/load/src/experiment/model.rs
@@ -10,7 +10,7 @@
 use sill_standin::cache::PrefixCache;
 use sill_wire::endpoint::CacheEvent;
 use sill_wire::prefix::BLOCK_TOKENS;
-use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Served};
+use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Servable};
 
 /// The model that every endpoint serves.
 pub const MODEL: &str = "m";
@@ -230,7 +230,7 @@
             class: Name::default(),
             reclaimable: self.spec.reclaimable,
             price: self.spec.price,
-            serves: vec![Served::Model {
+            serves: vec![Servable::Model {
                 model: MODEL.into(),
                 version: Name::default(),
                 adapters: Vec::new(),
--- a/bench/soak/src/backend.rs
+++ b/bench/soak/src/backend.rs
@@ -17,7 +17,7 @@
 use hyper_util::rt::TokioIo;
 use parking_lot::Mutex;
 use sill_base::{Map, Millis, Name, Set};
-use sill_wire::{Announcement, Incarnation, Load, Role, Served, header};
+use sill_wire::{Announcement, Incarnation, Load, Role, Servable, header};
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
@@ -180,7 +180,7 @@
             class: Name::default(),
             reclaimable: false,
             price: 0,
-            serves: vec![Served::Service { service: SERVICE.into() }],
+            serves: vec![Servable::Service { service: SERVICE.into() }],
             role: Role::Mixed,
             slots: 16,
             prefill_tokens_per_s: 0,
--- a/bench/standin/src/cli.rs
+++ b/bench/standin/src/cli.rs
@@ -6,7 +6,7 @@
 use eyre::{Result, bail};
 use sill_base::{Findings, Millis, Name};
 use sill_setup::{Flag, Program, Values};
-use sill_wire::Served;
+use sill_wire::Servable;
 
 use crate::cloud::{self, Cloud, Offer};
 use crate::endpoint::{Endpoint, EndpointCfg};
@@ -114,8 +114,8 @@
     values.finish()?;
     let defaults = EndpointCfg::default();
     let served = match service {
-        Some(service) => Served::Service { service: service.into() },
-        None => Served::Model {
+        Some(service) => Servable::Service { service: service.into() },
+        None => Servable::Model {
             model: model.unwrap_or_default().into(),
             version: Name::default(),
             adapters: Vec::new(),
--- a/bench/standin/src/endpoint.rs
+++ b/bench/standin/src/endpoint.rs
@@ -16,7 +16,7 @@
 use sill_net::http::{self, Failure};
 use sill_wire::announce::AnnounceReply;
 use sill_wire::endpoint::{LedgerEntry, ReclaimNotice, RunEnd};
-use sill_wire::{Announcement, ErrorCode, Incarnation, Load, Served, header, prefix};
+use sill_wire::{Announcement, ErrorCode, Incarnation, Load, Servable, header, prefix};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 use crate::cache::PrefixCache;
@@ -50,7 +50,7 @@
     /// The join token.
     pub join_token: Secret,
     /// What it serves.
-    pub serves: Vec<Served>,
+    pub serves: Vec<Servable>,
     /// Requests that it runs side by side.
     pub slots: u32,
     /// Microseconds to compute a prompt token.
--- a/bench/standin/src/orders.rs
+++ b/bench/standin/src/orders.rs
@@ -8,7 +8,7 @@
 use sill_base::Name;
 use sill_net::http::{self, Failure};
 use sill_wire::endpoint::{Order, OrderAction};
-use sill_wire::{ErrorCode, Role, Served};
+use sill_wire::{ErrorCode, Role, Servable};
 
 use crate::endpoint::Shared;
 
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 struct State {
     highest: Fence,
-    serves: Vec<Served>,
+    serves: Vec<Servable>,
     role: Role,
     taken: Vec<TakenOrder>,
 }
@@ -41,13 +41,13 @@
 
 impl Orders {
     /// Starts with what the endpoint serves by itself.
-    pub fn new(serves: Vec<Served>) -> Self {
+    pub fn new(serves: Vec<Servable>) -> Self {
         let (highest, role, taken) = (Fence::default(), Role::default(), Vec::new());
         Self(Mutex::new(State { highest, serves, role, taken }))
     }
 
     /// Returns what the endpoint serves.
-    pub fn serves(&self) -> Vec<Served> {
+    pub fn serves(&self) -> Vec<Servable> {
         self.0.lock().serves.clone()
     }
 
@@ -81,7 +81,7 @@
         match action {
             OrderAction::LoadModel { model, version } => {
                 self.unload(model);
-                self.serves.push(Served::Model {
+                self.serves.push(Servable::Model {
                     model: model.clone(),
                     version: version.clone(),
                     adapters: Vec::new(),
@@ -90,7 +90,7 @@
             OrderAction::UnloadModel { model } => self.unload(model),
             OrderAction::LoadAdapter { model: below, adapter } => {
                 for served in &mut self.serves {
-                    if let Served::Model { model, adapters, .. } = served
+                    if let Servable::Model { model, adapters, .. } = served
                         && model == below
                         && !adapters.contains(adapter)
                     {
@@ -104,7 +104,7 @@
     }
 
     fn unload(&mut self, unwanted: &Name) {
-        self.serves.retain(|s| !matches!(s, Served::Model { model, .. } if model == unwanted));
+        self.serves.retain(|s| !matches!(s, Servable::Model { model, .. } if model == unwanted));
     }
 }
 
--- a/bench/standin/src/run.rs
+++ b/bench/standin/src/run.rs
@@ -77,7 +77,7 @@
         resume: Option<&Resume>,
     ) -> Self {
         let next = resume.map_or(0, |r| r.at);
-        let prompt_tokens = prefix::tokens(&summary.prompt) + u64::from(next);
+        let prompt_tokens = prefix::token_count(&summary.prompt) + u64::from(next);
         let id = shared.ledger.open(LedgerEntry {
             request: request.clone(),
             attempt: attempt(req),
@@ -121,7 +121,7 @@
     /// Waits for a slot and computes what the cache does not hold.
     async fn prefill(&mut self) {
         self.started = true;
-        let blocks = prefix::blocks(&self.summary.model, &self.summary.prompt);
+        let blocks = prefix::block_hashes(&self.summary.model, &self.summary.prompt);
         let Some(admission) = self.shared.admit(&blocks, self.prompt_tokens).await else {
             return;
         };
@@ -148,12 +148,12 @@
 
     /// Lets others import what was computed so far.
     fn hold(&self) {
-        let tokens = prefix::tokens(&self.summary.prompt) + u64::from(self.next);
+        let tokens = prefix::token_count(&self.summary.prompt) + u64::from(self.next);
         self.shared.exports.lock().hold(&self.request, kv::Held { tokens, next: self.next });
     }
 
     fn usage(&self) -> Usage {
-        let prompt_tokens = prefix::tokens(&self.summary.prompt) as u32;
+        let prompt_tokens = prefix::token_count(&self.summary.prompt) as u32;
         Usage {
             prompt_tokens,
             completion_tokens: self.answer.tokens,
--- a/coordination/dispatch/src/loads.rs
+++ b/coordination/dispatch/src/loads.rs
@@ -2,7 +2,7 @@
 
 use sill_base::{Map, Millis, Name};
 use sill_wire::Incarnation;
-use sill_wire::link::LoadWord;
+use sill_wire::link::EndpointLoad;
 
 /// Upper bound on the loads in one reply; the newest are sent. With more, an entry instance that
 /// has a tenth of a core would spend it on them.
@@ -22,7 +22,7 @@
 
 #[derive(Debug)]
 struct LoadEntry {
-    born: Incarnation,
+    incarnation: Incarnation,
     running: u32,
     queued: u32,
     measured_at: Millis,
@@ -32,7 +32,7 @@
 impl EndpointLoads {
     /// Records the loads that an entry instance reported. Loads that are older than the known one
     /// are ignored.
-    pub fn record(&mut self, now: Millis, loads: Vec<LoadWord>) {
+    pub fn record(&mut self, now: Millis, loads: Vec<EndpointLoad>) {
         self.by_endpoint.retain(|_, entry| now - entry.measured_at < LOAD_TTL);
         for load in loads {
             let measured_at = now - load.age;
@@ -44,23 +44,28 @@
                 continue;
             }
             self.last_sequence += 1;
-            let LoadWord { endpoint, born, running, queued, .. } = load;
-            let entry =
-                LoadEntry { born, running, queued, measured_at, sequence: self.last_sequence };
+            let EndpointLoad { endpoint, incarnation, running, queued, .. } = load;
+            let entry = LoadEntry {
+                incarnation,
+                running,
+                queued,
+                measured_at,
+                sequence: self.last_sequence,
+            };
             self.by_endpoint.insert(endpoint, entry);
         }
     }
 
     /// Returns the newest loads after the sequence number `seen`, and the sequence number to pass
     /// the next time.
-    pub fn newer_than(&self, now: Millis, seen: u64) -> (u64, Vec<LoadWord>) {
+    pub fn newer_than(&self, now: Millis, seen: u64) -> (u64, Vec<EndpointLoad>) {
         let entries = self.by_endpoint.iter().filter(|(_, entry)| entry.sequence > seen);
         let mut entries: Vec<(&Name, &LoadEntry)> = entries.collect();
         entries.sort_unstable_by_key(|(_, entry)| std::cmp::Reverse(entry.sequence));
         entries.truncate(MAX_REPLY_LOADS);
-        let loads = entries.into_iter().map(|(endpoint, entry)| LoadWord {
+        let loads = entries.into_iter().map(|(endpoint, entry)| EndpointLoad {
             endpoint: endpoint.clone(),
-            born: entry.born,
+            incarnation: entry.incarnation,
             running: entry.running,
             queued: entry.queued,
             age: now - entry.measured_at,
--- a/coordination/dispatch/src/pool.rs
+++ b/coordination/dispatch/src/pool.rs
@@ -10,9 +10,9 @@
     Ask, ByPriority, Choice, Drawn, Event, Outcome, PolicyCfg, RefusalReason, Router, RouterCfg,
     Target,
 };
-use sill_wire::link::{EndpointFact, EndpointState, EngineSpeed, LoadWord};
+use sill_wire::link::{EndpointFact, EndpointLoad, EndpointState, EngineSpeed};
 use sill_wire::prefix::BLOCK_TOKENS;
-use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Served};
+use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Servable};
 
 use crate::speed::{MIN_REPORTED_FITS, SpeedMeter};
 
@@ -171,9 +171,11 @@
         let known = self.endpoints.get(&fact.endpoint).map(|entry| &entry.fact);
         // Several control instances report the same facts; older or known ones must not change
         // anything.
-        let version = |fact: &EndpointFact| (fact.born, fact.sequence, fact.state);
+        let version = |fact: &EndpointFact| (fact.incarnation, fact.sequence, fact.state);
         let update = match known {
-            Some(known) if fact.born > known.born => FactUpdate::Restart(known.address),
+            Some(known) if fact.incarnation > known.incarnation => {
+                FactUpdate::Restart(known.address)
+            }
             Some(known) if version(fact) <= version(known) => return FactUpdate::Stale,
             _ => FactUpdate::Newer,
         };
@@ -198,13 +200,15 @@
     }
 
     fn drop_from_router(&mut self, now: Millis, fact: &EndpointFact) {
-        let (endpoint, incarnation) = (fact.endpoint.clone(), fact.born);
+        let (endpoint, incarnation) = (fact.endpoint.clone(), fact.incarnation);
         self.step(now, Event::Gone { endpoint, incarnation });
     }
 
     /// Returns the entry of the endpoint to which a call was sent, unless it has restarted since.
     fn entry_of(&mut self, place: &Placement) -> Option<&mut EndpointEntry> {
-        self.endpoints.get_mut(&place.endpoint).filter(|entry| entry.fact.born == place.incarnation)
+        self.endpoints
+            .get_mut(&place.endpoint)
+            .filter(|entry| entry.fact.incarnation == place.incarnation)
     }
 
     /// Marks an endpoint as gone because another one answers at its address.
@@ -237,10 +241,11 @@
     ///
     /// With many entry instances, each receives few answers from one endpoint. By those alone, busy
     /// and idle endpoints look alike, and calls queue while other engines are idle.
-    pub fn record_remote_load(&mut self, now: Millis, load: &LoadWord) {
+    pub fn record_remote_load(&mut self, now: Millis, load: &EndpointLoad) {
         let at = now - load.age;
         let entry = self.endpoints.get_mut(&load.endpoint);
-        let entry = entry.filter(|entry| entry.fact.born == load.born && !entry.is_gone());
+        let entry =
+            entry.filter(|entry| entry.fact.incarnation == load.incarnation && !entry.is_gone());
         let Some(entry) = entry.filter(|entry| entry.load_at.is_none_or(|last| at > last)) else {
             return;
         };
@@ -250,12 +255,12 @@
     }
 
     /// Returns the loads that endpoints reported within the last `span`.
-    pub fn recent_loads(&self, now: Millis, span: Millis) -> impl Iterator<Item = LoadWord> {
+    pub fn recent_loads(&self, now: Millis, span: Millis) -> impl Iterator<Item = EndpointLoad> {
         self.endpoints.iter().filter_map(move |(endpoint, entry)| {
             let age = now - entry.load_at?;
-            (age < span).then(|| LoadWord {
+            (age < span).then(|| EndpointLoad {
                 endpoint: endpoint.clone(),
-                born: entry.fact.born,
+                incarnation: entry.fact.incarnation,
                 running: entry.load.running,
                 queued: entry.load.queued,
                 age,
@@ -281,7 +286,7 @@
                 entry.own_requests += 1;
                 let place = Placement {
                     endpoint: chosen.endpoint.clone(),
-                    incarnation: entry.fact.born,
+                    incarnation: entry.fact.incarnation,
                     address: entry.fact.address,
                     fresh_tokens: ask.prompt_tokens.saturating_sub(chosen.cached_tokens),
                     sent_at: now,
@@ -316,7 +321,7 @@
 
     /// Returns the learned speed of the engines, once it is based on enough samples.
     pub fn learned_speed(&self) -> Option<EngineSpeed> {
-        Some(self.meter.speed()).filter(|speed| speed.lines >= MIN_REPORTED_FITS)
+        Some(self.meter.speed()).filter(|speed| speed.fits >= MIN_REPORTED_FITS)
     }
 
     /// Removes a finished attempt from its endpoint and records the outcome.
@@ -372,14 +377,14 @@
         let is_leaving = entry.fact.state == EndpointState::Leaving;
         let announcement = Announcement {
             name: endpoint.clone(),
-            incarnation: entry.fact.born,
+            incarnation: entry.fact.incarnation,
             sequence: self.sequence,
             address: Name::default(),
             domain: entry.fact.domain.clone(),
             class: Name::default(),
             reclaimable: entry.fact.reclaimable,
             price: 0,
-            serves: vec![Served::Service { service: self.cfg.service.clone() }],
+            serves: vec![Servable::Service { service: self.cfg.service.clone() }],
             role: Role::Mixed,
             slots: entry.fact.slots,
             prefill_tokens_per_s: 0,
--- a/coordination/dispatch/src/registry.rs
+++ b/coordination/dispatch/src/registry.rs
@@ -71,9 +71,10 @@
         // The endpoint may have sent its heartbeats to another control instance that has not
         // forwarded them yet.
         let known = self.endpoints.get(endpoint).map(|known| &known.fact);
-        let known = known.filter(|fact| born.is_none_or(|born| born == fact.born)).cloned();
+        let known = known.filter(|fact| born.is_none_or(|born| born == fact.incarnation)).cloned();
         let born = born.unwrap_or_default();
-        let known = known.unwrap_or_else(|| EndpointFact { born, ..name_only(endpoint) });
+        let known =
+            known.unwrap_or_else(|| EndpointFact { incarnation: born, ..name_only(endpoint) });
         let fact = EndpointFact {
             state: EndpointState::Gone,
             sequence: known.sequence.saturating_add(1),
@@ -97,8 +98,8 @@
             return true;
         };
         // An end that is reported without an incarnation applies to the known one.
-        let has_incarnation = !is_name_only(&fact) || fact.born != Incarnation::default();
-        match fact.born.cmp(&known.fact.born) {
+        let has_incarnation = !is_name_only(&fact) || fact.incarnation != Incarnation::default();
+        match fact.incarnation.cmp(&known.fact.incarnation) {
             // After a restart under the same name, the sequence begins anew. Compared by the
             // sequence alone, the new incarnation would be ignored for as long as the old one had
             // lasted, or forever.
@@ -107,7 +108,7 @@
                 return true;
             }
             Ordering::Less if has_incarnation => return false,
-            Ordering::Less | Ordering::Equal => fact.born = known.fact.born,
+            Ordering::Less | Ordering::Equal => fact.incarnation = known.fact.incarnation,
         }
         if contradicts(&known.fact, &fact) {
             return false;
@@ -146,7 +147,7 @@
     /// it counts as silent.
     pub fn is_contradictory(&self, fact: &EndpointFact) -> bool {
         let known = self.endpoints.get(&fact.endpoint).map(|known| &known.fact);
-        known.is_some_and(|known| known.born == fact.born && contradicts(known, fact))
+        known.is_some_and(|known| known.incarnation == fact.incarnation && contradicts(known, fact))
     }
 
     /// Marks endpoints whose heartbeats are overdue as silent, and removes expired tombstones.
@@ -178,13 +179,13 @@
 
     /// Returns the position of the newest change.
     pub fn cursor(&self) -> Cursor {
-        Cursor { life: self.incarnation, change: self.change, ..Cursor::default() }
+        Cursor { incarnation: self.incarnation, change: self.change, ..Cursor::default() }
     }
 
     /// Returns the endpoints that changed after a cursor, or all of them if the cursor belongs to
     /// another incarnation.
     pub fn newer_than(&self, now: Millis, cursor: Cursor) -> Vec<EndpointFact> {
-        let from = if cursor.life == self.incarnation { cursor.change + 1 } else { 0 };
+        let from = if cursor.incarnation == self.incarnation { cursor.change + 1 } else { 0 };
         let names = self.by_change.range(from..).map(|(_, name)| name);
         let facts = names.filter_map(|name| self.fact(now, name));
         facts.filter(|fact| !is_name_only(fact)).collect()
@@ -244,7 +245,7 @@
 fn name_only(endpoint: &Name) -> EndpointFact {
     EndpointFact {
         endpoint: endpoint.clone(),
-        born: Incarnation::default(),
+        incarnation: Incarnation::default(),
         service: Name::default(),
         domain: Name::default(),
         address: SocketAddr::from(([0, 0, 0, 0], 0)),
--- a/coordination/dispatch/src/settings.rs
+++ b/coordination/dispatch/src/settings.rs
@@ -84,7 +84,7 @@
     ///
     /// Fails if the piece is damaged or can't be parsed; it then remains missing.
     pub fn add_piece(&mut self, piece: &Piece) -> Result<(), PieceError> {
-        let text = piece.text.text().map_err(|_| PieceError::Corrupt)?;
+        let text = piece.text.decompress().map_err(|_| PieceError::Corrupt)?;
         if PieceId::of(&text) != piece.id {
             return Err(PieceError::Corrupt);
         }
--- a/coordination/dispatch/src/share.rs
+++ b/coordination/dispatch/src/share.rs
@@ -116,7 +116,7 @@
         self.entries = totals.entries.max(1);
         self.totals_at = Some(totals_at);
         self.totals = totals.accounts.iter().map(|t| (t.account.clone(), t.clone())).collect();
-        self.unreported_s = totals.untold_s;
+        self.unreported_s = totals.unreported_s;
         for (name, account) in &mut self.accounts {
             match self.totals.get(name) {
                 Some(total) => {
--- a/coordination/dispatch/src/share/account.rs
+++ b/coordination/dispatch/src/share/account.rs
@@ -125,7 +125,7 @@
         let even = EVEN_PART / f64::from(entries);
         let left = 1.0 - total.held;
         self.share = Some(left * ((1.0 - EVEN_PART) * demand_part + even));
-        let unreported_s = total.untold_s.unwrap_or(total.held * LIMIT_WINDOW.as_secs_f64());
+        let unreported_s = total.unreported_s.unwrap_or(total.held * LIMIT_WINDOW.as_secs_f64());
         self.total_admitted = total.admitted + self.presumed_admitted(unreported_s);
         self.total_admitted_per_s = total.admitted_per_s;
         self.admitted_since_total = 0.0;
--- a/coordination/dispatch/src/speed.rs
+++ b/coordination/dispatch/src/speed.rs
@@ -100,9 +100,9 @@
         }
         let learned = self.speed.prefill_tokens_per_s;
         let ratio = (tokens * 1000.0 / ms / learned).clamp(1.0 / MAX_FIT_RATIO, MAX_FIT_RATIO);
-        let weight = (1.0 / f64::from(self.speed.lines + 1)).max(MIN_FIT_WEIGHT);
+        let weight = (1.0 / f64::from(self.speed.fits + 1)).max(MIN_FIT_WEIGHT);
         self.speed.prefill_tokens_per_s = learned * ratio.powf(weight);
-        self.speed.lines = self.speed.lines.saturating_add(1);
+        self.speed.fits = self.speed.fits.saturating_add(1);
         self.speed = clamped(self.speed);
     }
 }
@@ -115,7 +115,7 @@
 
 /// Returns the speed that is presumed of engines before any is learned.
 pub fn presumed_speed() -> EngineSpeed {
-    EngineSpeed { prefill_tokens_per_s: PRESUMED_TOKENS_PER_S, lines: 0 }
+    EngineSpeed { prefill_tokens_per_s: PRESUMED_TOKENS_PER_S, fits: 0 }
 }
 
 impl Default for SpeedMeter {
@@ -134,13 +134,13 @@
 where
     I: IntoIterator<Item = EngineSpeed>,
 {
-    let learned: Vec<EngineSpeed> = speeds.into_iter().filter(|speed| speed.lines > 0).collect();
+    let learned: Vec<EngineSpeed> = speeds.into_iter().filter(|speed| speed.fits > 0).collect();
     if learned.is_empty() {
         return None;
     }
     let speed = EngineSpeed {
         prefill_tokens_per_s: median(&learned, |speed| speed.prefill_tokens_per_s),
-        lines: learned.iter().map(|speed| speed.lines).max().unwrap_or_default(),
+        fits: learned.iter().map(|speed| speed.fits).max().unwrap_or_default(),
     };
     Some(clamped(speed))
 }
--- a/coordination/dispatch/src/stopping.rs
+++ b/coordination/dispatch/src/stopping.rs
@@ -71,14 +71,14 @@
             // Routes come and go with the settings; those without recent calls are dropped.
             self.0.retain(|_, times| usual_time(now, &times.total).is_some());
         }
-        self.0.entry(route.clone()).or_default().total.note(now, HALF_SPAN, total);
+        self.0.entry(route.clone()).or_default().total.record(now, HALF_SPAN, total);
     }
 
     /// Records the time until the first part of a call's answer. Routes without a recent complete
     /// answer are ignored.
     pub fn record_first_part(&mut self, now: Millis, route: &Name, first: Millis) {
         if let Some(times) = self.0.get_mut(route) {
-            times.first_part.note(now, HALF_SPAN, first);
+            times.first_part.record(now, HALF_SPAN, first);
         }
     }
 
--- a/coordination/dispatch/src/totals.rs
+++ b/coordination/dispatch/src/totals.rs
@@ -106,12 +106,19 @@
                 admitted: sum.admitted,
                 admitted_per_s: sum.admitted_per_s,
                 held: (sum.held + held).min(1.0),
-                untold_s: Some(sum.unreported_s + unreported_s + held * LIMIT_WINDOW.as_secs_f64()),
+                unreported_s: Some(
+                    sum.unreported_s + unreported_s + held * LIMIT_WINDOW.as_secs_f64(),
+                ),
             }
         });
         let accounts = accounts.collect();
         let unknown_s = LIMIT_WINDOW.as_secs_f64() * f64::from(unknown) / f64::from(entries);
-        Some(Totals { age: Millis::ZERO, entries, untold_s: unreported_s + unknown_s, accounts })
+        Some(Totals {
+            age: Millis::ZERO,
+            entries,
+            unreported_s: unreported_s + unknown_s,
+            accounts,
+        })
     }
 
     /// Returns the numbers of entry instances in the last totals.
--- a/coordination/dispatch/src/usage.rs
+++ b/coordination/dispatch/src/usage.rs
@@ -192,7 +192,7 @@
 
     /// Returns the age of the incarnation, if it reports its uptime.
     pub fn uptime(&self, now: Millis) -> Option<Millis> {
-        self.report.up.map(|up| up + self.age(now))
+        self.report.uptime.map(|up| up + self.age(now))
     }
 }
 
--- a/coordination/dispatch/tests/limit_restarts.rs
+++ b/coordination/dispatch/tests/limit_restarts.rs
@@ -150,7 +150,7 @@
             domain: "a".into(),
             sequence: self.sequence,
             wall: Millis(now),
-            up: Some(clock),
+            uptime: Some(clock),
             entries: self.shares.recent_entries(clock),
             age: Millis::ZERO,
             usage: Vec::new(),
--- a/coordination/dispatch/tests/loads.rs
+++ b/coordination/dispatch/tests/loads.rs
@@ -13,19 +13,19 @@
 };
 use sill_route::Outcome;
 use sill_wire::Incarnation;
-use sill_wire::link::{EndpointFact, EndpointState, LoadWord};
+use sill_wire::link::{EndpointFact, EndpointLoad, EndpointState};
 
 const SLOTS: u32 = 24;
 
-fn load(endpoint: &str, born: u64, running: u32, age: u64) -> LoadWord {
-    let born = Incarnation(born);
-    LoadWord { endpoint: endpoint.into(), born, running, queued: 0, age: Millis(age) }
+fn load(endpoint: &str, incarnation: u64, running: u32, age: u64) -> EndpointLoad {
+    let incarnation = Incarnation(incarnation);
+    EndpointLoad { endpoint: endpoint.into(), incarnation, running, queued: 0, age: Millis(age) }
 }
 
-fn fact(endpoint: &Name, born: u64) -> EndpointFact {
+fn fact(endpoint: &Name, incarnation: u64) -> EndpointFact {
     EndpointFact {
         endpoint: endpoint.clone(),
-        born: Incarnation(born),
+        incarnation: Incarnation(incarnation),
         service: "desk".into(),
         domain: "a".into(),
         address: SocketAddr::from(([10, 0, 0, 1], 80)),
@@ -76,7 +76,7 @@
     // an unknown endpoint. None of these may make a busy endpoint look idle.
     struct Case {
         name: &'static str,
-        load: LoadWord,
+        load: EndpointLoad,
     }
     let cases = [
         Case { name: "older than the load reported here", load: load("e1", 3, 0, 500) },
@@ -89,10 +89,10 @@
         let place = place();
         pool.record_load(Millis(1200), &place, 20, 0);
         pool.record_remote_load(Millis(1300), &load);
-        let received: Vec<LoadWord> = pool.recent_loads(Millis(1300), Millis(600)).collect();
+        let received: Vec<EndpointLoad> = pool.recent_loads(Millis(1300), Millis(600)).collect();
         assert_eq!(
             received,
-            [LoadWord { age: Millis(100), ..self::load("e1", 3, 20, 0) }],
+            [EndpointLoad { age: Millis(100), ..self::load("e1", 3, 20, 0) }],
             "{name}"
         );
     }
@@ -116,8 +116,8 @@
     let place = place();
     pool.record_load(Millis(1200), &place, 2, 0);
     pool.mark_full(Millis(1200), &place);
-    let received: Vec<LoadWord> = pool.recent_loads(Millis(1200), Millis(600)).collect();
-    assert_eq!(received, [LoadWord { queued: SLOTS, ..load("e1", 3, SLOTS, 0) }]);
+    let received: Vec<EndpointLoad> = pool.recent_loads(Millis(1200), Millis(600)).collect();
+    assert_eq!(received, [EndpointLoad { queued: SLOTS, ..load("e1", 3, SLOTS, 0) }]);
 }
 
 /// Many entry instances and a few endpoints that report their load with each answer.
@@ -186,7 +186,7 @@
         if !self.has_distribution {
             return;
         }
-        let loads: Vec<LoadWord> = self.entries[i].recent_loads(now, Millis(600)).collect();
+        let loads: Vec<EndpointLoad> = self.entries[i].recent_loads(now, Millis(600)).collect();
         self.loads.record(now, loads);
         let (seen, received) = self.loads.newer_than(now, self.seen[i]);
         self.seen[i] = seen;
--- a/coordination/dispatch/tests/registry.rs
+++ b/coordination/dispatch/tests/registry.rs
@@ -124,7 +124,7 @@
     let cursor = registry.cursor();
     registry.record_heartbeat(Millis(2200), fact(2, EndpointState::Ready));
     assert!(registry.newer_than(Millis(2200), cursor).is_empty());
-    let of_other_incarnation = Cursor { life: Incarnation(7), ..cursor };
+    let of_other_incarnation = Cursor { incarnation: Incarnation(7), ..cursor };
     assert_eq!(registry.newer_than(Millis(2200), of_other_incarnation).len(), 1);
 }
 
@@ -195,7 +195,7 @@
         });
         for registry in [&a, &b] {
             let facts = registry.newer_than(Millis(1100), Cursor::default());
-            let got: Vec<_> = facts.iter().map(|fact| (fact.born.0, fact.state)).collect();
+            let got: Vec<_> = facts.iter().map(|fact| (fact.incarnation.0, fact.state)).collect();
             assert_eq!(got, [case.expected], "{}", case.name);
         }
     }
--- a/coordination/dispatch/tests/settings.rs
+++ b/coordination/dispatch/tests/settings.rs
@@ -4,7 +4,7 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
 use sill_base::random::{cases, seed};
-use sill_base::{Map, Millis, Name, Packed};
+use sill_base::{CompressedText, Map, Millis, Name};
 use sill_dispatch::{PieceError, RouteTable, SettingsAssembly};
 use sill_tree::{Document, DocumentText, PieceId, Route, Share, pieces};
 use sill_wire::control::Revision;
@@ -31,7 +31,7 @@
 
 fn cut(revision: u64, document: &Document) -> (Manifest, Map<PieceId, Piece>) {
     let parts = pieces::cut(document).into_iter();
-    let pieces = parts.map(|part| Piece::of(DocumentText::of(&part).as_str()));
+    let pieces = parts.map(|part| Piece::new(DocumentText::of(&part).as_str()));
     let pieces: Vec<Piece> = pieces.collect();
     let ids = pieces.iter().map(|piece| piece.id.clone()).collect();
     let manifest = Manifest { revision: Revision(revision), cut_at: Millis::ZERO, pieces: ids };
@@ -75,7 +75,7 @@
     // A newer control instance sends a field that this program does not know. The settings in force
     // stay, and the instance must not request the same piece forever.
     let text = "{\"field_of_tomorrow\":1}";
-    let piece = Piece::of(text);
+    let piece = Piece::new(text);
     let manifest = |revision| Manifest {
         revision: Revision(revision),
         cut_at: Millis::ZERO,
@@ -137,7 +137,7 @@
                 for id in missing.iter().take(5) {
                     let piece = match rng.random_range(0..4) {
                         0 => continue,
-                        1 => Piece { id: id.clone(), text: Packed::of("{}") },
+                        1 => Piece { id: id.clone(), text: CompressedText::new("{}") },
                         _ => pieces[id].clone(),
                     };
                     fetched += usize::from(assembly.add_piece(&piece).is_ok());
--- a/coordination/dispatch/tests/shares.rs
+++ b/coordination/dispatch/tests/shares.rs
@@ -168,7 +168,7 @@
             domain: "a".into(),
             sequence: now + 1,
             wall: Millis(now),
-            up: None,
+            uptime: None,
             entries: 0,
             age: Millis::ZERO,
             usage: Vec::new(),
@@ -417,9 +417,10 @@
             admitted: window_limit + excess_s * RATE,
             admitted_per_s: RATE,
             held: 0.0,
-            untold_s: None,
+            unreported_s: None,
         };
-        let totals = Totals { age: Millis::ZERO, entries: 8, untold_s: 0.0, accounts: vec![total] };
+        let totals =
+            Totals { age: Millis::ZERO, entries: 8, unreported_s: 0.0, accounts: vec![total] };
         let now = Millis(10_000);
         shares.set_totals(now, &totals);
         let over = shares.admit(now, &account(), COST).expect_err(name);
@@ -451,7 +452,7 @@
     };
     let entries = ENTRIES as u32;
     let totals =
-        Totals { age: Millis::ZERO, entries, untold_s: 0.0, accounts: vec![total.clone()] };
+        Totals { age: Millis::ZERO, entries, unreported_s: 0.0, accounts: vec![total.clone()] };
     let mut all: Vec<LimitShares> = (0..ENTRIES)
         .map(|_| {
             let mut shares = LimitShares::new(LimitBounds { slack: SLACK });
--- a/coordination/dispatch/tests/speed.rs
+++ b/coordination/dispatch/tests/speed.rs
@@ -93,14 +93,14 @@
     for i in 0..500_u64 {
         meter.record_first_part(1000 + i % 3, Millis(20 + i % 90));
     }
-    assert_eq!((meter.speed(), meter.speed().lines), (presumed_speed(), 0));
+    assert_eq!((meter.speed(), meter.speed().fits), (presumed_speed(), 0));
 }
 
 /// One entry instance reports nonsense, another has learned nothing. The speed for all is the
 /// median of the rest.
 #[test]
 fn the_speed_for_all_is_the_median() {
-    let speed = |rate, lines| EngineSpeed { prefill_tokens_per_s: rate, lines };
+    let speed = |rate, fits| EngineSpeed { prefill_tokens_per_s: rate, fits };
     struct Case {
         name: &'static str,
         speeds: Vec<EngineSpeed>,
--- a/coordination/dispatch/tests/support/mod.rs
+++ b/coordination/dispatch/tests/support/mod.rs
@@ -7,10 +7,10 @@
 use sill_wire::link::{EndpointFact, EndpointState};
 
 /// Returns a heartbeat of the endpoint `e1`.
-pub fn heartbeat(born: u64, sequence: u64, state: EndpointState) -> EndpointFact {
+pub fn heartbeat(incarnation: u64, sequence: u64, state: EndpointState) -> EndpointFact {
     EndpointFact {
         endpoint: "e1".into(),
-        born: Incarnation(born),
+        incarnation: Incarnation(incarnation),
         service: "desk".into(),
         domain: "a".into(),
         address: SocketAddr::from(([10, 0, 0, 1], 80)),
--- a/coordination/dispatch/tests/totals.rs
+++ b/coordination/dispatch/tests/totals.rs
@@ -49,7 +49,7 @@
         domain: "a".into(),
         sequence: last.at + 1,
         wall: Millis(last.at),
-        up: last.up.map(Millis),
+        uptime: last.up.map(Millis),
         entries: last.entries,
         age: Millis::ZERO,
         usage: Vec::new(),
@@ -200,7 +200,7 @@
         assert_eq!(totals.entries, case.entries, "{name}");
         assert!((total.admitted - case.admitted).abs() < 1e-9, "{name}: {total:?}");
         assert!((total.held - case.held).abs() < 1e-9, "{name}: {total:?}");
-        let unreported_s = total.untold_s.expect("totals contain the unreported time");
+        let unreported_s = total.unreported_s.expect("totals contain the unreported time");
         assert!((unreported_s - case.unreported_s).abs() < 1e-9, "{name}: {total:?}");
     }
 }
--- a/coordination/dispatch/tests/usage.rs
+++ b/coordination/dispatch/tests/usage.rs
@@ -18,7 +18,7 @@
         domain: "a".into(),
         sequence,
         wall: Millis::ZERO,
-        up: None,
+        uptime: None,
         entries: 0,
         age: Millis::ZERO,
         usage: usage.collect(),
--- a/coordination/fleet/src/counts/needs.rs
+++ b/coordination/fleet/src/counts/needs.rs
@@ -47,8 +47,8 @@
     /// Records the current load and returns the peaks of the need.
     pub(super) fn update(&mut self, now: Millis, view: &PoolView<'_>, cfg: &CountCfg) -> PeakNeed {
         let speed = view.prefill_tokens_per_s.and_then(|learned| {
-            self.max_speed.note(now, cfg.speed_window, learned);
-            self.max_speed.at(now, cfg.speed_window)
+            self.max_speed.record(now, cfg.speed_window, learned);
+            self.max_speed.max(now, cfg.speed_window)
         });
         let endpoints = current_need(view, planned_tokens_per_s(speed, cfg), cfg);
         // Without load the need is unknown, and some of the running endpoints may not have
--- a/coordination/flight/src/home.rs
+++ b/coordination/flight/src/home.rs
@@ -5,7 +5,7 @@
 
 use sill_base::{Map, Millis};
 use sill_wire::claim::{BodyHash, ClaimKey};
-use sill_wire::handoff::{Location, RunAt};
+use sill_wire::handoff::{LocateReply, RunLocation};
 
 /// Returns the member that is home to a key, by rendezvous hashing: when a member goes, only its
 /// own keys move.
@@ -39,7 +39,7 @@
 
 #[derive(Debug, Clone)]
 struct Located {
-    run: RunAt,
+    run: RunLocation,
     body: BodyHash,
     at: Millis,
 }
@@ -62,22 +62,22 @@
         now: Millis,
         key: &ClaimKey,
         body: &BodyHash,
-        asker: RunAt,
-    ) -> Location {
+        asker: RunLocation,
+    ) -> LocateReply {
         self.forget_old(now);
         match self.runs.get(key) {
-            Some(located) if located.body != *body => Location::BodyMismatch,
-            Some(located) if located.run == asker => Location::New,
-            Some(located) => Location::At(located.run.clone()),
+            Some(located) if located.body != *body => LocateReply::BodyMismatch,
+            Some(located) if located.run == asker => LocateReply::New,
+            Some(located) => LocateReply::At(located.run.clone()),
             None => {
                 self.moved(now, key, body, asker);
-                Location::New
+                LocateReply::New
             }
         }
     }
 
     /// Notes that a request runs elsewhere now.
-    pub fn moved(&mut self, now: Millis, key: &ClaimKey, body: &BodyHash, run: RunAt) {
+    pub fn moved(&mut self, now: Millis, key: &ClaimKey, body: &BodyHash, run: RunLocation) {
         let located = Located { run, body: body.clone(), at: now };
         self.runs.insert(key.clone(), located);
         self.by_age.push_back(Aged { at: now, key: key.clone() });
@@ -87,7 +87,7 @@
     }
 
     /// Forgets a key whose request was refused, so that it can be sent again.
-    pub fn forget(&mut self, key: &ClaimKey, run: &RunAt) {
+    pub fn forget(&mut self, key: &ClaimKey, run: &RunLocation) {
         if self.runs.get(key).is_some_and(|located| located.run == *run) {
             self.runs.remove(key);
         }
--- a/coordination/flight/tests/cases.rs
+++ b/coordination/flight/tests/cases.rs
@@ -10,7 +10,7 @@
 use sill_flight::sse::{self, Splitter};
 use sill_flight::{Action, Event, Flight, FlightCfg, Place, Spec, Transcript};
 use sill_wire::claim::{BodyHash, ClaimKey};
-use sill_wire::handoff::{Location, RunAt};
+use sill_wire::handoff::{LocateReply, RunLocation};
 use sill_wire::{ErrorCode, Incarnation};
 
 fn spec(idempotent: bool) -> Spec {
@@ -163,18 +163,18 @@
 fn a_home_knows_where_a_key_runs() {
     let mut directory = Directory::new(2, Millis(1000));
     let body = BodyHash("b".into());
-    let at = |address: &str| RunAt { address: address.into(), request: "r".into() };
+    let at = |address: &str| RunLocation { address: address.into(), request: "r".into() };
     let mut locate = |now, number, body: &BodyHash, by| {
         directory.locate(Millis(now), &key(number), body, at(by))
     };
-    assert_eq!(locate(0, 1, &body, "e1"), Location::New);
-    assert_eq!(locate(1, 1, &body, "e1"), Location::New);
-    assert_eq!(locate(1, 1, &body, "e2"), Location::At(at("e1")));
-    assert_eq!(locate(1, 1, &BodyHash("c".into()), "e2"), Location::BodyMismatch);
-    assert_eq!(locate(1000, 1, &body, "e2"), Location::New);
-    assert_eq!(locate(1000, 2, &body, "e1"), Location::New);
-    assert_eq!(locate(1000, 3, &body, "e1"), Location::New);
-    assert_eq!(locate(1000, 1, &body, "e3"), Location::New, "the oldest is forgotten when full");
+    assert_eq!(locate(0, 1, &body, "e1"), LocateReply::New);
+    assert_eq!(locate(1, 1, &body, "e1"), LocateReply::New);
+    assert_eq!(locate(1, 1, &body, "e2"), LocateReply::At(at("e1")));
+    assert_eq!(locate(1, 1, &BodyHash("c".into()), "e2"), LocateReply::BodyMismatch);
+    assert_eq!(locate(1000, 1, &body, "e2"), LocateReply::New);
+    assert_eq!(locate(1000, 2, &body, "e1"), LocateReply::New);
+    assert_eq!(locate(1000, 3, &body, "e1"), LocateReply::New);
+    assert_eq!(locate(1000, 1, &body, "e3"), LocateReply::New, "the oldest is forgotten when full");
 }
 
 #[test]
--- a/coordination/member/benches/scale.rs
+++ b/coordination/member/benches/scale.rs
@@ -11,7 +11,7 @@
 use sill_base::{Machine, Millis, Name};
 use sill_member::{Action, Event, MemberCfg, Members, START};
 use sill_wire::member::{EntryInfo, MemberReply, MemberSync};
-use sill_wire::{Announcement, Incarnation, Load, Served};
+use sill_wire::{Announcement, Incarnation, Load, Servable};
 
 /// Bytes of HTTP and JSON-RPC around one question, with a key of 64 characters, and around its reply.
 const CALL_OVERHEAD: u64 = 270;
@@ -254,7 +254,7 @@
         class: "accel-4".into(),
         reclaimable: true,
         price: 1850,
-        serves: vec![Served::Model {
+        serves: vec![Servable::Model {
             model: model(which),
             version: "2026-11".into(),
             adapters: vec!["trace-reports".into(), "tags".into()],
--- a/coordination/member/src/digest.rs
+++ b/coordination/member/src/digest.rs
@@ -36,7 +36,7 @@
 /// Adds a mark to a digest.
 pub fn mark(digest: &mut Digest, fact: Fact, name: &str, life: Incarnation, shape: u64, seq: u64) {
     let hash = short(hash(digest.salt, fact, name, life, shape));
-    let _ = write!(digest.marks, "{hash:06x}{:02x}", seq as u8);
+    let _ = write!(digest.hashes, "{hash:06x}{:02x}", seq as u8);
 }
 
 /// Hashes a name together with another, equally in every process.
@@ -59,7 +59,7 @@
 impl Marks {
     /// Reads a digest; what is not well formed counts as not known.
     pub fn read(digest: &Digest) -> Self {
-        let text = digest.marks.as_bytes();
+        let text = digest.hashes.as_bytes();
         let mut sequences = Map::default();
         for mark in text.chunks_exact(MARK_DIGITS) {
             let Ok(mark) = std::str::from_utf8(mark) else { continue };
--- a/coordination/member/src/endpoints.rs
+++ b/coordination/member/src/endpoints.rs
@@ -1,8 +1,8 @@
 //! Endpoints of the own failure domain, with the lives that must never get work again.
 
 use sill_base::{Map, Millis, Name, Promise, keep};
-use sill_wire::member::{Digest, LeavingNotice, LoadUpdate, Relayed};
-use sill_wire::{Announcement, Incarnation, Served};
+use sill_wire::member::{Digest, LeavingNotice, LoadUpdate, RelayedAnnouncement};
+use sill_wire::{Announcement, Incarnation, Servable};
 
 use crate::cfg::{MemberCfg, Weakening};
 use crate::digest::{self, Fact, Marks};
@@ -243,12 +243,12 @@
     }
 
     /// Returns the announcements that a peer lacks.
-    pub fn whole(&self, now: Millis, cfg: &MemberCfg, marks: &Marks) -> Vec<Relayed> {
+    pub fn whole(&self, now: Millis, cfg: &MemberCfg, marks: &Marks) -> Vec<RelayedAnnouncement> {
         let lacking = self.live(now, cfg).filter(|(name, record)| {
             let life = record.announcement.incarnation;
             marks.sequence(Fact::Endpoint, name, life, record.shape).is_none()
         });
-        let relayed = lacking.map(|(_, record)| Relayed {
+        let relayed = lacking.map(|(_, record)| RelayedAnnouncement {
             announcement: Announcement { leaving: None, ..record.announcement.clone() },
             age: now - record.sent_at,
         });
@@ -261,7 +261,7 @@
             let a = &record.announcement;
             let known = marks.sequence(Fact::Endpoint, name, a.incarnation, record.shape)?;
             digest::is_newer(a.sequence, known).then(|| LoadUpdate {
-                mark: marks.hash(Fact::Endpoint, name, a.incarnation, record.shape),
+                hash: marks.hash(Fact::Endpoint, name, a.incarnation, record.shape),
                 sequence: a.sequence,
                 age: now - record.sent_at,
                 load: a.load,
@@ -356,10 +356,10 @@
 }
 
 /// Returns the name of a served model or service.
-pub fn served_name(served: &Served) -> &Name {
+pub fn served_name(served: &Servable) -> &Name {
     match served {
-        Served::Model { model, .. } => model,
-        Served::Service { service } => service,
+        Servable::Model { model, .. } => model,
+        Servable::Service { service } => service,
     }
 }
 
--- a/coordination/member/src/entries.rs
+++ b/coordination/member/src/entries.rs
@@ -50,7 +50,7 @@
         beats: &[Heartbeat],
         transit: Millis,
     ) {
-        let by_mark: Map<u64, &Heartbeat> = beats.iter().map(|beat| (beat.mark, beat)).collect();
+        let by_mark: Map<u64, &Heartbeat> = beats.iter().map(|beat| (beat.hash, beat)).collect();
         for record in self.records.values_mut() {
             let info = &mut record.info;
             let mark = digest::hash(salt, Fact::Entry, &info.name, info.incarnation, shape(info));
@@ -146,7 +146,7 @@
         let newer = self.recent(now, cfg).filter_map(|r| {
             let info = &r.info;
             digest::is_newer(info.sequence, known(marks, info)?).then(|| Heartbeat {
-                mark: marks.hash(Fact::Entry, &info.name, info.incarnation, shape(info)),
+                hash: marks.hash(Fact::Entry, &info.name, info.incarnation, shape(info)),
                 sequence: info.sequence,
                 age: now - r.heard_at,
             })
--- a/coordination/member/src/foreign.rs
+++ b/coordination/member/src/foreign.rs
@@ -4,7 +4,7 @@
 
 use sill_base::{Map, Millis, Name};
 use sill_wire::Announcement;
-use sill_wire::member::{DomainSummary, EntryInfo, HeldOffer, SummaryAge};
+use sill_wire::member::{DomainSummary, EndpointIncarnation, EntryInfo, SummaryAge};
 
 use crate::cfg::MemberCfg;
 use crate::digest;
@@ -59,12 +59,12 @@
     }
 
     /// Returns the endpoints of other domains that may be used now.
-    pub fn holds(&self) -> Vec<HeldOffer> {
-        let held = self.offers.iter().map(|(name, offer)| HeldOffer {
+    pub fn holds(&self) -> Vec<EndpointIncarnation> {
+        let held = self.offers.iter().map(|(name, offer)| EndpointIncarnation {
             name: name.clone(),
             incarnation: offer.announcement.incarnation,
         });
-        let mut held: Vec<HeldOffer> = held.collect();
+        let mut held: Vec<EndpointIncarnation> = held.collect();
         held.sort_unstable();
         held
     }
@@ -104,7 +104,7 @@
                 self.offer(now, announcement, age, cfg, out);
             }
         }
-        for held in std::mem::take(&mut summary.still) {
+        for held in std::mem::take(&mut summary.held_with_free_slots) {
             let known = self.offers.get_mut(&held.name);
             if let Some(offer) = known.filter(|o| o.announcement.incarnation == held.incarnation) {
                 offer.until = offer.until.max(now + (cfg.foreign_lease - age));
--- a/coordination/member/src/members/answering.rs
+++ b/coordination/member/src/members/answering.rs
@@ -5,7 +5,7 @@
 use sill_base::{Millis, Name};
 use sill_wire::Announcement;
 use sill_wire::member::{
-    Digest, DomainCapacity, DomainSummary, HeldOffer, MemberReply, MemberSync,
+    Digest, DomainCapacity, DomainSummary, EndpointIncarnation, MemberReply, MemberSync,
 };
 
 use super::{Kind, Members, NAMED_CONTACTS, empty};
@@ -39,7 +39,7 @@
     /// back, for a limit here has kept news at one instance for longer than the lease.
     pub(super) fn ask_back(&mut self, now: Millis, sync: &MemberSync, out: &mut Vec<Action>) {
         let Some(digest) = &sync.digest else { return };
-        if sync.back {
+        if sync.is_reply {
             return;
         }
         let is_asking = self.questions.values().any(|q| q.kind == Kind::News);
@@ -51,7 +51,7 @@
         digest::mark(&mut mine, Fact::Entry, &own.name, life, shape(own), sequence);
         if unconfirmed || Marks::read(digest).is_ahead_of(&Marks::read(&mine)) {
             let digest = self.digest(now);
-            let question = MemberSync { back: true, ..self.question(Some(digest)) };
+            let question = MemberSync { is_reply: true, ..self.question(Some(digest)) };
             self.ask(now, sync.from.peer_address.clone(), question, Kind::News, out);
         }
     }
@@ -101,7 +101,7 @@
         &mut self,
         now: Millis,
         wants: &[Name],
-        holds: &[HeldOffer],
+        holds: &[EndpointIncarnation],
     ) -> DomainSummary {
         self.summaries_made += 1;
         let mut by_name: BTreeMap<Name, DomainCapacity> = BTreeMap::new();
@@ -110,7 +110,7 @@
         let mut still = Vec::new();
         for announcement in ready {
             let (name, incarnation) = (announcement.name.clone(), announcement.incarnation);
-            let offer = HeldOffer { name, incarnation };
+            let offer = EndpointIncarnation { name, incarnation };
             let is_free = free_slots(announcement) > 0;
             let is_held = is_free && holds.contains(&offer);
             if is_held {
@@ -140,7 +140,7 @@
             entries: named.map(|info| info.peer_address.clone()).collect(),
             age: Millis::ZERO,
             capacity: by_name.into_values().collect(),
-            still,
+            held_with_free_slots: still,
         }
     }
 }
--- a/coordination/member/src/members/asking.rs
+++ b/coordination/member/src/members/asking.rs
@@ -159,7 +159,7 @@
         MemberSync {
             from,
             digest,
-            back: false,
+            is_reply: false,
             leaving: Vec::new(),
             summaries: None,
             wants: Vec::new(),
--- a/coordination/member/src/members/hearing.rs
+++ b/coordination/member/src/members/hearing.rs
@@ -124,7 +124,7 @@
         if !reply.loads.is_empty() {
             let by_mark = self.endpoints.by_mark(question.salt);
             for load in &reply.loads {
-                let Some(name) = by_mark.get(&load.mark) else { continue };
+                let Some(name) = by_mark.get(&load.hash) else { continue };
                 self.endpoints.take_load(now, name, load, transit);
                 touched.insert(name.clone());
             }
--- a/coordination/member/tests/cases.rs
+++ b/coordination/member/tests/cases.rs
@@ -4,7 +4,7 @@
 
 use sill_base::{Machine, Millis, Name};
 use sill_member::{Action, Event, MemberCfg, Members, Report, START, Weakening};
-use sill_wire::member::{EntryInfo, MemberReply, Relayed};
+use sill_wire::member::{EntryInfo, MemberReply, RelayedAnnouncement};
 use sill_wire::{Announcement, Incarnation};
 use sim::{Faults, Sim, announcement};
 
@@ -175,7 +175,7 @@
             settled: true,
             entries: Vec::new(),
             heartbeats: Vec::new(),
-            endpoints: vec![Relayed { announcement: said(1, 1, None), age }],
+            endpoints: vec![RelayedAnnouncement { announcement: said(1, 1, None), age }],
             loads: Vec::new(),
             leaving: Vec::new(),
             summaries: Vec::new(),
--- a/coordination/member/tests/sim/mod.rs
+++ b/coordination/member/tests/sim/mod.rs
@@ -9,7 +9,7 @@
 use sill_base::{Machine, Map, Millis, Name};
 use sill_member::{Action, Event, MemberCfg, Members, START, Weakening};
 use sill_wire::member::{EntryInfo, MemberReply, MemberSync};
-use sill_wire::{Announcement, Incarnation, Load, Served};
+use sill_wire::{Announcement, Incarnation, Load, Servable};
 
 const TICK: Millis = Millis(200);
 const CHECK_EVERY: Millis = Millis(50);
@@ -612,7 +612,7 @@
         class: "standard".into(),
         reclaimable: true,
         price: 1000,
-        serves: vec![Served::Model {
+        serves: vec![Servable::Model {
             model: "desk-7b".into(),
             version: "1".into(),
             adapters: Vec::new(),
--- a/coordination/route/benches/common/mod.rs
+++ b/coordination/route/benches/common/mod.rs
@@ -1,7 +1,7 @@
 //! The endpoints that the benches choose among.
 
 use sill_base::Name;
-use sill_wire::{Announcement, Incarnation, Load, Role, Served};
+use sill_wire::{Announcement, Incarnation, Load, Role, Servable};
 
 /// Returns an announcement of endpoint `number`, in one of ten failure domains.
 pub fn announcement(number: usize, sequence: u64) -> Announcement {
@@ -14,7 +14,7 @@
         class: Name::default(),
         reclaimable: !number.is_multiple_of(3),
         price: 1000,
-        serves: vec![Served::Model {
+        serves: vec![Servable::Model {
             model: "m".into(),
             version: Name::default(),
             adapters: vec![],
--- a/coordination/route/tests/homes.rs
+++ b/coordination/route/tests/homes.rs
@@ -2,7 +2,7 @@
 
 use sill_base::{Machine, Millis, Name};
 use sill_route::{Ask, Choice, Event, PolicyCfg, Router, RouterCfg, Target};
-use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Served};
+use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Servable};
 
 /// Prompts with a beginning of their own.
 const PROMPTS: u64 = 4000;
@@ -17,7 +17,7 @@
         class: Name::default(),
         reclaimable: false,
         price: 0,
-        serves: vec![Served::Service { service: "desk".into() }],
+        serves: vec![Servable::Service { service: "desk".into() }],
         role: Role::Mixed,
         slots: 64,
         prefill_tokens_per_s: 0,
--- a/coordination/route/tests/support/mod.rs
+++ b/coordination/route/tests/support/mod.rs
@@ -6,7 +6,7 @@
     Ask, Choice, Chosen, Event, Outcome, Policy, PolicyCfg, Router, RouterCfg, Target, Weakening,
 };
 use sill_wire::endpoint::{CacheEvent, CacheEvents};
-use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Served};
+use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Servable};
 
 pub const SLOTS: u32 = 4;
 
@@ -21,7 +21,7 @@
         class: Name::default(),
         reclaimable: true,
         price: 1000,
-        serves: vec![Served::Model { model: "m".into(), version: "1".into(), adapters: vec![] }],
+        serves: vec![Servable::Model { model: "m".into(), version: "1".into(), adapters: vec![] }],
         role: Role::Mixed,
         slots: SLOTS,
         prefill_tokens_per_s: 8000,
--- a/daemons/control/benches/control.rs
+++ b/daemons/control/benches/control.rs
@@ -253,7 +253,7 @@
         domain: "a".into(),
         have: Revision(have),
         wait,
-        below: Vec::new(),
+        subscribers: Vec::new(),
         endpoints: None,
     }
 }
--- a/daemons/control/src/api/announce.rs
+++ b/daemons/control/src/api/announce.rs
@@ -7,7 +7,7 @@
 use sill_base::{Findings, Millis, Name, event};
 use sill_net::http;
 use sill_wire::link::{EndpointFact, EndpointState};
-use sill_wire::{Announcement, Served, announce::AnnounceReply};
+use sill_wire::{Announcement, Servable, announce::AnnounceReply};
 
 use crate::api::caller;
 use crate::api::reply::{App, refused};
@@ -37,7 +37,7 @@
     let address: Result<SocketAddr, _> = announcement.address.parse();
     let address = address.map_err(|_| Findings::one("address", "expected IP:PORT"))?;
     let service: Name = match &announcement.serves[..] {
-        [Served::Service { service }] => service.clone(),
+        [Servable::Service { service }] => service.clone(),
         _ => return Err(Findings::one("serves", "expected one plain service")),
     };
     let state = match announcement.leaving {
@@ -46,7 +46,7 @@
     };
     Ok(EndpointFact {
         endpoint: format!("{}.{}", announcement.name, announcement.incarnation.0).into(),
-        born: announcement.incarnation,
+        incarnation: announcement.incarnation,
         service,
         domain: announcement.domain,
         address,
--- a/daemons/control/src/app/command.rs
+++ b/daemons/control/src/app/command.rs
@@ -71,7 +71,7 @@
     /// Its number there.
     pub number: u64,
     /// Its text as it came, to be read back unchanged.
-    #[serde(with = "sill_base::packed::text")]
+    #[serde(with = "sill_base::compressed::text")]
     pub source: Arc<str>,
 }
 
--- a/daemons/control/src/daemon.rs
+++ b/daemons/control/src/daemon.rs
@@ -12,7 +12,7 @@
 use sill_net::h1::{Page, serve_pages};
 use sill_net::{PeerServer, PeerServerBuilder, http};
 use sill_quorum::Event;
-use sill_wire::link::ControlPlace;
+use sill_wire::link::ControlInfo;
 use tokio::runtime::{Handle, Runtime};
 
 use crate::cfg::{ControlCfg, Voter};
@@ -169,7 +169,7 @@
     let metrics = Arc::new(Metrics::new()?);
     let clock = Clock::start();
     let peers = Peers::default();
-    let own = ControlPlace {
+    let own = ControlInfo {
         name: cfg.name.clone(),
         domain: cfg.domain.clone(),
         peer: cfg.listen_peer,
@@ -179,7 +179,7 @@
     let directory = if cfg.seeds.is_none() { directory.fixed() } else { directory };
     directory.set_seeds(cfg.seeds.iter().flat_map(|seeds| seeds.peers.clone()).collect());
     for Voter { name, domain, address } in cfg.voters.clone() {
-        directory.add(ControlPlace { name, domain, peer: address, address });
+        directory.add(ControlInfo { name, domain, peer: address, address });
     }
     let mut driver = Driver::new(&cfg, open_disk, clock, peers, metrics.clone());
     driver.open()?;
--- a/daemons/control/src/directory.rs
+++ b/daemons/control/src/directory.rs
@@ -8,7 +8,7 @@
 use sill_net::PeerClient;
 use sill_quorum::ReplicaId;
 use sill_quorum::standby::Presence;
-use sill_wire::link::ControlPlace;
+use sill_wire::link::ControlInfo;
 use tokio::runtime::Handle;
 
 use crate::log::peers::Peers;
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct ControlPeer {
     /// Where it is.
-    pub place: ControlPlace,
+    pub place: ControlInfo,
     /// For calls that are answered at once.
     pub quick: PeerClient,
     /// For calls that wait for a commit.
@@ -34,7 +34,7 @@
 /// All control instances but the own one.
 #[derive(Debug)]
 pub struct Directory {
-    own: ControlPlace,
+    own: ControlInfo,
     key: Secret,
     runtime: Handle,
     log_peers: Peers,
@@ -47,7 +47,7 @@
 
 impl Directory {
     /// Makes an empty directory.
-    pub fn new(own: ControlPlace, key: Secret, runtime: Handle, log_peers: Peers) -> Self {
+    pub fn new(own: ControlInfo, key: Secret, runtime: Handle, log_peers: Peers) -> Self {
         let (peers, seeds) = (RwLock::default(), RwLock::default());
         Self { own, key, runtime, log_peers, peers, seeds, is_fixed: false }
     }
@@ -68,7 +68,7 @@
     }
 
     /// Returns where this instance is.
-    pub fn own(&self) -> &ControlPlace {
+    pub fn own(&self) -> &ControlInfo {
         &self.own
     }
 
@@ -78,14 +78,14 @@
     }
 
     /// Takes in where a control instance says it is, unless that is known for good.
-    pub fn learn(&self, place: ControlPlace) {
+    pub fn learn(&self, place: ControlInfo) {
         if !self.is_fixed {
             self.add(place);
         }
     }
 
     /// Takes in where a control instance is.
-    pub fn add(&self, place: ControlPlace) {
+    pub fn add(&self, place: ControlInfo) {
         if place.name == self.own.name {
             return;
         }
@@ -109,7 +109,7 @@
     }
 
     /// Takes in that a control instance made itself heard.
-    pub fn heard(&self, now: Millis, place: ControlPlace, id: ReplicaId) {
+    pub fn heard(&self, now: Millis, place: ControlInfo, id: ReplicaId) {
         let name = place.name.clone();
         self.learn(place);
         if let Some(peer) = self.get(&name) {
@@ -128,7 +128,7 @@
     }
 
     /// Returns where all are, the own one included.
-    pub fn places(&self) -> Vec<ControlPlace> {
+    pub fn places(&self) -> Vec<ControlInfo> {
         let others = self.peers.read();
         let others = others.values().map(|peer| peer.place.clone());
         others.chain([self.own.clone()]).collect()
--- a/daemons/control/src/link.rs
+++ b/daemons/control/src/link.rs
@@ -8,7 +8,7 @@
 };
 use sill_wire::Incarnation;
 use sill_wire::link::{
-    ControlSync, ControlSyncReply, Cursor, EndpointFact, EntryReport, LoadWord, Totals,
+    ControlSync, ControlSyncReply, Cursor, EndpointFact, EndpointLoad, EntryReport, Totals,
 };
 use tokio::sync::watch;
 
@@ -67,7 +67,7 @@
             return Err(Findings::one("service", reason));
         }
         let (endpoint, state, sequence) = (fact.endpoint.clone(), fact.state, fact.sequence);
-        let (born, leaves_in) = (fact.born, fact.leaves_in);
+        let (born, leaves_in) = (fact.incarnation, fact.leaves_in);
         let (service, domain, address) = (fact.service.clone(), fact.domain.clone(), fact.address);
         if self.registry.lock().record_heartbeat(now, fact) {
             event!(
@@ -123,7 +123,7 @@
         if is_changed {
             self.publish();
         }
-        ControlSyncReply { life: self.life }
+        ControlSyncReply { incarnation: self.life }
     }
 
     /// Takes in what another control instance tells of an endpoint. Returns whether it is news.
@@ -226,7 +226,7 @@
             let registry = self.registry.lock();
             (registry.cursor(), registry.newer_than(now, cursor))
         };
-        let seen = if cursor.life == self.life { cursor.load } else { 0 };
+        let seen = if cursor.incarnation == self.life { cursor.load } else { 0 };
         let (load, loads) = self.loads.lock().newer_than(now, seen);
         News { cursor: Cursor { load, ..newest }, endpoints, loads }
     }
@@ -236,5 +236,5 @@
 struct News {
     cursor: Cursor,
     endpoints: Vec<EndpointFact>,
-    loads: Vec<LoadWord>,
+    loads: Vec<EndpointLoad>,
 }
--- a/daemons/control/src/link/calls.rs
+++ b/daemons/control/src/link/calls.rs
@@ -51,7 +51,7 @@
     let mut changes = link.changes.subscribe();
     let mut manifests = shared.served.manifests();
     let is_newer = |manifest: &Arc<Manifest>| manifest.revision > have;
-    let known = (cursor.life == link.life).then_some(cursor.change);
+    let known = (cursor.incarnation == link.life).then_some(cursor.change);
     let news = async {
         tokio::select! {
             _ = changes.wait_for(|change| known != Some(*change)) => {},
@@ -71,7 +71,7 @@
         controls: shared.directory.places(),
         totals: link.totals(now),
         true_time: link.true_time(now),
-        is_led: status.leader.is_some(),
+        has_leader: status.leader.is_some(),
     })
 }
 
@@ -133,7 +133,7 @@
         let reports = if to_leader { link.ledger.lock().take_unforwarded(now) } else { Vec::new() };
         let sync = ControlSync {
             from: shared.directory.own().clone(),
-            life: link.life,
+            incarnation: link.life,
             wall: Millis::wall(),
             endpoints: std::mem::take(&mut state.pending),
             reports,
@@ -147,7 +147,7 @@
 
 impl Told {
     fn replied(&mut self, shared: &Shared, reply: Option<ControlSyncReply>) {
-        let life = reply.map(|reply| reply.life);
+        let life = reply.map(|reply| reply.incarnation);
         if life.is_none() {
             shared.link.ledger.lock().mark_unforwarded();
         } else if life != self.life {
--- a/daemons/control/src/rpc.rs
+++ b/daemons/control/src/rpc.rs
@@ -6,7 +6,7 @@
 use sill_wire::Call;
 use sill_wire::control::Revision;
 use sill_wire::feed::DomainEndpoints;
-use sill_wire::link::ControlPlace;
+use sill_wire::link::ControlInfo;
 
 use crate::app::{Ask, Outcome};
 
@@ -29,7 +29,7 @@
     /// Whether it wants to be a voter.
     pub as_voter: bool,
     /// Where it is reached.
-    pub place: ControlPlace,
+    pub place: ControlInfo,
 }
 
 /// Who was reached.
@@ -43,9 +43,9 @@
     #[serde(default)]
     pub life: Option<u64>,
     /// Where it is reached.
-    pub place: ControlPlace,
+    pub place: ControlInfo,
     /// The other control instances that it knows.
-    pub known: Vec<ControlPlace>,
+    pub known: Vec<ControlInfo>,
 }
 
 /// Hands an ask to the leader.
--- a/daemons/control/src/running.rs
+++ b/daemons/control/src/running.rs
@@ -64,7 +64,7 @@
             heard.insert(entry.clone(), now_heard);
         };
         note(&poll.entry, &poll.domain, poll.have, now);
-        for below in &poll.below {
+        for below in &poll.subscribers {
             note(&below.entry, &below.domain, below.revision, now - below.age);
         }
     }
--- a/daemons/control/src/served.rs
+++ b/daemons/control/src/served.rs
@@ -5,10 +5,10 @@
 use std::time::Instant;
 
 use parking_lot::Mutex;
-use sill_base::{Map, Millis, Packed, event};
+use sill_base::{CompressedText, Map, Millis, event};
 use sill_tree::{Document, DocumentText, PieceId, pieces};
 use sill_wire::control::Revision;
-use sill_wire::settings::{Manifest, Piece, PiecesAsk, PiecesReply};
+use sill_wire::settings::{Manifest, Piece, PiecesReply, PiecesRequest};
 use tokio::sync::{Semaphore, watch};
 
 use crate::log::LogHandle;
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 struct Cut {
     manifest: Arc<Manifest>,
-    pieces: Map<PieceId, Packed>,
+    pieces: Map<PieceId, CompressedText>,
 }
 
 /// Cuts each revision that is applied here. Polls never wait for it: departures of endpoints would be
@@ -100,7 +100,7 @@
             "settings_cut",
             revision = revision.0,
             pieces = manifest.pieces.len(),
-            bytes = cut.pieces.values().map(Packed::len).sum::<usize>(),
+            bytes = cut.pieces.values().map(CompressedText::len).sum::<usize>(),
             ms = Millis::from(began.elapsed())
         );
         self.keep(cut);
@@ -108,7 +108,7 @@
     }
 
     /// Answers with the pieces that are at hand.
-    pub async fn answer(&self, ask: PiecesAsk) -> PiecesReply {
+    pub async fn answer(&self, ask: PiecesRequest) -> PiecesReply {
         let _permit = self.answers.acquire().await;
         let (mut pieces, mut bytes) = (Vec::new(), 0);
         for id in ask.pieces {
@@ -126,7 +126,7 @@
     }
 
     /// Returns a piece that one of the kept revisions holds.
-    fn piece(&self, id: &PieceId) -> Option<Packed> {
+    fn piece(&self, id: &PieceId) -> Option<CompressedText> {
         self.cuts.lock().iter().rev().find_map(|cut| cut.pieces.get(id).cloned())
     }
 
@@ -145,7 +145,7 @@
         for part in pieces::cut(document) {
             let text = DocumentText::of(&part);
             let id = PieceId::of(text.as_str());
-            let packed = self.piece(&id).unwrap_or_else(|| Packed::of(text.as_str()));
+            let packed = self.piece(&id).unwrap_or_else(|| CompressedText::new(text.as_str()));
             pieces.insert(id.clone(), packed);
             ids.push(id);
         }
--- a/daemons/control/tests/cluster.rs
+++ b/daemons/control/tests/cluster.rs
@@ -106,7 +106,7 @@
             domain: "a".into(),
             have: Revision(have),
             wait,
-            below: Vec::new(),
+            subscribers: Vec::new(),
             endpoints: None,
         };
         self.runtime.block_on(self.client(i).call(&poll)).expect("a reply")
--- a/daemons/control/tests/losses.rs
+++ b/daemons/control/tests/losses.rs
@@ -13,7 +13,7 @@
 use sill_quorum::ReplicaId;
 use sill_standin::loopback::free_addresses;
 use sill_store::{AnyDisk, Disk, FaultyDisk, Store};
-use sill_wire::link::ControlPlace;
+use sill_wire::link::ControlInfo;
 use support::http;
 use tokio::runtime::Runtime;
 
@@ -114,7 +114,7 @@
     fn hello(&self, to: usize) -> HelloReply {
         let address = self.peers[to];
         let place =
-            ControlPlace { name: "empty".into(), domain: "d0".into(), peer: address, address };
+            ControlInfo { name: "empty".into(), domain: "d0".into(), peer: address, address };
         let id = ReplicaId { name: "empty".into(), incarnation: 1 };
         let hello = Hello { id, as_voter: false, place };
         let client = PeerClient::new(address, &Secret::new("key"), PATIENCE);
--- a/daemons/control/tests/served.rs
+++ b/daemons/control/tests/served.rs
@@ -21,11 +21,10 @@
 use sill_wire::announce::{Load, Role};
 use sill_wire::control::Revision;
 use sill_wire::link::{
-    ControlPlace, ControlSync, Cursor, EndpointFact, EndpointState, EntryReport, LinkPoll,
-    LinkReply,
+    ControlInfo, ControlSync, Cursor, EndpointFact, EndpointState, EntryReport, LinkPoll, LinkReply,
 };
-use sill_wire::settings::{Manifest, PiecesAsk};
-use sill_wire::{Announcement, Incarnation, Served};
+use sill_wire::settings::{Manifest, PiecesRequest};
+use sill_wire::{Announcement, Incarnation, Servable};
 use support::http;
 use tokio::runtime::Runtime;
 
@@ -141,7 +140,7 @@
         domain: "a".into(),
         sequence: 1,
         wall: Millis::wall(),
-        up: None,
+        uptime: None,
         entries: 0,
         age: Millis::ZERO,
         usage: Vec::new(),
@@ -171,7 +170,8 @@
         if let Some(whole) = assembly.take_complete() {
             return RouteTable::join(manifest.revision.0, &whole.parts);
         }
-        let reply = client.call(&PiecesAsk { pieces: assembly.missing() }).await.expect("a reply");
+        let reply =
+            client.call(&PiecesRequest { pieces: assembly.missing() }).await.expect("a reply");
         assert!(!reply.pieces.is_empty(), "it has no piece of what it told");
         let bytes: usize = reply.pieces.iter().map(|piece| piece.text.len()).sum();
         assert!(bytes <= 32 << 10 || reply.pieces.len() == 1, "{bytes} bytes in one answer");
@@ -189,10 +189,10 @@
 /// What another control instance passes on when an endpoint has told it that it leaves.
 fn departure() -> ControlSync {
     let address: SocketAddr = "127.0.0.1:1".parse().expect("an address");
-    let from = ControlPlace { name: "d".into(), domain: "b".into(), peer: address, address };
+    let from = ControlInfo { name: "d".into(), domain: "b".into(), peer: address, address };
     let fact = EndpointFact {
         endpoint: "e".into(),
-        born: Incarnation(1),
+        incarnation: Incarnation(1),
         service: "desk".into(),
         domain: "b".into(),
         address,
@@ -205,7 +205,7 @@
     };
     ControlSync {
         from,
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
         wall: Millis::wall(),
         endpoints: vec![fact],
         reports: Vec::new(),
@@ -255,7 +255,7 @@
 }
 
 fn announcement(sequence: u64) -> String {
-    let served = Served::Service { service: "desk".into() };
+    let served = Servable::Service { service: "desk".into() };
     let announcement = Announcement {
         name: "e".into(),
         incarnation: Incarnation(1),
--- a/daemons/entry/benches/settings.rs
+++ b/daemons/entry/benches/settings.rs
@@ -210,7 +210,7 @@
     let sync = MemberSync {
         from: info,
         digest: None,
-        back: false,
+        is_reply: false,
         leaving: Vec::new(),
         summaries: None,
         wants: Vec::new(),
@@ -291,7 +291,7 @@
             domain: "d0".into(),
             have: settings.revision(),
             wait: Millis(2000),
-            below: Vec::new(),
+            subscribers: Vec::new(),
             endpoints: None,
         };
         match client.call(&poll).await {
@@ -453,7 +453,7 @@
             domain: "d0".into(),
             have: Revision(newest.0 - missed),
             wait: Millis::ZERO,
-            below: Vec::new(),
+            subscribers: Vec::new(),
             endpoints: None,
         };
         let began = Instant::now();
--- a/daemons/entry/src/ask.rs
+++ b/daemons/entry/src/ask.rs
@@ -12,7 +12,7 @@
 use sill_tree::{Effective, EffectiveAccount, EffectiveService, KeyHash, Service};
 use sill_wire::chat::ChatSummary;
 use sill_wire::claim::BodyHash;
-use sill_wire::handoff::PassedHeader;
+use sill_wire::handoff::ReplyHeader;
 use sill_wire::{ErrorCode, Priority, header};
 
 use crate::daemon::Shared;
@@ -48,7 +48,7 @@
     /// Path and query below the service, starting with `/`.
     pub path: String,
     /// The caller's headers that are passed on.
-    pub headers: Vec<PassedHeader>,
+    pub headers: Vec<ReplyHeader>,
     /// The body.
     pub body: ntex::util::Bytes,
 }
--- a/daemons/entry/src/feed.rs
+++ b/daemons/entry/src/feed.rs
@@ -76,7 +76,7 @@
         };
         let mut below = self.below.lock();
         let mut is_news = false;
-        for running in poll.below.iter().chain([&own]) {
+        for running in poll.subscribers.iter().chain([&own]) {
             let said_at = now - running.age;
             let known = below.get(&running.entry);
             if known.is_some_and(|k| k.said_at > said_at) {
@@ -184,7 +184,7 @@
         domain: shared.cfg.domain.clone(),
         have: shared.settings.revision(),
         wait: WAIT,
-        below: shared.feed.below(shared.clock.now()),
+        subscribers: shared.feed.below(shared.clock.now()),
         endpoints: None,
     }
 }
--- a/daemons/entry/src/routing.rs
+++ b/daemons/entry/src/routing.rs
@@ -9,7 +9,7 @@
 use rustc_hash::FxHasher;
 use sill_base::{Millis, Name, event};
 use sill_route::{Ask, Choice, Event, PoolView, Refusal, RefusalReason, RouterCfg, Target};
-use sill_wire::Served;
+use sill_wire::Servable;
 
 use crate::cfg::EntryCfg;
 use crate::record::RecordedRouter;
@@ -134,10 +134,10 @@
     hasher.finish()
 }
 
-fn target(served: &Served) -> Target {
+fn target(served: &Servable) -> Target {
     match served {
-        Served::Model { model, .. } => Target::Model(model.clone()),
-        Served::Service { service } => Target::Service(service.clone()),
+        Servable::Model { model, .. } => Target::Model(model.clone()),
+        Servable::Service { service } => Target::Service(service.clone()),
     }
 }
 
--- a/daemons/entry/src/serve.rs
+++ b/daemons/entry/src/serve.rs
@@ -25,7 +25,7 @@
 use sill_limit::{Cost, Verdict};
 use sill_net::http::Failure;
 use sill_wire::claim::{ClaimKey, ClaimOwner};
-use sill_wire::handoff::{PassedHeader, RunAt};
+use sill_wire::handoff::{ReplyHeader, RunLocation};
 use sill_wire::{ErrorCode, prefix};
 
 use self::attach::{Followed, Follower, Found, Source};
@@ -54,17 +54,17 @@
     } else {
         Form::Whole
     };
-    let prompt_tokens = prefix::tokens(&summary.prompt);
+    let prompt_tokens = prefix::token_count(&summary.prompt);
     let spec = spec(app, &id, &common, Kind::Model, prompt_tokens, summary.max_tokens);
     let outgoing = Outgoing {
         method: Method::POST,
         path: path.clone(),
         request: id,
         key: common.key.clone(),
-        headers: vec![PassedHeader::new("content-type", "application/json")],
+        headers: vec![ReplyHeader::new("content-type", "application/json")],
         body: Outgoing::streamed_body(body),
     };
-    let blocks = prefix::blocks(&summary.model, &summary.prompt).into();
+    let blocks = prefix::block_hashes(&summary.model, &summary.prompt).into();
     let run = run(&common, spec, path, summary.model);
     let order = Order { run, outgoing, blocks, priority: common.priority, form, sink: None };
     serve(app, client, order, from).await
@@ -138,7 +138,7 @@
             return refuse(app, life.refuse(ErrorCode::KeyReused, message, None));
         }
         Found::Here(there) => Task::Follow(Source::Here(there)),
-        Found::At(RunAt { address, .. }) => Task::Follow(Source::At(address)),
+        Found::At(RunLocation { address, .. }) => Task::Follow(Source::At(address)),
         Found::New => Task::Drive { home_lost: false },
         Found::HomeLost => Task::Drive { home_lost: true },
     };
@@ -364,7 +364,7 @@
         path: run.path.clone(),
         request: run.request().clone(),
         key: Some(run.key.key.clone()),
-        headers: vec![PassedHeader::new("content-type", "application/json")],
+        headers: vec![ReplyHeader::new("content-type", "application/json")],
         body: body.into(),
     };
     let blocks = Arc::from([]);
--- a/daemons/entry/src/serve/attach.rs
+++ b/daemons/entry/src/serve/attach.rs
@@ -10,8 +10,8 @@
 use sill_net::PeerError;
 use sill_wire::claim::{ClaimKey, ClaimOutcome, ClaimOwner};
 use sill_wire::handoff::{
-    AnswerPart, FailedRun, FollowReply, FollowRun, ForgetRun, LocateRun, Location, RunAt,
-    WholeReply,
+    AnswerPart, FailedRun, FollowReply, FollowRun, ForgetRun, HttpReply, LocateReply, LocateRun,
+    RunLocation,
 };
 use sill_wire::{Call, ErrorCode};
 
@@ -45,7 +45,7 @@
     /// Here.
     Here(Arc<Run>),
     /// At a peer.
-    At(RunAt),
+    At(RunLocation),
     /// The key was used with another body.
     BodyMismatch,
 }
@@ -56,29 +56,29 @@
         let same = there.body_hash == run.body_hash;
         return if same { Found::Here(there) } else { Found::BodyMismatch };
     }
-    let asker = RunAt { address: app.peer_address.clone(), request: run.request().clone() };
+    let asker = RunLocation { address: app.peer_address.clone(), request: run.request().clone() };
     let call = LocateRun {
         key: run.key.clone(),
         body: run.body_hash.clone(),
         asker: asker.clone(),
-        runs: false,
+        is_running: false,
     };
     let location = match peers::home(app, &run.key) {
         Home::Here => Ok(locate(app, &call)),
         Home::At(address) => ask_home(app, &address, call).await,
     };
     match location {
-        Ok(Location::New) => Found::New,
+        Ok(LocateReply::New) => Found::New,
         // This very instance, in an earlier life or with a run that is over.
-        Ok(Location::At(at)) if at.address == asker.address => {
+        Ok(LocateReply::At(at)) if at.address == asker.address => {
             note(app, run).await;
             Found::New
         }
-        Ok(Location::At(at)) => {
+        Ok(LocateReply::At(at)) => {
             close(app, run, RunEnd::Moved(at.address.clone()));
             Found::At(at)
         }
-        Ok(Location::BodyMismatch) => {
+        Ok(LocateReply::BodyMismatch) => {
             close(app, run, RunEnd::Failed(key_reused(run)));
             Found::BodyMismatch
         }
@@ -113,21 +113,21 @@
 }
 
 /// Answers as the home of a key.
-pub fn locate(app: &Shared, call: &LocateRun) -> Location {
+pub fn locate(app: &Shared, call: &LocateRun) -> LocateReply {
     let now = app.clock.now();
     let mut directory = app.directory.lock();
-    if call.runs {
+    if call.is_running {
         directory.moved(now, &call.key, &call.body, call.asker.clone());
-        return Location::New;
+        return LocateReply::New;
     }
     directory.locate(now, &call.key, &call.body, call.asker.clone())
 }
 
 /// Tells the home of a key that its request runs here.
 pub async fn note(app: &Arc<Shared>, run: &Run) {
-    let asker = RunAt { address: app.peer_address.clone(), request: run.request().clone() };
+    let asker = RunLocation { address: app.peer_address.clone(), request: run.request().clone() };
     let (key, body) = (run.key.clone(), run.body_hash.clone());
-    let call = LocateRun { key, body, asker, runs: true };
+    let call = LocateRun { key, body, asker, is_running: true };
     match peers::home(app, &run.key) {
         Home::Here => drop(locate(app, &call)),
         Home::At(address) => drop(ask_home(app, &address, call).await),
@@ -136,7 +136,7 @@
 
 /// Tells the home of a key that its request was refused, so that it can be sent again.
 pub async fn forget(app: &Arc<Shared>, key: &ClaimKey, request: &Name) {
-    let run = RunAt { address: app.peer_address.clone(), request: request.clone() };
+    let run = RunLocation { address: app.peer_address.clone(), request: request.clone() };
     match peers::home(app, key) {
         Home::Here => app.directory.lock().forget(key, &run),
         Home::At(address) => {
@@ -278,7 +278,7 @@
     }
 
     /// Gives a whole answer, as a stream where the caller wants one.
-    async fn replay(&self, reply: WholeReply) {
+    async fn replay(&self, reply: HttpReply) {
         let whole: Option<Value> = serde_json::from_slice(reply.body.as_bytes()).ok();
         let text = whole.as_ref().and_then(answer_text);
         let (Form::Streamed { .. }, Some(text), Some(whole)) = (self.form, text, &whole) else {
@@ -323,7 +323,7 @@
     let owner = peers::find_owner(app, owner);
     match (outcome, owner) {
         (Some(ClaimOutcome::Answered { status, body: Some(body) }), _) => {
-            RunEnd::Reply(WholeReply::json(status, body))
+            RunEnd::Reply(HttpReply::json(status, body))
         }
         (Some(ClaimOutcome::Answered { body: None, .. }) | None, Some(Home::At(address))) => {
             RunEnd::Moved(address)
@@ -349,6 +349,6 @@
 }
 
 /// Makes a JSON answer.
-pub fn json_reply(value: &Value) -> WholeReply {
-    WholeReply::json(200, value.to_string())
+pub fn json_reply(value: &Value) -> HttpReply {
+    HttpReply::json(200, value.to_string())
 }
--- a/daemons/entry/src/serve/caller.rs
+++ b/daemons/entry/src/serve/caller.rs
@@ -8,7 +8,7 @@
 use sill_base::{Millis, Name};
 use sill_flight::life::{Failed, NotRun};
 use sill_net::http::Failure;
-use sill_wire::handoff::{FailedRun, WholeReply};
+use sill_wire::handoff::{FailedRun, HttpReply};
 use sill_wire::{ErrorBody, ErrorCode, ErrorDetail, header};
 use tokio::sync::mpsc;
 
@@ -30,7 +30,7 @@
     /// All of it was sent.
     Whole,
     /// A whole HTTP answer.
-    Reply(WholeReply),
+    Reply(HttpReply),
     /// A refusal, certified as not run.
     NotRun(NotRun),
     /// It was given up.
--- a/daemons/entry/src/serve/driver.rs
+++ b/daemons/entry/src/serve/driver.rs
@@ -13,7 +13,7 @@
 use sill_route::{Ask, Choice, Outcome, RefusalReason, Target};
 use sill_wire::Priority;
 use sill_wire::claim::ClaimVerdict;
-use sill_wire::handoff::WholeReply;
+use sill_wire::handoff::HttpReply;
 use tokio::sync::{oneshot, watch};
 
 use super::attach::{self, Source};
@@ -76,7 +76,7 @@
     signals: watch::Receiver<u64>,
     timer: Timer,
     pub(super) ended: Option<RunEnd>,
-    reply: Option<WholeReply>,
+    reply: Option<HttpReply>,
     pub(super) received: Millis,
     first_at: Option<Millis>,
     accepted: bool,
--- a/daemons/entry/src/serve/headers.rs
+++ b/daemons/entry/src/serve/headers.rs
@@ -1,7 +1,7 @@
 //! Headers of plain services' calls and answers that are passed on.
 
 use ntex::http::HeaderMap;
-use sill_wire::handoff::PassedHeader;
+use sill_wire::handoff::ReplyHeader;
 
 /// Headers that concern one connection, or that entry instances set themselves.
 const OWN: [&str; 17] = [
@@ -26,12 +26,12 @@
 ];
 
 /// Returns the headers that are passed on; those of the system are made anew for each hop.
-pub fn passed_headers(headers: &HeaderMap) -> Vec<PassedHeader> {
+pub fn passed_headers(headers: &HeaderMap) -> Vec<ReplyHeader> {
     let passed = headers.iter().filter_map(|(name, value)| {
         let name = name.as_str().to_ascii_lowercase();
         let is_own = OWN.contains(&name.as_str()) || name.starts_with("sill-");
         let value = value.to_str().ok()?;
-        (!is_own && name != "content-encoding").then(|| PassedHeader::new(&name, value))
+        (!is_own && name != "content-encoding").then(|| ReplyHeader::new(&name, value))
     });
     passed.collect()
 }
--- a/daemons/entry/src/serve/run.rs
+++ b/daemons/entry/src/serve/run.rs
@@ -8,7 +8,7 @@
 use sill_flight::life::{Failed, NotRun};
 use sill_flight::{Spec, Transcript};
 use sill_wire::claim::{BodyHash, ClaimKey};
-use sill_wire::handoff::{AnswerPart, FailedRun, FollowReply, WholeReply};
+use sill_wire::handoff::{AnswerPart, FailedRun, FollowReply, HttpReply};
 use tokio::sync::Notify;
 
 /// How long an answer is kept for a caller that comes back.
@@ -50,7 +50,7 @@
     /// The model's answer is whole.
     Whole,
     /// A whole HTTP answer came from the endpoint.
-    Reply(WholeReply),
+    Reply(HttpReply),
     /// It was given up.
     Failed(Failed),
     /// It was refused, certified as not run.
--- a/daemons/entry/src/serve/upstream.rs
+++ b/daemons/entry/src/serve/upstream.rs
@@ -14,7 +14,7 @@
 use sill_flight::flight::{Epoch, ResumeAt};
 use sill_flight::{Place, Transcript};
 use sill_wire::endpoint::{KvSource, Resume};
-use sill_wire::handoff::{PassedHeader, ReplyBody, WholeReply};
+use sill_wire::handoff::{HttpReply, ReplyBody, ReplyHeader};
 use sill_wire::header;
 
 use super::headers::passed_headers;
@@ -34,7 +34,7 @@
     /// The caller's key.
     pub key: Option<Name>,
     /// Headers to pass on.
-    pub headers: Vec<PassedHeader>,
+    pub headers: Vec<ReplyHeader>,
     /// The body; a model's is JSON that asks for a stream with usage counts.
     pub body: Bytes,
 }
@@ -49,7 +49,7 @@
     /// A part of it.
     Part(Bytes),
     /// A whole answer: of a plain service, or an endpoint's error.
-    Whole(WholeReply),
+    Whole(HttpReply),
     /// It ended, or failed, before it was whole.
     Cut(String),
 }
@@ -182,16 +182,16 @@
     let status = res.status().as_u16();
     let headers = passed_headers(res.headers());
     match res.body().limit(MAX_REPLY).await {
-        Ok(body) => Came::Whole(WholeReply { status, headers, body: ReplyBody::new(&body) }),
+        Ok(body) => Came::Whole(HttpReply { status, headers, body: ReplyBody::new(&body) }),
         // Sent again it would be as large; the caller has to know, and at once.
         Err(PayloadError::Overflow) => Came::Whole(too_large()),
         Err(err) => Came::Cut(err.to_string()),
     }
 }
 
-fn too_large() -> WholeReply {
+fn too_large() -> HttpReply {
     const STATUS: u16 = 500;
     let message = format!("the answer is larger than {MAX_REPLY} bytes");
     let error = json!({ "code": "upstream_failed", "message": message, "not_run": false });
-    WholeReply::json(STATUS, json!({ "error": error }).to_string())
+    HttpReply::json(STATUS, json!({ "error": error }).to_string())
 }
--- a/daemons/entry/tests/serving.rs
+++ b/daemons/entry/tests/serving.rs
@@ -20,7 +20,7 @@
 use sill_net::PeerClient;
 use sill_standin::answer::Answer as Expected;
 use sill_standin::{Endpoint, EndpointCfg};
-use sill_wire::Served;
+use sill_wire::Servable;
 use sill_wire::chat::ChatSummary;
 use sill_wire::claim::{BodyHash, ClaimKey};
 use sill_wire::endpoint::RunEnd;
@@ -37,14 +37,14 @@
     .to_string()
 }
 
-fn endpoint(entries: Vec<SocketAddr>, serves: Vec<Served>, decode: u64) -> Endpoint {
+fn endpoint(entries: Vec<SocketAddr>, serves: Vec<Servable>, decode: u64) -> Endpoint {
     named_endpoint("real", entries, serves, decode)
 }
 
 fn named_endpoint(
     name: &str,
     entries: Vec<SocketAddr>,
-    serves: Vec<Served>,
+    serves: Vec<Servable>,
     decode: u64,
 ) -> Endpoint {
     let cfg = EndpointCfg {
@@ -59,12 +59,12 @@
     Endpoint::start(cfg).expect("an endpoint")
 }
 
-fn model() -> Served {
-    Served::Model { model: "desk-7b".into(), version: "".into(), adapters: vec![] }
+fn model() -> Servable {
+    Servable::Model { model: "desk-7b".into(), version: "".into(), adapters: vec![] }
 }
 
 fn service(entry: SocketAddr, decode: u64) -> Endpoint {
-    let served = Served::Service { service: "notices".into() };
+    let served = Servable::Service { service: "notices".into() };
     let endpoint = endpoint(vec![entry], vec![served], decode);
     wait_until("it is served", || call(entry, "/s/notices/warm", &[], "").status == 200);
     endpoint
--- a/daemons/gateway/src/feed.rs
+++ b/daemons/gateway/src/feed.rs
@@ -11,7 +11,7 @@
 use sill_dispatch::{CompleteSettings, PieceError, RouteTable, SettingsAssembly};
 use sill_net::PeerClient;
 use sill_tree::PieceId;
-use sill_wire::settings::{Manifest, PiecesAsk};
+use sill_wire::settings::{Manifest, PiecesRequest};
 use tokio::sync::watch;
 
 use crate::link::Link;
@@ -163,7 +163,7 @@
         let key = &self.state.cfg.cluster_key;
         let new = || PeerClient::new(source, key, PATIENCE);
         let client = self.clients.entry(source).or_insert_with(new);
-        let reply = match client.call(&PiecesAsk { pieces: missing }).await {
+        let reply = match client.call(&PiecesRequest { pieces: missing }).await {
             Ok(reply) => reply,
             Err(err) => {
                 // Its connection may be dead without a word.
--- a/daemons/gateway/src/link.rs
+++ b/daemons/gateway/src/link.rs
@@ -12,7 +12,7 @@
 use sill_base::{Map, Millis, Name, event};
 use sill_net::PeerClient;
 use sill_wire::control::Revision;
-use sill_wire::link::{ControlPlace, Cursor, LinkPoll, LinkReply};
+use sill_wire::link::{ControlInfo, Cursor, LinkPoll, LinkReply};
 
 use crate::feed::Offers;
 use crate::state::State;
@@ -44,7 +44,7 @@
 pub struct Link {
     state: Arc<State>,
     seeds: Mutex<Vec<SocketAddr>>,
-    places: Mutex<Map<Name, ControlPlace>>,
+    places: Mutex<Map<Name, ControlInfo>>,
     followed: Mutex<[Option<SocketAddr>; FOLLOWED]>,
     failed: Mutex<Map<SocketAddr, Millis>>,
     sequence: AtomicU64,
@@ -131,7 +131,7 @@
             let now = self.state.clock.now();
             if led_at.is_none() {
                 self.state.metrics.followed.inc();
-                event!(Info, "control_followed", address = address, is_led = reply.is_led);
+                event!(Info, "control_followed", address = address, is_led = reply.has_leader);
             }
             cursor = reply.cursor;
             self.learn(reply.controls.clone());
@@ -141,7 +141,7 @@
                 self.offers.offer(manifest.clone(), address);
             }
             let since = led_at.get_or_insert(now);
-            if reply.is_led {
+            if reply.has_leader {
                 *since = now;
             } else if now - *since > LEADERLESS && self.has_other(address) {
                 return ends(true, "it knows no leader".to_owned());
@@ -156,7 +156,7 @@
         }
     }
 
-    fn learn(&self, controls: Vec<ControlPlace>) {
+    fn learn(&self, controls: Vec<ControlInfo>) {
         let mut places = self.places.lock();
         for place in controls {
             places.insert(place.name.clone(), place);
--- a/daemons/gateway/src/state.rs
+++ b/daemons/gateway/src/state.rs
@@ -198,7 +198,7 @@
         self.time_offset.store((reply.true_time - now).0, Ordering::Relaxed);
         for fact in &reply.endpoints {
             // Without a leader it may be cut off, and hears less than others.
-            if fact.state != EndpointState::Silent || reply.is_led {
+            if fact.state != EndpointState::Silent || reply.has_leader {
                 self.take_endpoint(now, from, fact);
             }
         }
@@ -360,7 +360,7 @@
             service = fact.service,
             domain = fact.domain,
             address = fact.address,
-            born = fact.born.0,
+            born = fact.incarnation.0,
             state = format!("{:?}", fact.state),
             sequence = fact.sequence,
             from = from,
@@ -420,7 +420,7 @@
             domain: self.cfg.domain.clone(),
             sequence,
             wall: Millis::wall(),
-            up: Some(now),
+            uptime: Some(now),
             entries,
             age: Millis::ZERO,
             usage: self.usage.lock().report(window),
@@ -477,7 +477,7 @@
             "engine_speed",
             service = self.service,
             prefill_tokens_per_s = now as u64,
-            lines = speed.lines,
+            lines = speed.fits,
             before = before as u64
         );
     }
--- a/daemons/gateway/tests/limits.rs
+++ b/daemons/gateway/tests/limits.rs
@@ -62,9 +62,14 @@
         endpoints: Vec::new(),
         loads: Vec::new(),
         controls: Vec::new(),
-        totals: Some(Totals { age: Millis::ZERO, entries: 8, untold_s: 0.0, accounts: vec![used] }),
+        totals: Some(Totals {
+            age: Millis::ZERO,
+            entries: 8,
+            unreported_s: 0.0,
+            accounts: vec![used],
+        }),
         true_time: Millis::wall(),
-        is_led: true,
+        has_leader: true,
     }
 }
 
@@ -107,7 +112,7 @@
 #[tokio::test]
 async fn an_account_that_nobody_reported_after_a_restart_counts_as_used() {
     let state = state();
-    let totals = Totals { age: Millis::ZERO, entries: 8, untold_s: 8.0, accounts: Vec::new() };
+    let totals = Totals { age: Millis::ZERO, entries: 8, unreported_s: 8.0, accounts: Vec::new() };
     state.learn(nowhere(), &LinkReply { totals: Some(totals), ..used_up() });
     state.put_in_force(settings());
     state.admit(&account(), LARGE).expect_err("it may have used all that it is owed");
--- a/daemons/gateway/tests/settings.rs
+++ b/daemons/gateway/tests/settings.rs
@@ -18,8 +18,8 @@
 use sill_standin::loopback::free_addresses;
 use sill_tree::{Document, PieceId, Pool, Route, Service, Share};
 use sill_wire::Incarnation;
-use sill_wire::link::{ControlPlace, Cursor, EndpointFact, EndpointState, LinkPoll, LinkReply};
-use sill_wire::settings::{Piece, PiecesAsk, PiecesReply};
+use sill_wire::link::{ControlInfo, Cursor, EndpointFact, EndpointState, LinkPoll, LinkReply};
+use sill_wire::settings::{Piece, PiecesReply, PiecesRequest};
 use support::cut::Cut;
 use support::{CLUSTER_KEY, cfg, exchange, fact, request};
 use tokio::runtime::Runtime;
@@ -53,7 +53,7 @@
     /// Pieces that it handed out whole.
     sent: Mutex<Map<PieceId, usize>>,
     answers: Mutex<usize>,
-    others: Mutex<Vec<ControlPlace>>,
+    others: Mutex<Vec<ControlInfo>>,
     /// What it has heard of endpoints, in order.
     facts: Mutex<Vec<EndpointFact>>,
     /// Pieces that were sent when a poll showed that all facts have come.
@@ -88,7 +88,7 @@
         let source = self.clone();
         peers.answer(move |poll: LinkPoll| source.clone().poll(poll));
         let source = self.clone();
-        peers.answer(move |ask: PiecesAsk| source.clone().pieces(ask));
+        peers.answer(move |ask: PiecesRequest| source.clone().pieces(ask));
         peers.start(TcpListener::bind("127.0.0.1:0").expect("a port is free")).expect("it starts")
     }
 
@@ -111,7 +111,7 @@
             controls: self.others.lock().clone(),
             totals: None,
             true_time: Millis::wall(),
-            is_led: true,
+            has_leader: true,
         };
         self.cross(serde_json::to_vec(&reply)).await;
         Ok(reply)
@@ -124,7 +124,7 @@
         tokio::time::sleep(Duration::from_millis(bytes / link)).await;
     }
 
-    async fn pieces(self: Arc<Self>, ask: PiecesAsk) -> Result<PiecesReply, PeerError> {
+    async fn pieces(self: Arc<Self>, ask: PiecesRequest) -> Result<PiecesReply, PeerError> {
         let way = self.way.lock().clone();
         tokio::time::sleep(way.slow).await;
         let answers = {
@@ -169,13 +169,13 @@
         let runtime = Runtime::new().expect("a runtime");
         let _guard = runtime.enter();
         let servers: Vec<PeerServer> = sources.iter().map(Source::serve).collect();
-        let places = servers.iter().enumerate().map(|(i, server)| ControlPlace {
+        let places = servers.iter().enumerate().map(|(i, server)| ControlInfo {
             name: format!("c{i}").into(),
             domain: format!("d{i}").into(),
             peer: server.address(),
             address: server.address(),
         });
-        let places: Vec<ControlPlace> = places.collect();
+        let places: Vec<ControlInfo> = places.collect();
         sources.iter().for_each(|source| source.others.lock().clone_from(&places));
         let addresses = free_addresses(3).expect("ports are free");
         let cfg: GatewayCfg = cfg(&addresses, servers[0].address());
@@ -242,7 +242,7 @@
     let address = "127.0.0.1:1".parse().expect("an address");
     EndpointFact {
         endpoint: "e".into(),
-        born: Incarnation(1),
+        incarnation: Incarnation(1),
         sequence: 2,
         state: EndpointState::Leaving,
         ..fact(0, address)
--- a/daemons/gateway/tests/support/cut.rs
+++ b/daemons/gateway/tests/support/cut.rs
@@ -3,7 +3,7 @@
 use sill_base::{Map, Millis};
 use sill_tree::{Document, DocumentText, PieceId, pieces};
 use sill_wire::control::Revision;
-use sill_wire::settings::{Manifest, Piece, PiecesAsk, PiecesReply};
+use sill_wire::settings::{Manifest, Piece, PiecesReply, PiecesRequest};
 
 /// One revision in pieces.
 #[derive(Debug, Clone)]
@@ -16,7 +16,7 @@
     /// Cuts a document.
     pub fn of(revision: u64, document: &Document) -> Self {
         let parts = pieces::cut(document).into_iter();
-        let pieces = parts.map(|part| Piece::of(DocumentText::of(&part).as_str()));
+        let pieces = parts.map(|part| Piece::new(DocumentText::of(&part).as_str()));
         let pieces: Vec<Piece> = pieces.collect();
         let ids = pieces.iter().map(|piece| piece.id.clone()).collect();
         let manifest =
@@ -26,7 +26,7 @@
     }
 
     /// Answers with all pieces that it has.
-    pub fn reply(&self, ask: &PiecesAsk) -> PiecesReply {
+    pub fn reply(&self, ask: &PiecesRequest) -> PiecesReply {
         let found = ask.pieces.iter().filter_map(|id| self.pieces.get(id).cloned());
         PiecesReply { pieces: found.collect() }
     }
--- a/daemons/gateway/tests/support/mod.rs
+++ b/daemons/gateway/tests/support/mod.rs
@@ -26,7 +26,7 @@
 use sill_wire::Incarnation;
 use sill_wire::control::Revision;
 use sill_wire::link::{Cursor, EndpointFact, EndpointState, LinkPoll, LinkReply};
-use sill_wire::settings::PiecesAsk;
+use sill_wire::settings::PiecesRequest;
 use tokio::runtime::Runtime;
 
 use self::cut::Cut;
@@ -310,7 +310,7 @@
             answer(poll, told.lock().clone(), has_settings)
         });
         let cut = Cut::of(1, &document());
-        peers.answer(move |ask: PiecesAsk| {
+        peers.answer(move |ask: PiecesRequest| {
             let reply = cut.reply(&ask);
             async move { Ok(reply) }
         });
@@ -529,7 +529,7 @@
 pub fn fact(number: usize, address: SocketAddr) -> EndpointFact {
     EndpointFact {
         endpoint: format!("e{number}").into(),
-        born: Incarnation::default(),
+        incarnation: Incarnation::default(),
         service: "desk".into(),
         domain: "a".into(),
         address,
@@ -581,7 +581,7 @@
         controls: Vec::new(),
         totals: None,
         true_time: Millis::wall(),
-        is_led: true,
+        has_leader: true,
     })
 }
 
--- a/protocol/wire/src/announce.rs
+++ b/protocol/wire/src/announce.rs
@@ -28,7 +28,7 @@
 /// One thing that an endpoint can serve.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase", deny_unknown_fields)]
-pub enum Served {
+pub enum Servable {
     /// A language model with its version and loaded adapters.
     Model {
         /// The model's name as callers ask for it.
@@ -86,7 +86,7 @@
     #[serde(default)]
     pub price: u64,
     /// What it serves.
-    pub serves: Vec<Served>,
+    pub serves: Vec<Servable>,
     /// Its role.
     #[serde(default)]
     pub role: Role,
@@ -130,13 +130,13 @@
     pub fn has_model(&self, wanted: &str) -> bool {
         self.serves
             .iter()
-            .any(|s| matches!(s, Served::Model { model, .. } if model.as_str() == wanted))
+            .any(|s| matches!(s, Servable::Model { model, .. } if model.as_str() == wanted))
     }
 
     /// Returns whether the endpoint serves a plain service.
     pub fn has_service(&self, wanted: &str) -> bool {
         self.serves
             .iter()
-            .any(|s| matches!(s, Served::Service { service } if service.as_str() == wanted))
+            .any(|s| matches!(s, Servable::Service { service } if service.as_str() == wanted))
     }
 }
--- a/protocol/wire/src/feed.rs
+++ b/protocol/wire/src/feed.rs
@@ -23,8 +23,8 @@
     /// How long the call may wait for something newer.
     pub wait: Millis,
     /// What the asker's own subscribers run, where it passes settings on.
-    #[serde(default)]
-    pub below: Vec<RunningRevision>,
+    #[serde(rename = "below", default)]
+    pub subscribers: Vec<RunningRevision>,
     /// The endpoints of the asker's failure domain, from one entry instance of it now and then.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoints: Option<DomainEndpoints>,
--- a/protocol/wire/src/handoff.rs
+++ b/protocol/wire/src/handoff.rs
@@ -9,7 +9,7 @@
 
 /// Where a keyed request runs or has run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunAt {
+pub struct RunLocation {
     /// The entry instance's peer address, `IP:PORT`.
     pub address: Name,
     /// The request.
@@ -19,11 +19,11 @@
 /// What the home of a key says of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "located", rename_all = "snake_case")]
-pub enum Location {
+pub enum LocateReply {
     /// Nobody runs it; the asker is noted as the one who does.
     New,
     /// It runs or ran there.
-    At(RunAt),
+    At(RunLocation),
     /// The key was used with another body.
     BodyMismatch,
 }
@@ -36,10 +36,10 @@
     /// The content.
     pub body: BodyHash,
     /// Where the asker would run it.
-    pub asker: RunAt,
+    pub asker: RunLocation,
     /// Whether the asker runs it already, so that the home only takes note.
-    #[serde(default)]
-    pub runs: bool,
+    #[serde(rename = "runs", default)]
+    pub is_running: bool,
 }
 
 /// Takes back what the home noted, after a refusal.
@@ -48,7 +48,7 @@
     /// The key.
     pub key: ClaimKey,
     /// Where it would have run.
-    pub run: RunAt,
+    pub run: RunLocation,
 }
 
 /// Asks for what came of a request since a token; waits for more where it runs still.
@@ -71,7 +71,7 @@
     /// More of a model's answer.
     More(AnswerPart),
     /// The whole answer of a plain service, or an endpoint's error answer.
-    Reply(WholeReply),
+    Reply(HttpReply),
     /// It was given up.
     Failed(FailedRun),
     /// It runs at another entry instance.
@@ -100,18 +100,18 @@
 
 /// A whole HTTP answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WholeReply {
+pub struct HttpReply {
     /// The status code.
     pub status: u16,
     /// Headers that concern the caller.
-    pub headers: Vec<PassedHeader>,
+    pub headers: Vec<ReplyHeader>,
     /// The body.
     pub body: ReplyBody,
 }
 
 /// A header that is passed on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PassedHeader {
+pub struct ReplyHeader {
     /// Its name in lower case.
     pub name: String,
     /// Its value.
@@ -139,15 +139,15 @@
     pub retry_after: Option<Millis>,
 }
 
-impl WholeReply {
+impl HttpReply {
     /// Makes a JSON answer.
     pub fn json(status: u16, body: String) -> Self {
-        let headers = vec![PassedHeader::new("content-type", "application/json")];
+        let headers = vec![ReplyHeader::new("content-type", "application/json")];
         Self { status, headers, body: ReplyBody::Text(body) }
     }
 }
 
-impl PassedHeader {
+impl ReplyHeader {
     /// Makes a header.
     pub fn new(name: &str, value: &str) -> Self {
         Self { name: name.to_owned(), value: value.to_owned() }
@@ -173,7 +173,7 @@
 }
 
 impl Call for LocateRun {
-    type Reply = Location;
+    type Reply = LocateReply;
 
     const METHOD: &'static str = "locate_run";
 }
--- a/protocol/wire/src/lib.rs
+++ b/protocol/wire/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod priority;
 pub mod settings;
 
-pub use announce::{Announcement, Incarnation, Load, Role, Served};
+pub use announce::{Announcement, Incarnation, Load, Role, Servable};
 pub use call::Call;
 pub use error::{ErrorBody, ErrorCode, ErrorDetail};
 pub use priority::Priority;
--- a/protocol/wire/src/link.rs
+++ b/protocol/wire/src/link.rs
@@ -32,8 +32,8 @@
     pub endpoint: Name,
     /// When it started; the default where it doesn't tell. Name and start together are one life: what is
     /// known of an earlier one says nothing about this one.
-    #[serde(default)]
-    pub born: Incarnation,
+    #[serde(rename = "born", default)]
+    pub incarnation: Incarnation,
     /// The service that it belongs to.
     pub service: Name,
     /// Its failure domain.
@@ -57,7 +57,7 @@
 
 /// Where a control instance is reached.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ControlPlace {
+pub struct ControlInfo {
     /// Its name.
     pub name: Name,
     /// Its failure domain.
@@ -72,7 +72,8 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
     /// The life of the control instance.
-    pub life: Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     /// The last change that was taken in.
     pub change: u64,
     /// The last load of an endpoint that was taken in.
@@ -82,13 +83,13 @@
 
 /// The load of an endpoint, as it told it with an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadWord {
+pub struct EndpointLoad {
     /// The endpoint.
     #[serde(rename = "e")]
     pub endpoint: Name,
     /// Its life.
     #[serde(rename = "b", default, skip_serializing_if = "is_default")]
-    pub born: Incarnation,
+    pub incarnation: Incarnation,
     /// Requests that it ran.
     #[serde(rename = "r")]
     pub running: u32,
@@ -150,7 +151,8 @@
     /// Prompt tokens that an engine reads in a second.
     pub prefill_tokens_per_s: f64,
     /// How often the figure was learned anew; never, and it is presumed.
-    pub lines: u32,
+    #[serde(rename = "lines")]
+    pub fits: u32,
 }
 
 /// What an entry instance tells of itself.
@@ -167,8 +169,8 @@
     /// Its time of day.
     pub wall: Millis,
     /// How long its process had been up.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub up: Option<Millis>,
+    #[serde(rename = "up", default, skip_serializing_if = "Option::is_none")]
+    pub uptime: Option<Millis>,
     /// How many entry instances it was told of lately; 0 if it was not. A control instance that begins to lead
     /// without any memory learns of those that are cut off by this alone.
     #[serde(default, skip_serializing_if = "is_default")]
@@ -184,7 +186,7 @@
     pub services: Vec<ServiceReport>,
     /// Loads that endpoints told it of late.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub loads: Vec<LoadWord>,
+    pub loads: Vec<EndpointLoad>,
 }
 
 /// A waiting call by which an entry instance gets what is new.
@@ -216,8 +218,8 @@
     pub held: f64,
     /// What may have been admitted in the last [`LIMIT_WINDOW`] of which no report tells, in seconds of the
     /// limit. Where it is missing, those that hold a part had it for the whole window.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub untold_s: Option<f64>,
+    #[serde(rename = "untold_s", default, skip_serializing_if = "Option::is_none")]
+    pub unreported_s: Option<f64>,
 }
 
 /// The demand over all entry instances, as the leader adds it up.
@@ -229,8 +231,8 @@
     pub entries: u32,
     /// What may have been admitted in the last [`LIMIT_WINDOW`] for an account that no report names, in
     /// seconds of its limit.
-    #[serde(default, skip_serializing_if = "is_default")]
-    pub untold_s: f64,
+    #[serde(rename = "untold_s", default, skip_serializing_if = "is_default")]
+    pub unreported_s: f64,
     /// Demand by account.
     pub accounts: Vec<AccountTotal>,
 }
@@ -247,24 +249,26 @@
     pub endpoints: Vec<EndpointFact>,
     /// Loads that endpoints told others of late.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub loads: Vec<LoadWord>,
+    pub loads: Vec<EndpointLoad>,
     /// All control instances that are known.
-    pub controls: Vec<ControlPlace>,
+    pub controls: Vec<ControlInfo>,
     /// The demand over all entry instances, if a leader is known.
     pub totals: Option<Totals>,
     /// True time of day, as the median of all clocks.
     pub true_time: Millis,
     /// Whether this control instance hears a leader; without one its settings may be old.
-    pub is_led: bool,
+    #[serde(rename = "is_led")]
+    pub has_leader: bool,
 }
 
 /// What a control instance passes on to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControlSync {
     /// Who tells.
-    pub from: ControlPlace,
+    pub from: ControlInfo,
     /// Its life.
-    pub life: Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     /// Its time of day.
     pub wall: Millis,
     /// Endpoints that it heard since the last call.
@@ -279,7 +283,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ControlSyncReply {
     /// The life of who answers; another one than before lacks all that was told.
-    pub life: Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
 }
 
 /// The span over which admitted amounts are summed.
--- a/protocol/wire/src/member.rs
+++ b/protocol/wire/src/member.rs
@@ -28,7 +28,7 @@
 
 /// An announcement on its way between entry instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Relayed {
+pub struct RelayedAnnouncement {
     /// The announcement as the endpoint sent it.
     pub announcement: Announcement,
     /// How long ago the endpoint sent it, at most.
@@ -52,13 +52,13 @@
     /// Free capacity for each model or service; of those that the caller wants, where it names any.
     pub capacity: Vec<DomainCapacity>,
     /// Endpoints that the caller holds already and that still have free slots.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub still: Vec<HeldOffer>,
+    #[serde(rename = "still", default, skip_serializing_if = "Vec::is_empty")]
+    pub held_with_free_slots: Vec<EndpointIncarnation>,
 }
 
 /// An endpoint of another failure domain that an entry instance may use for a while.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct HeldOffer {
+pub struct EndpointIncarnation {
     /// The endpoint.
     #[serde(rename = "n")]
     pub name: Name,
@@ -89,7 +89,7 @@
 #[serde(from = "LoadNumbers", into = "LoadNumbers")]
 pub struct LoadUpdate {
     /// The hash, by the salt of the receiver's own digest, that stands for the endpoint.
-    pub mark: u64,
+    pub hash: u64,
     /// The number of the announcement that the load came with.
     pub sequence: u64,
     /// How long ago the endpoint sent it, at most.
@@ -114,7 +114,7 @@
 #[serde(from = "HeartbeatNumbers", into = "HeartbeatNumbers")]
 pub struct Heartbeat {
     /// The hash, by the salt of the receiver's own digest, that stands for the entry instance.
-    pub mark: u64,
+    pub hash: u64,
     /// The number of its report.
     pub sequence: u64,
     /// How long ago it spoke for itself, at most.
@@ -140,7 +140,8 @@
     /// Mixed into the hashes, so that two facts that collide once don't do so again.
     pub salt: u64,
     /// Six digits of a hash of the fact and two of its sequence number, one after the other.
-    pub marks: String,
+    #[serde(rename = "marks")]
+    pub hashes: String,
 }
 
 /// Which summary of a failure domain the caller holds.
@@ -165,8 +166,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub digest: Option<Digest>,
     /// Whether this answers a question by one, and must not be answered so again.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub back: bool,
+    #[serde(rename = "back", default, skip_serializing_if = "std::ops::Not::not")]
+    pub is_reply: bool,
     /// Endpoints that are leaving.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<LeavingNotice>,
@@ -178,7 +179,7 @@
     pub wants: Vec<Name>,
     /// Endpoints of other failure domains that the caller holds, which need not be sent whole.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub holds: Vec<HeldOffer>,
+    pub holds: Vec<EndpointIncarnation>,
 }
 
 /// The called entry's news.
@@ -196,7 +197,7 @@
     pub heartbeats: Vec<Heartbeat>,
     /// Endpoints of the same failure domain that the caller doesn't know.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub endpoints: Vec<Relayed>,
+    pub endpoints: Vec<RelayedAnnouncement>,
     /// Loads that the caller doesn't know.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub loads: Vec<LoadUpdate>,
@@ -216,28 +217,28 @@
 
 impl From<LoadUpdate> for LoadNumbers {
     fn from(update: LoadUpdate) -> Self {
-        let LoadUpdate { mark, sequence, age, load } = update;
+        let LoadUpdate { hash, sequence, age, load } = update;
         let Load { running, queued, queued_tokens, cached_tokens, age: sampled } = load;
-        (mark, sequence, age, running, queued, queued_tokens, cached_tokens, sampled)
+        (hash, sequence, age, running, queued, queued_tokens, cached_tokens, sampled)
     }
 }
 
 impl From<LoadNumbers> for LoadUpdate {
     fn from(numbers: LoadNumbers) -> Self {
-        let (mark, sequence, age, running, queued, queued_tokens, cached_tokens, sampled) = numbers;
+        let (hash, sequence, age, running, queued, queued_tokens, cached_tokens, sampled) = numbers;
         let load = Load { running, queued, queued_tokens, cached_tokens, age: sampled };
-        Self { mark, sequence, age, load }
+        Self { hash, sequence, age, load }
     }
 }
 
 impl From<Heartbeat> for HeartbeatNumbers {
     fn from(beat: Heartbeat) -> Self {
-        (beat.mark, beat.sequence, beat.age)
+        (beat.hash, beat.sequence, beat.age)
     }
 }
 
 impl From<HeartbeatNumbers> for Heartbeat {
-    fn from((mark, sequence, age): HeartbeatNumbers) -> Self {
-        Self { mark, sequence, age }
+    fn from((hash, sequence, age): HeartbeatNumbers) -> Self {
+        Self { hash, sequence, age }
     }
 }
--- a/protocol/wire/src/prefix.rs
+++ b/protocol/wire/src/prefix.rs
@@ -13,7 +13,7 @@
 const BLOCK_BYTES: usize = BLOCK_TOKENS * BYTES_PER_TOKEN;
 
 /// Returns the number of tokens that a text counts for.
-pub fn tokens(text: &str) -> u64 {
+pub fn token_count(text: &str) -> u64 {
     text.len().div_ceil(BYTES_PER_TOKEN) as u64
 }
 
@@ -21,7 +21,7 @@
 ///
 /// The hash is not keyed. A caller who forges a collision only misleads the routing of its own
 /// prompts, since endpoints compare the text itself.
-pub fn blocks(model: &str, prompt: &str) -> Vec<u64> {
+pub fn block_hashes(model: &str, prompt: &str) -> Vec<u64> {
     let mut hasher = FxHasher::default();
     hasher.write(model.as_bytes());
     let whole = prompt.as_bytes().chunks_exact(BLOCK_BYTES);
--- a/protocol/wire/src/settings.rs
+++ b/protocol/wire/src/settings.rs
@@ -2,7 +2,7 @@
 //! each named by what it holds, and fetched apart from the polls.
 
 use serde::{Deserialize, Serialize};
-use sill_base::{Millis, Packed};
+use sill_base::{CompressedText, Millis};
 use sill_tree::PieceId;
 
 use crate::call::Call;
@@ -25,31 +25,31 @@
     /// Its name.
     pub id: PieceId,
     /// Its text: a document that holds a part of the settings.
-    pub text: Packed,
+    pub text: CompressedText,
 }
 
 impl Piece {
     /// Makes the piece with a text.
-    pub fn of(text: &str) -> Self {
-        Self { id: PieceId::of(text), text: Packed::of(text) }
+    pub fn new(text: &str) -> Self {
+        Self { id: PieceId::of(text), text: CompressedText::new(text) }
     }
 }
 
 /// Asks for pieces.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PiecesAsk {
+pub struct PiecesRequest {
     /// Their names.
     pub pieces: Vec<PieceId>,
 }
 
-/// The answer to a [`PiecesAsk`].
+/// The answer to a [`PiecesRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PiecesReply {
     /// The first of those asked for that are at hand, as many as fit in a short answer.
     pub pieces: Vec<Piece>,
 }
 
-impl Call for PiecesAsk {
+impl Call for PiecesRequest {
     type Reply = PiecesReply;
 
     const METHOD: &'static str = "settings_pieces";
--- a/protocol/wire/tests/reports.rs
+++ b/protocol/wire/tests/reports.rs
@@ -9,10 +9,10 @@
     let report = r#"{"entry":"e1","incarnation":7,"domain":"a","sequence":3,"wall":9,"usage":[],"accounts":[
         {"account":"desk","asked_per_s":1.5,"admitted":12.0,"admitted_per_s":1.0,"share":0.25}],"services":[]}"#;
     let report: EntryReport = serde_json::from_str(report).expect("it is read");
-    assert_eq!((report.up, report.entries), (None, 0));
+    assert_eq!((report.uptime, report.entries), (None, 0));
     assert!(report.accounts[0].by_second.is_empty());
     let totals = r#"{"age":5,"entries":8,"accounts":[
         {"account":"desk","asked_per_s":1.5,"admitted":12.0,"admitted_per_s":1.0,"held":0.25}]}"#;
     let totals: Totals = serde_json::from_str(totals).expect("it is read");
-    assert_eq!(totals.accounts[0].untold_s, None);
+    assert_eq!(totals.accounts[0].unreported_s, None);
 }
--- a/state/base/src/packed.rs
+++ b/state/base/src/compressed.rs
@@ -20,7 +20,7 @@
 const MAX_TEXT: u64 = 64 << 20;
 
 /// Texts shorter than this, in bytes, are better left as they are: people can read them in a log.
-pub const PACKED_FROM: usize = 2048;
+pub const COMPRESSION_THRESHOLD: usize = 2048;
 
 /// How every short form begins; no JSON text does.
 const FRAME_START: &str = "KLUv/";
@@ -28,19 +28,19 @@
 /// A text in its short form. Clones share it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Packed(Arc<str>);
+pub struct CompressedText(Arc<str>);
 
 /// A short form that stands for no text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Damaged;
+pub struct DecompressError;
 
-impl Packed {
+impl CompressedText {
     /// Packs a text.
     ///
     /// # Panics
     ///
     /// Panics when memory for it can't be had.
-    pub fn of(text: &str) -> Self {
+    pub fn new(text: &str) -> Self {
         let short = zstd::bulk::compress(text.as_bytes(), LEVEL);
         let short = short.expect("compressing fails only for want of memory");
         Self(STANDARD_NO_PAD.encode(short).into())
@@ -51,13 +51,13 @@
     /// # Errors
     ///
     /// Fails when the short form is damaged, or its text longer than 64 MiB.
-    pub fn text(&self) -> Result<String, Damaged> {
-        let short = STANDARD_NO_PAD.decode(&*self.0).map_err(|_| Damaged)?;
-        let unpacked = zstd::Decoder::new(&*short).map_err(|_| Damaged)?;
+    pub fn decompress(&self) -> Result<String, DecompressError> {
+        let short = STANDARD_NO_PAD.decode(&*self.0).map_err(|_| DecompressError)?;
+        let unpacked = zstd::Decoder::new(&*short).map_err(|_| DecompressError)?;
         let mut text = String::new();
         let read = unpacked.take(MAX_TEXT + 1).read_to_string(&mut text);
         let is_whole = read.is_ok_and(|len| len as u64 <= MAX_TEXT);
-        is_whole.then_some(text).ok_or(Damaged)
+        is_whole.then_some(text).ok_or(DecompressError)
     }
 
     /// Returns the length of the short form, in bytes.
@@ -78,7 +78,7 @@
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-    use super::{FRAME_START, PACKED_FROM, Packed};
+    use super::{COMPRESSION_THRESHOLD, CompressedText, FRAME_START};
 
     /// Writes it.
     ///
@@ -89,9 +89,9 @@
     where
         S: Serializer,
     {
-        match text.len() < PACKED_FROM {
+        match text.len() < COMPRESSION_THRESHOLD {
             true => text.serialize(serializer),
-            false => Packed::of(text).serialize(serializer),
+            false => CompressedText::new(text).serialize(serializer),
         }
     }
 
@@ -108,15 +108,15 @@
         if !text.starts_with(FRAME_START) {
             return Ok(text);
         }
-        let text = Packed(text).text().map_err(D::Error::custom)?;
+        let text = CompressedText(text).decompress().map_err(D::Error::custom)?;
         Ok(text.into())
     }
 }
 
-impl Display for Damaged {
+impl Display for DecompressError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str("the packed text is damaged")
     }
 }
 
-impl Error for Damaged {}
+impl Error for DecompressError {}
--- a/state/base/src/lib.rs
+++ b/state/base/src/lib.rs
@@ -1,12 +1,12 @@
 //! Ground types that every layer shares: clock, names, maps, findings, seeded randomness, promises.
 
 pub mod clock;
+pub mod compressed;
 pub mod event;
 pub mod findings;
 pub mod machine;
 pub mod map;
 pub mod name;
-pub mod packed;
 pub mod promise;
 pub mod random;
 pub mod recent_max;
@@ -15,11 +15,11 @@
 mod spans;
 
 pub use clock::{Clock, Millis};
+pub use compressed::CompressedText;
 pub use findings::{Finding, Findings};
 pub use machine::Machine;
 pub use map::{Map, Set};
 pub use name::Name;
-pub use packed::Packed;
 pub use promise::Promise;
 pub use recent_max::RecentMax;
 pub use recent_times::RecentTimes;
--- a/state/base/src/recent_times.rs
+++ b/state/base/src/recent_times.rs
@@ -22,7 +22,7 @@
 
 impl RecentTimes {
     /// Takes in a time.
-    pub fn note(&mut self, now: Millis, span: Millis, time: Millis) {
+    pub fn record(&mut self, now: Millis, span: Millis, time: Millis) {
         self.0.newest(now, span, [0; CLASSES])[class_of(time)] += 1;
     }
 
--- a/state/base/tests/packed.rs
+++ b/state/base/tests/compressed.rs
@@ -1,13 +1,13 @@
 //! Packed texts come back as they were, and damaged ones are noticed.
 
 use serde::{Deserialize, Serialize};
-use sill_base::Packed;
-use sill_base::packed::PACKED_FROM;
+use sill_base::CompressedText;
+use sill_base::compressed::COMPRESSION_THRESHOLD;
 use std::sync::Arc;
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct Message {
-    #[serde(with = "sill_base::packed::text")]
+    #[serde(with = "sill_base::compressed::text")]
     text: Arc<str>,
 }
 
@@ -15,10 +15,14 @@
 fn texts_come_back_as_they_were() {
     let cases = ["", "a", "{\"a\":1}", "ä€\u{0}\"\\", &"route ".repeat(100_000)];
     for text in cases {
-        assert_eq!(Packed::of(text).text().as_deref(), Ok(text));
+        assert_eq!(CompressedText::new(text).decompress().as_deref(), Ok(text));
         let message = Message { text: text.into() };
         let json = serde_json::to_string(&message).expect("it can be written");
-        assert!(json.len() < PACKED_FROM.max(text.len() / 10) + 100, "{} bytes", json.len());
+        assert!(
+            json.len() < COMPRESSION_THRESHOLD.max(text.len() / 10) + 100,
+            "{} bytes",
+            json.len()
+        );
         assert_eq!(serde_json::from_str::<Message>(&json).expect("it can be read"), message);
     }
 }
@@ -31,7 +35,8 @@
         name: &'static str,
         packed: String,
     }
-    let json = |text: &str| serde_json::to_string(&Packed::of(text)).expect("it can be written");
+    let json =
+        |text: &str| serde_json::to_string(&CompressedText::new(text)).expect("it can be written");
     let whole = json(&"abc".repeat(1000));
     let huge = json(&"\0".repeat((64 << 20) + 1));
     let cases = [
@@ -42,7 +47,7 @@
         Case { name: "huge", packed: huge },
     ];
     for Case { name, packed } in cases {
-        let packed: Packed = serde_json::from_str(&packed).expect("a string");
-        assert!(packed.text().is_err(), "{name}");
+        let packed: CompressedText = serde_json::from_str(&packed).expect("a string");
+        assert!(packed.decompress().is_err(), "{name}");
     }
 }
--- a/state/base/tests/recent_max.rs
+++ b/state/base/tests/recent_max.rs
@@ -25,8 +25,8 @@
         let span = Millis(10);
         let mut max = RecentMax::default();
         for (at, figure) in case.figures {
-            max.note(Millis(*at), span, *figure);
+            max.record(Millis(*at), span, *figure);
         }
-        assert_eq!(max.at(Millis(case.at), span), case.expected, "{}", case.name);
+        assert_eq!(max.max(Millis(case.at), span), case.expected, "{}", case.name);
     }
 }
--- a/state/base/tests/recent_times.rs
+++ b/state/base/tests/recent_times.rs
@@ -70,7 +70,7 @@
     for case in cases {
         let mut times = RecentTimes::default();
         for (at, time) in case.noted {
-            times.note(Millis(*at), SPAN, Millis(*time));
+            times.record(Millis(*at), SPAN, Millis(*time));
         }
         let got = times.quantile(Millis(case.at), SPAN, case.part).map(|time| time.0);
         let is_right = match (got, case.expected) {
--- a/state/tree/src/stored.rs
+++ b/state/tree/src/stored.rs
@@ -11,8 +11,8 @@
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use serde_json::Value;
-use sill_base::Packed;
-use sill_base::packed::PACKED_FROM;
+use sill_base::CompressedText;
+use sill_base::compressed::COMPRESSION_THRESHOLD;
 
 use crate::document::Document;
 
@@ -60,9 +60,9 @@
     where
         S: Serializer,
     {
-        match self.0.len() < PACKED_FROM {
+        match self.0.len() < COMPRESSION_THRESHOLD {
             true => self.value().serialize(serializer),
-            false => Packed::of(&self.0).serialize(serializer),
+            false => CompressedText::new(&self.0).serialize(serializer),
         }
     }
 }
@@ -76,11 +76,13 @@
         #[derive(Deserialize)]
         #[serde(untagged)]
         enum Either {
-            Packed(Packed),
+            Packed(CompressedText),
             Plain(Value),
         }
         match Either::deserialize(deserializer)? {
-            Either::Packed(packed) => Ok(Self(packed.text().map_err(D::Error::custom)?.into())),
+            Either::Packed(packed) => {
+                Ok(Self(packed.decompress().map_err(D::Error::custom)?.into()))
+            }
             Either::Plain(value) => Ok((&value).into()),
         }
     }
