--- a/protocol/wire/src/announce.rs
+++ b/protocol/wire/src/announce.rs
@@ -1,9 +1,9 @@
-//! What an endpoint says about itself, about once a second.
+//! Announcements: what an endpoint reports about itself, about once a second.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Millis, Name};
 
-/// Which life of an instance is meant; a restart takes a larger one.
+/// The incarnation of an instance or endpoint; each restart takes a larger number.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,113 +14,113 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Computes prompts and answers.
+    /// Runs both prefill and decode.
     #[default]
     Mixed,
-    /// Computes prompts only.
+    /// Runs prefill only.
     Prefill,
-    /// Generates answers only.
+    /// Runs decode only.
     Decode,
-    /// Keeps its weights but takes no work.
+    /// Keeps its weights loaded but takes no requests.
     Standby,
 }
 
-/// One thing that an endpoint can serve.
+/// A model or service that an endpoint can serve.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase", deny_unknown_fields)]
 pub enum Servable {
     /// A language model with its version and loaded adapters.
     Model {
-        /// The model's name as callers ask for it.
+        /// The model's name, as in the `model` field of requests.
         model: Name,
         /// The version of the weights.
         #[serde(default)]
         version: Name,
-        /// Adapters that are loaded on top.
+        /// The adapters that are loaded for it.
         #[serde(default)]
         adapters: Vec<Name>,
     },
     /// A plain service.
     Service {
-        /// The service's name as in `/s/SERVICE/`.
+        /// The service's name, as in the path `/s/SERVICE/`.
         service: Name,
     },
 }
 
-/// An endpoint's own view of its load, at the time it was sampled.
+/// The load of an endpoint, as sampled by the endpoint itself.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Load {
-    /// Requests that run.
+    /// Number of requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests that are queued.
     pub queued: u32,
-    /// Prompt tokens that wait to be computed.
+    /// Prompt tokens of queued requests that still need prefill.
     pub queued_tokens: u64,
     /// Tokens held in the prefix cache.
     pub cached_tokens: u64,
-    /// How old the sample was when it was sent, in milliseconds.
+    /// Age of the sample when it was sent, in milliseconds.
     pub age: Millis,
 }
 
-/// The announcement of an endpoint.
+/// A report of an endpoint's address, capabilities and load, sent to an entry instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Announcement {
     /// The endpoint's name, unique over all failure domains.
     pub name: Name,
-    /// Grows with each restart.
+    /// The endpoint's incarnation; grows with each restart.
     pub incarnation: Incarnation,
-    /// Grows with each announcement of an incarnation, so that late copies are told apart.
+    /// Grows with each announcement of an incarnation, so that delayed copies can be discarded.
     pub sequence: u64,
-    /// Where it takes requests, `IP:PORT`.
+    /// The address at which it accepts requests, `IP:PORT`.
     pub address: Name,
-    /// Its failure domain.
+    /// The failure domain that it runs in.
     pub domain: Name,
-    /// Its machine class.
+    /// The class of its instance.
     #[serde(default)]
     pub class: Name,
-    /// Whether the platform may take it back.
+    /// Whether the platform may reclaim its instance.
     #[serde(default)]
     pub reclaimable: bool,
-    /// Price in thousandths of a currency unit an hour.
+    /// Price in thousandths of a currency unit per hour.
     #[serde(default)]
     pub price: u64,
-    /// What it serves.
+    /// The models and services that it serves.
     pub serves: Vec<Servable>,
-    /// Its role.
+    /// The role that it plays in its pool.
     #[serde(default)]
     pub role: Role,
-    /// Requests that it runs side by side.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Prompt tokens that it computes in a second, as far as it knows.
+    /// Prefill throughput in tokens per second, by the endpoint's own estimate.
     #[serde(default)]
     pub prefill_tokens_per_s: u32,
-    /// Milliseconds between two tokens of an answer, as far as it knows.
+    /// Milliseconds between two tokens of an answer, by the endpoint's own estimate.
     #[serde(default)]
     pub decode_ms: u32,
-    /// Tokens that its prefix cache holds at most.
+    /// Capacity of its prefix cache, in tokens.
     #[serde(default)]
     pub cache_tokens: u64,
-    /// Its load.
+    /// Its load when the announcement was sent.
     #[serde(default)]
     pub load: Load,
-    /// Time left until it is gone, once it is leaving.
+    /// Time left until it stops; set only while it is leaving.
     #[serde(default)]
     pub leaving: Option<Millis>,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether it refuses orders with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
 }
 
-/// The entry's answer to an announcement.
+/// The entry instance's reply to an announcement.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AnnounceReply {
-    /// Whether the announcement was taken in.
+    /// Whether the announcement was accepted.
     pub accepted: bool,
-    /// Why not.
+    /// Why it was refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
-    /// Live entry instances of the domain, `IP:PORT`, for the next announcement.
+    /// Live entry instances of the failure domain, `IP:PORT`, to send the next announcement to.
     #[serde(default)]
     pub entries: Vec<Name>,
 }
--- a/protocol/wire/src/chat.rs
+++ b/protocol/wire/src/chat.rs
@@ -1,47 +1,48 @@
-//! The parts of the OpenAI shapes that the system reads or writes.
+//! The parts of the OpenAI request and response formats that the system reads or writes.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use sill_base::{Findings, Name};
 
-/// Tokens generated when a request names no limit.
+/// The number of tokens generated when a request sets no limit.
 pub const DEFAULT_MAX_TOKENS: u32 = 64;
 
-/// The largest answer that may be asked for, in tokens.
+/// The highest `max_tokens` that a request may set.
 pub const MAX_MAX_TOKENS: u32 = 32_768;
 
-/// What the system needs to know of a chat or completion request; the body goes on unchanged.
+/// The fields of a chat or completion request that the system uses; the body itself is forwarded
+/// unchanged.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChatSummary {
-    /// The model asked for.
+    /// The requested model.
     pub model: Name,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether a streamed answer closes with usage counts.
+    /// Whether a streamed answer ends with token counts.
     pub include_usage: bool,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// The prompt as one text, the messages in order.
+    /// The prompt as one text: each message as a line `ROLE: CONTENT`, in order.
     pub prompt: String,
 }
 
 /// Token counts of an answer.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
-    /// Their sum.
+    /// Sum of prompt and generated tokens.
     pub total_tokens: u32,
 }
 
 impl ChatSummary {
-    /// Reads a request body.
+    /// Reads the summary from a request body.
     ///
     /// # Errors
     ///
-    /// Returns every finding with the field it stands at.
+    /// Returns all findings, each with the field that it concerns.
     pub fn read(body: &Value) -> Result<Self, Findings> {
         let mut findings = Findings::new();
         let Some(fields) = body.as_object() else {
--- a/protocol/wire/src/claim.rs
+++ b/protocol/wire/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: the right to send a non-idempotent request, given once.
+//! Claims: exclusive rights to send a non-idempotent request, granted once per key.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Millis, Name};
@@ -6,111 +6,111 @@
 use crate::announce::Incarnation;
 use crate::call::Call;
 
-/// Names one keyed request of a client account.
+/// Identifies a request with an idempotency key, within its client account.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// The client account.
     pub account: Name,
-    /// The caller's `Idempotency-Key`.
+    /// The value of the caller's `Idempotency-Key` header.
     pub key: Name,
 }
 
-/// A hash of method, path and body, in hexadecimal.
+/// A hash of a request's method, path and body, in hexadecimal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BodyHash(pub Name);
 
-/// The entry instance that holds a claim; another life of the same instance is another owner.
+/// The holder of a claim; another incarnation of the same entry instance is another owner.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimOwner {
     /// The entry instance.
     pub entry: Name,
-    /// Its life.
+    /// The entry instance's incarnation.
     pub incarnation: Incarnation,
-    /// The request that was given the claim.
+    /// The id of the request that the claim was granted to.
     pub request: Name,
 }
 
-/// What is asked of the claims' log.
+/// An operation on the replicated log of claims.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "snake_case")]
 pub enum ClaimAsk {
-    /// Take the key, if nobody has it.
+    /// Acquires the claim, unless the key is already claimed.
     Take {
-        /// The key.
+        /// The key to claim.
         key: ClaimKey,
-        /// The request's content.
+        /// The hash of the request's content.
         body: BodyHash,
-        /// Who would own it.
+        /// The owner if the claim is granted.
         owner: ClaimOwner,
-        /// How long the claim is kept after it was taken.
+        /// How long the claim is kept after it was granted.
         retention: Millis,
     },
-    /// Note the outcome, so that a resent request gets the same answer.
+    /// Records the outcome, so that a repeated request gets the same answer.
     Finish {
-        /// The key.
+        /// The claimed key.
         key: ClaimKey,
-        /// Who owns it.
+        /// The claim's owner.
         owner: ClaimOwner,
-        /// What came of it.
+        /// The outcome of the request.
         outcome: ClaimOutcome,
     },
-    /// Give a claim back whose request was certainly not sent.
+    /// Releases a claim whose request was certainly not sent.
     Release {
-        /// The key.
+        /// The claimed key.
         key: ClaimKey,
-        /// Who owns it.
+        /// The claim's owner.
         owner: ClaimOwner,
     },
 }
 
-/// What came of a claimed request.
+/// The outcome of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum ClaimOutcome {
-    /// It was answered; a small answer is kept for resent requests.
+    /// The request was answered; a small answer is kept for repeated requests.
     Answered {
-        /// The status code.
+        /// The HTTP status code.
         status: u16,
-        /// The body, where it was small enough to keep.
+        /// The body, if it was small enough to keep.
         body: Option<String>,
     },
-    /// It was sent, and nobody knows what came of it.
+    /// The request was sent, and its outcome can't be determined.
     Unknown,
 }
 
-/// The answer to a [`ClaimAsk`].
+/// The result of a [`ClaimAsk`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "verdict", rename_all = "snake_case")]
 pub enum ClaimVerdict {
-    /// The asker owns the claim and may send, once.
+    /// The requesting owner holds the claim and may send the request, once.
     Granted,
-    /// The ask was carried out.
+    /// The outcome was recorded, or the claim released.
     Done,
-    /// The key is taken with the same content.
+    /// The key is already claimed for a request with the same content.
     Taken {
-        /// Who owns it.
+        /// The claim's owner.
         owner: ClaimOwner,
-        /// What came of it, where that is known.
+        /// The outcome, if it has been recorded.
         outcome: Option<ClaimOutcome>,
     },
-    /// The key is taken with another content.
+    /// The key is already claimed for a request with different content.
     BodyMismatch,
-    /// No quorum was reached; the claim may or may not have been taken for this very owner.
+    /// No quorum was reached; the claim may or may not have been granted to this same owner.
     Unavailable,
 }
 
-/// A batch of asks to any control instance.
+/// A batch of claim operations, sent to any control instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClaimBatch {
-    /// The asks; the reply has a verdict for each, in this order.
+    /// The operations; the reply has one verdict for each, in this order.
     pub asks: Vec<ClaimAsk>,
 }
 
 /// The verdicts of a [`ClaimBatch`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClaimReply {
-    /// A verdict for each ask.
+    /// One verdict for each operation of the batch, in its order.
     pub verdicts: Vec<ClaimVerdict>,
 }
 
--- a/protocol/wire/src/control.rs
+++ b/protocol/wire/src/control.rs
@@ -1,38 +1,38 @@
-//! What operators and control instances say to each other.
+//! Messages between operators and control instances.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use sill_base::{Finding, Millis, Name};
 
-/// The number of a settings change; each accepted change takes the next one.
+/// The number of an accepted settings change; each accepted change takes the next one.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
-/// The answer to an accepted change.
+/// The reply to an accepted change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChangeReply {
-    /// The revision that the change made.
+    /// The revision that the change created.
     pub revision: Revision,
-    /// The subtree's path.
+    /// The path of the changed subtree.
     pub path: Name,
-    /// Whether every known entry instance ran it when the answer was given.
+    /// Whether every known entry instance had applied the revision when the reply was sent.
     #[serde(default)]
     pub in_force: bool,
 }
 
-/// A subtree as stored.
+/// A subtree of the settings as stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SubtreeReply {
     /// The subtree's path.
     pub path: Name,
     /// The revision of its last change.
     pub revision: Revision,
-    /// Who made it.
+    /// The author of its last change.
     pub author: Name,
-    /// Its document; hashes of keys and tokens are left out for those who don't own it.
+    /// Its document; hashes of keys and tokens are omitted for readers who don't own the subtree.
     pub document: Value,
 }
 
@@ -41,49 +41,49 @@
 pub struct ChangeRefusal {
     /// A short code: `conflict`, `invalid`, `forbidden`, `no_quorum`, `storage_full`.
     pub code: Name,
-    /// For people.
+    /// A description for people.
     pub message: String,
     /// All findings of an invalid document.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub findings: Vec<Finding>,
-    /// The revision that won, on a conflict.
+    /// On a conflict, the revision that is already stored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<Revision>,
-    /// Who made the winning change, on a conflict.
+    /// On a conflict, the author of the stored revision.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub author: Option<Name>,
 }
 
-/// One line of the audit trail.
+/// One record of the audit trail.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AuditRecord {
     /// Position in the replicated log.
     pub index: u64,
     /// Term of the leader that wrote it.
     pub term: u64,
-    /// Wall-clock time since the Unix epoch.
+    /// Wall-clock time of the action, since the Unix epoch.
     pub at: Millis,
-    /// Who asked.
+    /// Who requested the action.
     pub author: Name,
-    /// What was done: `change`, `refused`, `order`, `start`, `stop`, `drain`, `voters`.
+    /// The action: `change`, `refused`, `order`, `start`, `stop`, `drain`, `voters`.
     pub action: Name,
-    /// The path, endpoint or instance it was done to.
+    /// The path, endpoint or instance that the action concerns.
     pub subject: Name,
-    /// Why.
+    /// The reason for the action.
     #[serde(default)]
     pub reason: String,
-    /// The revision it made, if any.
+    /// The revision that the action created, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<Revision>,
-    /// The change's content, with secrets left out.
+    /// The content of the change, without secrets.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub detail: Option<Value>,
 }
 
-/// What a control instance knows of the whole.
+/// The state of the system as a control instance sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FleetReply {
-    /// The control instance that answers.
+    /// The control instance that sent the reply.
     pub control: Name,
     /// The leader, if one is known.
     pub leader: Option<Name>,
@@ -91,27 +91,27 @@
     pub term: u64,
     /// The newest committed revision.
     pub revision: Revision,
-    /// The entry instances that were heard of.
+    /// The known entry instances.
     pub entries: Vec<EntryStatus>,
-    /// The endpoints that entries report.
+    /// The endpoints that entry instances report.
     #[serde(default)]
     pub endpoints: Vec<EndpointStatus>,
 }
 
-/// What is known of an entry instance.
+/// The last known status of an entry instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntryStatus {
     /// Its name.
     pub name: Name,
     /// Its failure domain.
     pub domain: Name,
-    /// The revision that it runs.
+    /// The settings revision that it has applied.
     pub revision: Revision,
-    /// How long ago it was heard of.
+    /// Time since its last report.
     pub heard_ago: Millis,
 }
 
-/// What is known of an endpoint.
+/// The last known status of an endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointStatus {
     /// Its name.
@@ -120,8 +120,8 @@
     pub domain: Name,
     /// `ready`, `leaving` or `gone`.
     pub state: Name,
-    /// Requests that run.
+    /// Number of requests that are running.
     pub running: u32,
-    /// Requests that it can run side by side.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
 }
--- a/protocol/wire/src/endpoint.rs
+++ b/protocol/wire/src/endpoint.rs
@@ -1,24 +1,24 @@
-//! What endpoints publish, report and are told.
+//! Messages of endpoints besides announcements: cache events, ledgers, orders and resumed requests.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Millis, Name};
 
 use crate::announce::{Incarnation, Role};
 
-/// A batch of cache events; batches come late, and some are lost.
+/// A batch of cache events; batches may be delayed or lost.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CacheEvents {
     /// The endpoint.
     pub name: Name,
-    /// Its life.
+    /// The endpoint's incarnation.
     pub incarnation: Incarnation,
-    /// The number of the first event; a jump shows that some were lost.
+    /// The sequence number of the first event; a gap shows that events were lost.
     pub sequence: u64,
     /// The events in order.
     pub events: Vec<CacheEvent>,
 }
 
-/// One change of a prefix cache. Blocks are named by the chained hash of their text.
+/// A change of a prefix cache. Blocks are identified by the chained hash of their text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum CacheEvent {
@@ -27,12 +27,12 @@
         /// The block's chained hash.
         block: u64,
     },
-    /// A block was dropped.
+    /// A block was evicted.
     Dropped {
         /// The block's chained hash.
         block: u64,
     },
-    /// The whole cache was dropped.
+    /// The whole cache was cleared.
     Cleared,
 }
 
@@ -40,120 +40,121 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEnd {
-    /// It still runs.
+    /// The run has not ended.
     #[default]
     Running,
     /// The whole answer was sent.
     Finished,
-    /// The other side went away or cancelled.
+    /// The client cancelled the request or disconnected.
     Cancelled,
-    /// The endpoint died.
+    /// The endpoint was killed.
     Killed,
 }
 
-/// One run in an endpoint's ledger.
+/// One run of a request, as recorded in an endpoint's ledger.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LedgerEntry {
-    /// The request.
+    /// The id of the request.
     pub request: Name,
-    /// Which attempt of the request.
+    /// The number of this attempt of the request.
     pub attempt: u32,
-    /// The caller's key, if it came along.
+    /// The caller's idempotency key, if it was forwarded.
     #[serde(default)]
     pub idempotency_key: Option<Name>,
-    /// What was called, for plain services.
+    /// The requested path, for plain services.
     #[serde(default)]
     pub path: String,
-    /// Tokens of the prompt, and of the answer's part that was resumed from.
+    /// Number of tokens in the prompt, including the part of the answer that a resumed run continues.
     pub prompt_tokens: u64,
-    /// Of these, found in the cache or imported.
+    /// Number of those tokens that were found in the prefix cache or imported.
     pub cached_tokens: u64,
-    /// Of these, computed.
+    /// Number of those tokens that were computed.
     pub computed_tokens: u64,
-    /// The first token of the answer that this run was asked for.
+    /// The index of the first answer token that this run was asked for; 0 unless it resumed an answer.
     #[serde(default)]
     pub resumed_at: u32,
-    /// Where the run's KV cache was imported from, if it was.
+    /// The source of the run's KV cache, if it was imported.
     #[serde(default)]
     pub imported_from: Option<Name>,
-    /// Tokens sent.
+    /// Number of answer tokens that were sent.
     pub sent_tokens: u32,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunEnd,
 }
 
-/// An order to an endpoint.
+/// An order from the leader of the control instances to an endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Order {
-    /// The leader's term; endpoints that check fencing tokens refuse a lower one.
+    /// The leader's term, as the fencing token; endpoints that check it refuse a lower term.
     pub term: u64,
-    /// Grows within a term.
+    /// Grows with each order of a term.
     pub sequence: u64,
-    /// How long after it was sent the order may still be carried out.
+    /// Time after sending within which the order may be carried out.
     pub not_after: Millis,
-    /// What to do.
+    /// The action to carry out.
     pub action: OrderAction,
 }
 
-/// What an endpoint can be told.
+/// The action of an [`Order`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum OrderAction {
     /// Load a model.
     LoadModel {
-        /// The model.
+        /// The model to load.
         model: Name,
-        /// The version of its weights.
+        /// The version of the weights.
         version: Name,
     },
     /// Unload a model.
     UnloadModel {
-        /// The model.
+        /// The model to unload.
         model: Name,
     },
     /// Load an adapter.
     LoadAdapter {
-        /// The model below it.
+        /// The model that the adapter applies to.
         model: Name,
-        /// The adapter.
+        /// The adapter to load.
         adapter: Name,
     },
-    /// Change the role.
+    /// Change the endpoint's role.
     ChangeRole {
         /// The new role.
         role: Role,
     },
-    /// Finish what runs, take nothing new.
+    /// Finish the requests in flight and accept no new ones.
     Drain,
 }
 
-/// A reclaim notice, to an endpoint stand-in or an entry instance.
+/// A notice to an endpoint stand-in or an entry instance that the platform will reclaim it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReclaimNotice {
-    /// Time left.
+    /// Time left until the instance is reclaimed.
     pub in_ms: Millis,
 }
 
-/// The body of a resumed request, beside the caller's own fields, under the key `sill_resume`.
+/// The field `sill_resume` that is added to the body of a resumed request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Resume {
-    /// The index of the first token that is wanted.
+    /// The index of the first token to send.
     pub at: u32,
-    /// The text of the tokens before it.
+    /// The texts of the tokens before it.
     pub emitted: Vec<String>,
-    /// Prefix id of exported KV cache to import, and where to get it.
+    /// The exported KV cache to import, if there is one.
     #[serde(default)]
     pub kv: Option<KvSource>,
-    /// Whether to refuse rather than compute anything again, as for a run that may not be repeated.
+    /// Whether to refuse the request rather than recompute anything, because the run must not be
+    /// repeated.
     #[serde(default)]
     pub same_run: bool,
 }
 
-/// Where exported KV cache is found.
+/// The source of an exported KV cache.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KvSource {
-    /// The exporting endpoint, `IP:PORT`.
+    /// The address of the exporting endpoint, `IP:PORT`.
     pub address: Name,
-    /// The prefix id.
+    /// The id of the exported prefix.
     pub prefix: Name,
 }
--- a/protocol/wire/src/error.rs
+++ b/protocol/wire/src/error.rs
@@ -1,4 +1,4 @@
-//! The one shape of error answers.
+//! The format of all error answers.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Finding, Name};
@@ -7,29 +7,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorCode {
-    /// The body or a header is wrong.
+    /// The body or a header is invalid.
     BadRequest,
-    /// The key is missing or unknown.
+    /// The caller's key is missing or unknown.
     Unauthorized,
-    /// The key may not do this.
+    /// The caller's key does not permit the request.
     Forbidden,
-    /// No such path, model or service.
+    /// The path, model or service does not exist.
     NotFound,
     /// The idempotency key was used with another body.
     KeyReused,
-    /// The request was sent once, and nobody knows what came of it.
+    /// The request was sent once, and its outcome can't be determined.
     OutcomeUnknown,
-    /// The same keyed request is still running elsewhere.
+    /// The request with the same idempotency key is still running elsewhere.
     InProgress,
     /// The body is larger than the limit.
     TooLarge,
     /// The client account is over its limit.
     LimitReached,
-    /// No endpoint can take the request now.
+    /// No endpoint has capacity for the request at present.
     NoCapacity,
     /// The deadline can't be met.
     DeadlineUnmeetable,
-    /// No quorum of control instances can be reached, and the request must not be run without.
+    /// No quorum of control instances can be reached, and the request must not run without one.
     NoQuorum,
     /// The instance is stopping.
     Stopping,
@@ -37,35 +37,35 @@
     UpstreamFailed,
     /// The deadline passed.
     DeadlinePassed,
-    /// A fault of the system itself.
+    /// An internal error of the system.
     Internal,
 }
 
 /// The body of every error answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The one member.
+    /// The error's details; the only member of the body.
     pub error: ErrorDetail,
 }
 
-/// What went wrong.
+/// The details of an error answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// For programs.
+    /// A code for programs.
     pub code: ErrorCode,
-    /// For people.
+    /// A description for people.
     pub message: String,
-    /// The request.
+    /// The id of the failed request.
     pub request_id: Name,
-    /// Whether it is certain that no byte of the request has left for an endpoint.
+    /// Whether it is certain that no byte of the request was sent to an endpoint.
     pub not_run: bool,
-    /// All findings of a bad request.
+    /// All findings of an invalid request.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub findings: Vec<Finding>,
 }
 
 impl ErrorCode {
-    /// Returns the HTTP status code.
+    /// Returns the HTTP status code of answers with this error.
     pub const fn status(self) -> u16 {
         match self {
             Self::BadRequest => 400,
--- a/protocol/wire/src/feed.rs
+++ b/protocol/wire/src/feed.rs
@@ -1,5 +1,5 @@
-//! How settings reach entry instances: pulled by a waiting call, so that a change arrives at once
-//! and one who missed many catches up with the same call.
+//! The settings feed: entry instances pull settings by long polling, so that a change arrives at once
+//! and a subscriber that missed many changes catches up with the same call.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -12,82 +12,83 @@
 /// Asks a control instance, or a peer entry, for settings newer than `have`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FeedPoll {
-    /// Who asks.
+    /// The polling entry instance.
     pub entry: Name,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its failure domain.
     pub domain: Name,
-    /// The newest revision that the asker runs.
+    /// The newest revision that it has applied.
     pub have: Revision,
-    /// How long the call may wait for something newer.
+    /// How long the call may block until a newer revision exists.
     pub wait: Millis,
-    /// What the asker's own subscribers run, where it passes settings on.
+    /// The revisions that its own subscribers have applied, if it relays settings.
     #[serde(rename = "below", default)]
     pub subscribers: Vec<RunningRevision>,
-    /// The endpoints of the asker's failure domain, from one entry instance of it now and then.
+    /// The endpoints of its failure domain; one entry instance of the domain sends them from time to
+    /// time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoints: Option<DomainEndpoints>,
 }
 
-/// The endpoints of a failure domain as one of its entry instances knows them.
+/// The endpoints of a failure domain, as reported by one of its entry instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DomainEndpoints {
     /// The failure domain.
     pub domain: Name,
-    /// How long ago this was so.
+    /// Age of the report.
     #[serde(default)]
     pub age: Millis,
-    /// The endpoints by name.
+    /// The endpoints, ordered by name.
     pub endpoints: Vec<EndpointStatus>,
 }
 
-/// Which revision an entry instance runs.
+/// The settings revision that an entry instance has applied.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunningRevision {
     /// The entry instance.
     pub entry: Name,
     /// Its failure domain.
     pub domain: Name,
-    /// The revision.
+    /// The newest revision that it has applied.
     pub revision: Revision,
-    /// How long ago it said so.
+    /// Time since the entry instance reported it.
     #[serde(default)]
     pub age: Millis,
 }
 
-/// One committed change.
+/// A committed change of the settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The revision it made.
+    /// The revision that the change created.
     pub revision: Revision,
-    /// The subtree's path.
+    /// The path of the changed subtree.
     pub path: Name,
-    /// Who made it.
+    /// The author of the change.
     pub author: Name,
-    /// The new document, or none where the subtree was removed.
+    /// The new document, or `None` if the subtree was removed.
     pub document: Option<Value>,
 }
 
-/// What is newer than the asker's revision.
+/// The settings newer than the revision of a [`FeedPoll`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "feed", rename_all = "snake_case")]
 pub enum FeedReply {
-    /// Nothing is newer.
+    /// There is no newer revision.
     Current,
-    /// The changes after `have`, without a gap.
+    /// All changes after `have`, without a gap.
     Changes {
-        /// In order of their revisions.
+        /// The changes, in order of their revisions.
         changes: Vec<Change>,
     },
-    /// The whole tree, where the changes are too many or no longer kept.
+    /// The whole tree, sent if the changes are too many or no longer stored.
     Snapshot {
-        /// The revision of the whole.
+        /// The revision of the snapshot.
         revision: Revision,
         /// The last change of each subtree.
         subtrees: Vec<Change>,
     },
-    /// The called process has nothing itself yet.
+    /// The called process has no settings yet.
     Empty,
 }
 
--- a/protocol/wire/src/handoff.rs
+++ b/protocol/wire/src/handoff.rs
@@ -1,4 +1,4 @@
-//! What entry instances ask each other about requests that run.
+//! Calls between entry instances about running requests.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Millis, Name};
@@ -7,76 +7,76 @@
 use crate::claim::{BodyHash, ClaimKey};
 use crate::error::ErrorCode;
 
-/// Where a keyed request runs or has run.
+/// The entry instance at which a request with an idempotency key runs or has run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunLocation {
     /// The entry instance's peer address, `IP:PORT`.
     pub address: Name,
-    /// The request.
+    /// The id of the request.
     pub request: Name,
 }
 
-/// What the home of a key says of it.
+/// The reply to a [`LocateRun`], from the home of the key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "located", rename_all = "snake_case")]
 pub enum LocateReply {
-    /// Nobody runs it; the asker is noted as the one who does.
+    /// No entry instance runs the request; the home has recorded that the caller does.
     New,
-    /// It runs or ran there.
+    /// The request runs or ran at this entry instance.
     At(RunLocation),
     /// The key was used with another body.
     BodyMismatch,
 }
 
-/// Asks the home of a key where its request runs.
+/// Asks the home of a key, the entry instance that records it, where its request runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocateRun {
-    /// The key.
+    /// The key to look up.
     pub key: ClaimKey,
-    /// The content.
+    /// The hash of the request's content.
     pub body: BodyHash,
-    /// Where the asker would run it.
+    /// Where the caller would run the request.
     pub asker: RunLocation,
-    /// Whether the asker runs it already, so that the home only takes note.
+    /// Whether the caller runs the request already, so that the home only records it.
     #[serde(rename = "runs", default)]
     pub is_running: bool,
 }
 
-/// Takes back what the home noted, after a refusal.
+/// Removes the home's record of a request that was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForgetRun {
-    /// The key.
+    /// The key of the refused request.
     pub key: ClaimKey,
-    /// Where it would have run.
+    /// Where the request would have run.
     pub run: RunLocation,
 }
 
-/// Asks for what came of a request since a token; waits for more where it runs still.
+/// Asks for a request's answer from a given token on; blocks for more while the request is running.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowRun {
-    /// The key.
+    /// The key of the request.
     pub key: ClaimKey,
-    /// The first token that is wanted.
+    /// The index of the first token to return.
     pub from: u32,
-    /// How long to wait for more.
+    /// How long the call may block until more tokens exist.
     pub wait: Millis,
 }
 
-/// What came of a request.
+/// The reply to a [`FollowRun`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "run", rename_all = "snake_case")]
 pub enum FollowReply {
-    /// It is not known here.
+    /// The called entry instance has no record of the request.
     Unknown,
-    /// More of a model's answer.
+    /// The next part of a model's answer.
     More(AnswerPart),
-    /// The whole answer of a plain service, or an endpoint's error answer.
+    /// The complete answer of a plain service, or an endpoint's error answer.
     Reply(HttpReply),
-    /// It was given up.
+    /// The request failed.
     Failed(FailedRun),
-    /// It runs at another entry instance.
+    /// The request runs at another entry instance.
     Moved {
-        /// Its peer address, `IP:PORT`.
+        /// That entry instance's peer address, `IP:PORT`.
         address: Name,
     },
 }
@@ -86,61 +86,61 @@
 pub struct AnswerPart {
     /// The completion's id.
     pub id: Option<String>,
-    /// The completion's time.
+    /// The completion's `created` time.
     pub created: u64,
-    /// The texts of the tokens from the one that was asked for, as in JSON between the quotes.
+    /// The texts of the tokens from the requested one on, escaped as JSON strings without the quotes.
     pub escaped: Vec<String>,
-    /// Why the answer ended, once it did.
+    /// The reason why the answer ended, once it has.
     pub finish: Option<String>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: Option<u32>,
-    /// Whether the answer is whole with these tokens.
+    /// Whether these tokens complete the answer.
     pub whole: bool,
 }
 
-/// A whole HTTP answer.
+/// A complete HTTP answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpReply {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// Headers that concern the caller.
+    /// The headers that are forwarded to the caller.
     pub headers: Vec<ReplyHeader>,
-    /// The body.
+    /// The complete body.
     pub body: ReplyBody,
 }
 
-/// A header that is passed on.
+/// A response header that is forwarded to the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplyHeader {
-    /// Its name in lower case.
+    /// The header's name in lower case.
     pub name: String,
-    /// Its value.
+    /// The header's value.
     pub value: String,
 }
 
-/// The body of a whole HTTP answer.
+/// The body of a complete HTTP answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplyBody {
-    /// Text.
+    /// A body that is valid UTF-8.
     Text(String),
-    /// Anything else.
+    /// Any other body.
     Bytes(Vec<u8>),
 }
 
-/// How a request failed.
+/// The error of a failed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedRun {
-    /// For programs.
+    /// A code for programs.
     pub code: ErrorCode,
-    /// For people.
+    /// A description for people.
     pub message: String,
-    /// When to come back.
+    /// How long the caller should wait before it retries.
     pub retry_after: Option<Millis>,
 }
 
 impl HttpReply {
-    /// Makes a JSON answer.
+    /// Creates an answer with a JSON body.
     pub fn json(status: u16, body: String) -> Self {
         let headers = vec![ReplyHeader::new("content-type", "application/json")];
         Self { status, headers, body: ReplyBody::Text(body) }
@@ -148,14 +148,14 @@
 }
 
 impl ReplyHeader {
-    /// Makes a header.
+    /// Creates a header; `name` must be in lower case.
     pub fn new(name: &str, value: &str) -> Self {
         Self { name: name.to_owned(), value: value.to_owned() }
     }
 }
 
 impl ReplyBody {
-    /// Makes a body of any bytes.
+    /// Creates a body: text if the bytes are valid UTF-8, raw bytes otherwise.
     pub fn new(bytes: &[u8]) -> Self {
         match std::str::from_utf8(bytes) {
             Ok(text) => Self::Text(text.to_owned()),
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Returns the bytes.
+    /// Returns the bytes of the body.
     pub fn as_bytes(&self) -> &[u8] {
         match self {
             Self::Text(text) => text.as_bytes(),
--- a/protocol/wire/src/header.rs
+++ b/protocol/wire/src/header.rs
@@ -1,43 +1,43 @@
-//! Names of HTTP headers, in the lower case that the libraries use.
+//! Names of HTTP headers, in lower case as the HTTP libraries use them.
 
-/// Names a keyed request of a client account.
+/// The caller's idempotency key, unique within its client account.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// `false` marks a request that must not be repeated.
 pub const IDEMPOTENT: &str = "sill-idempotent";
 
-/// `low`, `normal` or `high`.
+/// The request's priority: `low`, `normal` or `high`.
 pub const PRIORITY: &str = "sill-priority";
 
-/// Time in which the caller wants the whole answer, in milliseconds.
+/// The time within which the caller needs the complete answer, in milliseconds.
 pub const DEADLINE_MS: &str = "sill-deadline-ms";
 
-/// Names the request in answers, logs and ledgers.
+/// The id of the request in answers, logs and ledgers.
 pub const REQUEST_ID: &str = "sill-request-id";
 
-/// Which attempt of the request an endpoint is given.
+/// The number of the request's attempt, sent to endpoints.
 pub const ATTEMPT: &str = "sill-attempt";
 
-/// `true` on a refusal that is certified as not run.
+/// `true` on a refusal that guarantees that the request has not run.
 pub const NOT_RUN: &str = "sill-not-run";
 
-/// The endpoint that ends a stream early because it is leaving says so here or in a trailer event.
+/// Set by an endpoint that ends a stream early because it is leaving; a trailer event may say the same.
 pub const LEAVING: &str = "sill-leaving";
 
-/// Whole seconds after which to come back.
+/// The number of whole seconds after which to retry.
 pub const RETRY_AFTER: &str = "retry-after";
 
-/// Names a settings change, so that it can be sent again.
+/// The id of a settings change, which makes retries of the change idempotent.
 pub const CHANGE_ID: &str = "change-id";
 
 /// The content type of streamed answers.
 pub const EVENT_STREAM: &str = "text/event-stream";
 
-/// The id of the last event that a caller who came back has got.
+/// The id of the last event that a reconnecting caller has received.
 pub const LAST_EVENT_ID: &str = "last-event-id";
 
-/// Names the endpoint that a request is meant for; any other refuses it without running it.
+/// The endpoint that a request is addressed to; any other endpoint refuses it without running it.
 pub const ENDPOINT: &str = "sill-endpoint";
 
-/// Names the caller's account, for endpoints.
+/// The caller's client account, sent to endpoints.
 pub const ACCOUNT: &str = "sill-account";
--- a/protocol/wire/src/lib.rs
+++ b/protocol/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed messages between callers, endpoints, operators and our own processes.
+//! Typed messages between callers, endpoints, operators and the processes of the system.
 
 pub mod announce;
 pub mod call;
--- a/protocol/wire/src/limits.rs
+++ b/protocol/wire/src/limits.rs
@@ -1,4 +1,4 @@
-//! What entry instances tell each other about the demand of client accounts.
+//! Calls by which entry instances exchange the demand of client accounts.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Millis, Name};
@@ -6,51 +6,51 @@
 use crate::announce::Incarnation;
 use crate::call::Call;
 
-/// Demand of one client account at one place.
+/// The demand of one client account, at one entry instance or summed over several.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountDemand {
     /// The client account.
     pub account: Name,
-    /// Requests asked for in a second, admitted or not.
+    /// Requested requests per second, admitted or not.
     pub requests_per_s: f64,
-    /// Tokens asked for in a second, admitted or not.
+    /// Requested tokens per second, admitted or not.
     pub tokens_per_s: f64,
-    /// Entry instances that the figures add up.
+    /// Number of entry instances that the rates are summed over.
     pub entries: u32,
 }
 
-/// The demand at an entry instance, or summed over a failure domain.
+/// The demand of client accounts at an entry instance, or summed over a failure domain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DemandReport {
-    /// Who reports.
+    /// The reporting entry instance.
     pub entry: Name,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its failure domain.
     pub domain: Name,
     /// Grows with each report.
     pub sequence: u64,
-    /// How old the oldest figure in it is.
+    /// Age of the oldest rate in the report.
     pub age: Millis,
-    /// Accounts with any demand.
+    /// The accounts with any demand.
     pub accounts: Vec<AccountDemand>,
 }
 
-/// Gives a report and asks for the ones of all others.
+/// Sends demand reports and requests those that the called entry instance has.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DemandExchange {
-    /// The reports that the caller passes on, its own first.
+    /// The reports that the caller relays, its own first.
     pub reports: Vec<DemandReport>,
-    /// Whether it was passed on to the one that adds up its failure domain, which must not pass it
-    /// on again.
+    /// Whether the call was forwarded to the entry instance that sums up its failure domain, which
+    /// must not forward it again.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub forwarded: bool,
 }
 
-/// The reports that the called entry knows.
+/// The demand reports that the called entry instance has.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DemandReply {
-    /// Its own first.
+    /// The reports, that of the called entry instance first.
     pub reports: Vec<DemandReport>,
 }
 
--- a/protocol/wire/src/link.rs
+++ b/protocol/wire/src/link.rs
@@ -1,4 +1,4 @@
-//! What entry instances that serve routes and control instances say to each other.
+//! Calls between entry instances that serve routes and control instances.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,283 +11,290 @@
 use crate::control::Revision;
 use crate::settings::Manifest;
 
-/// Where an endpoint is in its life.
+/// The lifecycle state of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// The endpoint finishes its requests in flight and accepts no new ones.
     Leaving,
-    /// It has not been heard of for several heartbeats.
+    /// No heartbeat has arrived for several heartbeat intervals.
     Silent,
-    /// It has said that it ends.
+    /// The endpoint has reported its end.
     Gone,
 }
 
-/// What is known of one life of an endpoint, from its newest heartbeat.
+/// The state of one incarnation of an endpoint, from its newest heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointFact {
-    /// Its name. An endpoint may start again under the name that it had.
+    /// The endpoint's name. A restarted endpoint may use the same name again.
     pub endpoint: Name,
-    /// When it started; the default where it doesn't tell. Name and start together are one life: what is
-    /// known of an earlier one says nothing about this one.
+    /// The start time of the endpoint, or the default if it doesn't report one. Name and start time
+    /// identify an incarnation: the state of an earlier incarnation says nothing about a later one.
     #[serde(rename = "born", default)]
     pub incarnation: Incarnation,
     /// The service that it belongs to.
     pub service: Name,
     /// Its failure domain.
     pub domain: Name,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// Requests that it runs side by side.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Grows with each heartbeat of one life.
+    /// Grows with each heartbeat of an incarnation.
     pub sequence: u64,
-    /// Where it is in its life.
+    /// The lifecycle state.
     pub state: EndpointState,
-    /// Whether the platform may take it back.
+    /// Whether the platform may reclaim its instance.
     pub reclaimable: bool,
-    /// Time left when the heartbeat came, where the platform told it.
+    /// Time left until its instance is reclaimed, counted from the heartbeat's arrival, if the platform
+    /// has announced it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leaves_in: Option<Millis>,
-    /// How long ago the heartbeat came.
+    /// Time since the heartbeat arrived.
     pub age: Millis,
 }
 
-/// Where a control instance is reached.
+/// The name and addresses of a control instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlInfo {
     /// Its name.
     pub name: Name,
     /// Its failure domain.
     pub domain: Name,
-    /// Where our own processes reach it.
+    /// The address for other processes of the system.
     pub peer: SocketAddr,
-    /// Where operators and endpoints reach it.
+    /// The address for operators and endpoints.
     pub address: SocketAddr,
 }
 
-/// A place in the sequence of endpoint changes of one control instance.
+/// A position in the sequence of endpoint changes of one control instance.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The life of the control instance.
+    /// The incarnation of the control instance; a cursor is void in any other.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// The last change that was taken in.
+    /// The number of the last change that was received.
     pub change: u64,
-    /// The last load of an endpoint that was taken in.
+    /// The number of the last endpoint load that was received.
     #[serde(default)]
     pub load: u64,
 }
 
-/// The load of an endpoint, as it told it with an answer.
+/// The load of an endpoint, as the endpoint reported it with an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLoad {
     /// The endpoint.
     #[serde(rename = "e")]
     pub endpoint: Name,
-    /// Its life.
+    /// Its incarnation.
     #[serde(rename = "b", default, skip_serializing_if = "is_default")]
     pub incarnation: Incarnation,
-    /// Requests that it ran.
+    /// Number of requests that were running.
     #[serde(rename = "r")]
     pub running: u32,
-    /// Requests that waited there.
+    /// Number of requests that were queued.
     #[serde(rename = "q", default, skip_serializing_if = "is_default")]
     pub queued: u32,
-    /// How long ago it said so.
+    /// Time since the endpoint reported it.
     #[serde(rename = "a")]
     pub age: Millis,
 }
 
-/// Requests that began to run in one window of time, by client account.
+/// The number of requests that started in one time window, by client account.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowUsage {
     /// The number of the window.
     pub window: u64,
-    /// Requests by account.
+    /// Number of requests by client account.
     pub counts: BTreeMap<Name, u64>,
 }
 
-/// What one client account asks for at an entry instance, in the unit of its limit.
+/// The demand of one client account at an entry instance, in the unit of its limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountReport {
-    /// The account.
+    /// The client account.
     pub account: Name,
-    /// Asked for in a second, admitted or not.
+    /// Requested amount per second, admitted or not.
     pub asked_per_s: f64,
-    /// Admitted in the last [`LIMIT_WINDOW`].
+    /// Amount admitted in the last [`LIMIT_WINDOW`].
     pub admitted: f64,
-    /// Admitted in a second, of late.
+    /// Recent rate of admission, per second.
     pub admitted_per_s: f64,
-    /// The same by seconds, the newest first, of an account that is not far below its limit. It tells what is
-    /// left in the window some time later, when the entry instance may be gone.
+    /// The admitted amount by seconds, newest first, for an account that is not far below its limit. It
+    /// shows how much is still inside the window some time later, when the entry instance may be gone.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub by_second: Vec<u64>,
-    /// The part of the limit that the entry instance gives out, also while it is cut off.
+    /// The share of the limit that the entry instance admits by itself, also while it is partitioned
+    /// from the control instances.
     pub share: f64,
 }
 
-/// The work of one service at an entry instance.
+/// The load of one service at an entry instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceReport {
-    /// The service.
+    /// The service's name.
     pub service: Name,
-    /// Requests at its endpoints.
+    /// Number of requests in flight at its endpoints.
     pub running: u32,
-    /// Prompt tokens sent in a second that were not thought to be cached.
+    /// Prompt tokens sent per second that were expected to be absent from the prefix cache.
     pub fresh_tokens_per_s: f64,
-    /// Requests refused in a second for want of room.
+    /// Requests refused per second for lack of capacity.
     pub refused_per_s: f64,
-    /// What was learned here of its engines' speed, if anything.
+    /// The entry instance's estimate of its engines' speed, if there is one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub speed: Option<EngineSpeed>,
 }
 
-/// What is known of the speed of a service's engines.
+/// An estimate of the speed of a service's engines.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpeed {
-    /// Prompt tokens that an engine reads in a second.
+    /// Prefill throughput of an engine, in tokens per second.
     pub prefill_tokens_per_s: f64,
-    /// How often the figure was learned anew; never, and it is presumed.
+    /// The number of fits of measurements behind the estimate; at 0 the speed is only presumed.
     #[serde(rename = "lines")]
     pub fits: u32,
 }
 
-/// What an entry instance tells of itself.
+/// The regular report of an entry instance to the control instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntryReport {
-    /// The entry instance.
+    /// The reporting entry instance.
     pub entry: Name,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its failure domain.
     pub domain: Name,
     /// Grows with each report.
     pub sequence: u64,
-    /// Its time of day.
+    /// The time of its wall clock.
     pub wall: Millis,
-    /// How long its process had been up.
+    /// The uptime of its process; absent in reports of older versions.
     #[serde(rename = "up", default, skip_serializing_if = "Option::is_none")]
     pub uptime: Option<Millis>,
-    /// How many entry instances it was told of lately; 0 if it was not. A control instance that begins to lead
-    /// without any memory learns of those that are cut off by this alone.
+    /// The number of entry instances in the totals that it received last, or 0 if it has received none
+    /// lately. This is the only way in which a control instance that becomes leader without prior state
+    /// learns of partitioned entry instances.
     #[serde(default, skip_serializing_if = "is_default")]
     pub entries: u32,
-    /// How old the report was when another control instance passed it on.
+    /// Age of the report when another control instance relayed it.
     #[serde(default, skip_serializing_if = "is_default")]
     pub age: Millis,
-    /// Usage of the newest windows, counted from the start of each.
+    /// Usage in the newest windows, each counted from the window's start.
     pub usage: Vec<WindowUsage>,
-    /// Demand by account.
+    /// Demand by client account.
     pub accounts: Vec<AccountReport>,
-    /// Work by service.
+    /// Load by service.
     pub services: Vec<ServiceReport>,
-    /// Loads that endpoints told it of late.
+    /// Loads that endpoints have recently reported to it.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub loads: Vec<EndpointLoad>,
 }
 
-/// A waiting call by which an entry instance gets what is new.
+/// A long poll by which an entry instance receives updates from a control instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LinkPoll {
-    /// The newest revision of the served settings that it runs, or that the called instance told it of.
+    /// The newest revision of the served settings that the entry instance has applied, or that the
+    /// called instance has announced to it.
     pub have: Revision,
-    /// Up to where it knows this control instance's endpoint changes.
+    /// The position up to which it has received this control instance's endpoint changes.
     pub cursor: Cursor,
-    /// How long the call may wait for something new.
+    /// How long the call may block until there is an update.
     pub wait: Millis,
-    /// What it tells.
+    /// The entry instance's current report.
     pub report: EntryReport,
 }
 
-/// The demand for one account over all entry instances.
+/// The demand of one client account, summed over all entry instances.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountTotal {
-    /// The account.
+    /// The client account.
     pub account: Name,
-    /// Asked for in a second.
+    /// Requested amount per second.
     pub asked_per_s: f64,
-    /// Admitted in the last [`LIMIT_WINDOW`].
+    /// Amount admitted in the last [`LIMIT_WINDOW`].
     pub admitted: f64,
-    /// Admitted in a second, of late.
+    /// Recent rate of admission, per second.
     pub admitted_per_s: f64,
-    /// The part of the limit that entry instances give out which are not heard of now. The demand above is
-    /// that of the others; what they are known to have admitted is in the sum.
+    /// The share of the limit held by entry instances that send no reports at present. The demand above
+    /// is that of the other instances; `admitted` includes what these are known to have admitted.
     pub held: f64,
-    /// What may have been admitted in the last [`LIMIT_WINDOW`] of which no report tells, in seconds of the
-    /// limit. Where it is missing, those that hold a part had it for the whole window.
+    /// The amount that may have been admitted in the last [`LIMIT_WINDOW`] without a report, in seconds
+    /// of the limit. If it is absent, instances that hold a share are assumed to have held it for the
+    /// whole window.
     #[serde(rename = "untold_s", default, skip_serializing_if = "Option::is_none")]
     pub unreported_s: Option<f64>,
 }
 
-/// The demand over all entry instances, as the leader adds it up.
+/// The demand of all client accounts over all entry instances, as summed up by the leader.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Totals {
-    /// How old the figures are.
+    /// Age of the totals.
     pub age: Millis,
-    /// Entry instances, with those that may be cut off.
+    /// Number of entry instances, including those that may be partitioned.
     pub entries: u32,
-    /// What may have been admitted in the last [`LIMIT_WINDOW`] for an account that no report names, in
-    /// seconds of its limit.
+    /// The amount that may have been admitted in the last [`LIMIT_WINDOW`] for an account that is in no
+    /// report, in seconds of its limit.
     #[serde(rename = "untold_s", default, skip_serializing_if = "is_default")]
     pub unreported_s: f64,
-    /// Demand by account.
+    /// Demand by client account.
     pub accounts: Vec<AccountTotal>,
 }
 
-/// What is new for an entry instance.
+/// The updates for an entry instance, in reply to a [`LinkPoll`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LinkReply {
-    /// What newer settings are made of, if there are any. Were the settings themselves told here, a slow
-    /// link would hold up totals and departures of endpoints for as long as it takes them.
+    /// The pieces of newer settings, if there are any. The settings themselves are fetched separately:
+    /// on a slow link, their transfer would delay totals and departures of endpoints.
     pub settings: Option<Manifest>,
-    /// Up to where the changes go.
+    /// The position up to which this reply contains endpoint changes.
     pub cursor: Cursor,
-    /// Endpoints that changed.
+    /// The endpoints that changed.
     pub endpoints: Vec<EndpointFact>,
-    /// Loads that endpoints told others of late.
+    /// Loads that endpoints have recently reported to other entry instances.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub loads: Vec<EndpointLoad>,
-    /// All control instances that are known.
+    /// All known control instances.
     pub controls: Vec<ControlInfo>,
     /// The demand over all entry instances, if a leader is known.
     pub totals: Option<Totals>,
-    /// True time of day, as the median of all clocks.
+    /// The true time of day: the median of all wall clocks.
     pub true_time: Millis,
-    /// Whether this control instance hears a leader; without one its settings may be old.
+    /// Whether this control instance is in contact with a leader; without one its settings may be
+    /// outdated.
     #[serde(rename = "is_led")]
     pub has_leader: bool,
 }
 
-/// What a control instance passes on to another.
+/// The updates that a control instance relays to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControlSync {
-    /// Who tells.
+    /// The sending control instance.
     pub from: ControlInfo,
-    /// Its life.
+    /// Its incarnation.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// Its time of day.
+    /// The time of its wall clock.
     pub wall: Millis,
-    /// Endpoints that it heard since the last call.
+    /// Endpoints that it has received heartbeats of since the last call.
     pub endpoints: Vec<EndpointFact>,
-    /// Reports of entry instances, for the leader.
+    /// Reports of entry instances, sent to the leader.
     pub reports: Vec<EntryReport>,
-    /// Demand over all entry instances, from the leader.
+    /// The demand over all entry instances, sent by the leader.
     pub totals: Option<Totals>,
 }
 
-/// The answer to a [`ControlSync`].
+/// The reply to a [`ControlSync`].
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ControlSyncReply {
-    /// The life of who answers; another one than before lacks all that was told.
+    /// The incarnation of the replying control instance. If it has changed, that instance lacks all
+    /// updates sent before.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
 }
 
-/// The span over which admitted amounts are summed.
+/// The length of the sliding window over which admitted amounts are summed.
 pub const LIMIT_WINDOW: Millis = Millis(8000);
 
 impl Call for LinkPoll {
@@ -302,7 +309,7 @@
     const METHOD: &'static str = "control_sync";
 }
 
-/// Short messages name only what differs from the usual.
+/// Skips fields with their default value, to keep frequent messages short.
 fn is_default<T>(value: &T) -> bool
 where
     T: Default + PartialEq,
--- a/protocol/wire/src/priority.rs
+++ b/protocol/wire/src/priority.rs
@@ -2,23 +2,23 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How a request is placed against others when capacity is short.
+/// The rank of a request among others when capacity is short.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Served when nothing else waits.
+    /// Served when no request of a higher priority is waiting.
     Low,
-    /// The default.
+    /// The priority of requests that set none.
     #[default]
     Normal,
-    /// Served before all others.
+    /// Served before all other requests.
     High,
 }
 
 impl Priority {
-    /// Reads the value of the priority header.
+    /// Parses the value of the priority header; returns `None` for an unknown value.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "low" => Some(Self::Low),
--- a/protocol/wire/src/settings.rs
+++ b/protocol/wire/src/settings.rs
@@ -1,5 +1,5 @@
-//! Settings on their way from control instances to entry instances that serve routes: cut into pieces,
-//! each named by what it holds, and fetched apart from the polls.
+//! Transfer of settings from control instances to entry instances that serve routes: split into pieces
+//! that are identified by their content and fetched separately from the polls.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{CompressedText, Millis};
@@ -8,44 +8,45 @@
 use crate::call::Call;
 use crate::control::Revision;
 
-/// What one revision of the served settings is made of.
+/// The list of pieces that make up one revision of the served settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// The revision.
+    /// The revision that the pieces make up.
     pub revision: Revision,
-    /// True time at which it was cut into pieces, right after it was committed or read from disk.
+    /// True time at which the revision was split into pieces, right after it was committed or read
+    /// from disk.
     pub cut_at: Millis,
-    /// Its pieces.
+    /// The ids of its pieces.
     pub pieces: Vec<PieceId>,
 }
 
-/// A piece of settings.
+/// A piece of the settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Piece {
-    /// Its name.
+    /// The id, derived from the text.
     pub id: PieceId,
-    /// Its text: a document that holds a part of the settings.
+    /// The text: a document that contains a part of the settings.
     pub text: CompressedText,
 }
 
 impl Piece {
-    /// Makes the piece with a text.
+    /// Creates the piece with this text; it is compressed for the transfer.
     pub fn new(text: &str) -> Self {
         Self { id: PieceId::of(text), text: CompressedText::new(text) }
     }
 }
 
-/// Asks for pieces.
+/// Requests pieces of the settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PiecesRequest {
-    /// Their names.
+    /// The ids of the requested pieces.
     pub pieces: Vec<PieceId>,
 }
 
-/// The answer to a [`PiecesRequest`].
+/// The reply to a [`PiecesRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PiecesReply {
-    /// The first of those asked for that are at hand, as many as fit in a short answer.
+    /// The first of the requested pieces that are available, as many as fit in a short reply.
     pub pieces: Vec<Piece>,
 }
 
--- a/protocol/wire/tests/chat_random.rs
+++ b/protocol/wire/tests/chat_random.rs
@@ -1,5 +1,5 @@
-//! Random request bodies: reading never panics, what is accepted is within bounds, and what is
-//! refused is named.
+//! Random request bodies: reading never panics, accepted values are within bounds, and each refusal
+//! names the field.
 
 use proptest::collection::{btree_map, vec};
 use proptest::prelude::*;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn any_body_is_accepted_within_bounds_or_refused_with_places() {
+fn a_random_body_is_accepted_within_bounds_or_refused_with_places() {
     let run = runner(3000).run(&any_json(), |body| {
         match ChatSummary::read(&body) {
             Ok(summary) => {
@@ -63,12 +63,13 @@
         }
         Ok(())
     });
-    run.expect("every body");
+    run.expect("the property holds for every body");
 }
 
-/// Fields that the system doesn't read go on to the engine, and must not change what it reads.
+/// Fields that the system doesn't read are forwarded to the engine; they must not change what it reads
+/// from the others.
 #[test]
-fn sound_bodies_with_any_other_fields_are_read_alike() {
+fn valid_bodies_are_read_alike_whatever_their_other_fields() {
     let run = runner(500).run(&(any_json(), 1u32..MAX_MAX_TOKENS), |(other, max_tokens)| {
         let body = json!({
             "model": "m",
@@ -77,11 +78,11 @@
             "temperature": other,
             "tools": other,
         });
-        let summary = ChatSummary::read(&body).expect("a sound body");
+        let summary = ChatSummary::read(&body).expect("the body is valid");
         prop_assert_eq!(summary.max_tokens, max_tokens);
         prop_assert!(!summary.stream && !summary.include_usage);
         prop_assert_eq!(summary.prompt.as_str(), "user: hi\n");
         Ok(())
     });
-    run.expect("every body");
+    run.expect("the property holds for every body");
 }
--- a/protocol/wire/tests/reports.rs
+++ b/protocol/wire/tests/reports.rs
@@ -1,18 +1,18 @@
-//! Reports between instances of two versions, as they meet in an upgrade.
+//! Reports exchanged between instances of two versions during an upgrade.
 
 use sill_wire::link::{EntryReport, Totals};
 
-/// Entry instances and control instances are upgraded one after the other; reports that can't be read would leave
-/// those of the older version without settings.
+/// Guards against new required fields: instances are upgraded one after the other, and an unreadable
+/// report would leave entry instances of the older version without settings.
 #[test]
-fn reports_and_totals_of_the_version_before_are_read() {
+fn reports_and_totals_of_the_previous_version_are_readable() {
     let report = r#"{"entry":"e1","incarnation":7,"domain":"a","sequence":3,"wall":9,"usage":[],"accounts":[
         {"account":"desk","asked_per_s":1.5,"admitted":12.0,"admitted_per_s":1.0,"share":0.25}],"services":[]}"#;
-    let report: EntryReport = serde_json::from_str(report).expect("it is read");
+    let report: EntryReport = serde_json::from_str(report).expect("the old report is readable");
     assert_eq!((report.uptime, report.entries), (None, 0));
     assert!(report.accounts[0].by_second.is_empty());
     let totals = r#"{"age":5,"entries":8,"accounts":[
         {"account":"desk","asked_per_s":1.5,"admitted":12.0,"admitted_per_s":1.0,"held":0.25}]}"#;
-    let totals: Totals = serde_json::from_str(totals).expect("it is read");
+    let totals: Totals = serde_json::from_str(totals).expect("the old totals are readable");
     assert_eq!(totals.accounts[0].unreported_s, None);
 }
--- a/state/base/src/compressed.rs
+++ b/state/base/src/compressed.rs
@@ -1,7 +1,7 @@
-//! Large texts, compressed into short ones that any message can carry.
+//! Large texts in a compressed form that fits into any message.
 //!
-//! Settings repeat themselves, and take a tenth of their length. What is packed once is written, replicated
-//! and sent to many readers without being escaped or compressed again.
+//! Settings are repetitive and compress to a tenth of their length. A text is compressed once and then
+//! stored, replicated and sent to many readers without being escaped or compressed again.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
@@ -12,79 +12,81 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use serde::{Deserialize, Serialize};
 
-/// Compression level: higher ones take more time and save nothing on settings.
-const LEVEL: i32 = 1;
+/// The zstd compression level: higher levels take more time and save nothing on settings.
+const COMPRESSION_LEVEL: i32 = 1;
 
-/// The longest text that is unpacked, in bytes. A damaged or hostile one could claim to be far longer
+/// The maximum length of a decompressed text, in bytes. A corrupt or hostile text could expand to more
 /// than the memory of the instance that reads it.
-const MAX_TEXT: u64 = 64 << 20;
+const MAX_TEXT_BYTES: u64 = 64 << 20;
 
-/// Texts shorter than this, in bytes, are better left as they are: people can read them in a log.
+/// The length in bytes from which texts are compressed. Shorter texts are left as they are, so that
+/// people can read them in a log.
 pub const COMPRESSION_THRESHOLD: usize = 2048;
 
-/// How every short form begins; no JSON text does.
-const FRAME_START: &str = "KLUv/";
+/// The start of every compressed text, the zstd magic number in base64; no JSON text starts with it.
+const COMPRESSED_PREFIX: &str = "KLUv/";
 
-/// A text in its short form. Clones share it.
+/// A text in compressed form: a zstd frame in base64. Clones share one allocation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CompressedText(Arc<str>);
 
-/// A short form that stands for no text.
+/// The error of a compressed text that is corrupt or decompresses to more than 64 MiB.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DecompressError;
 
 impl CompressedText {
-    /// Packs a text.
+    /// Compresses a text.
     ///
     /// # Panics
     ///
-    /// Panics when memory for it can't be had.
+    /// Panics if memory can't be allocated.
     pub fn new(text: &str) -> Self {
-        let short = zstd::bulk::compress(text.as_bytes(), LEVEL);
-        let short = short.expect("compressing fails only for want of memory");
-        Self(STANDARD_NO_PAD.encode(short).into())
+        let frame = zstd::bulk::compress(text.as_bytes(), COMPRESSION_LEVEL);
+        let frame = frame.expect("compression fails only if memory can't be allocated");
+        Self(STANDARD_NO_PAD.encode(frame).into())
     }
 
-    /// Returns the text.
+    /// Returns the decompressed text.
     ///
     /// # Errors
     ///
-    /// Fails when the short form is damaged, or its text longer than 64 MiB.
+    /// Fails if the compressed form is corrupt, or if the text is longer than 64 MiB.
     pub fn decompress(&self) -> Result<String, DecompressError> {
-        let short = STANDARD_NO_PAD.decode(&*self.0).map_err(|_| DecompressError)?;
-        let unpacked = zstd::Decoder::new(&*short).map_err(|_| DecompressError)?;
+        let frame = STANDARD_NO_PAD.decode(&*self.0).map_err(|_| DecompressError)?;
+        let decoder = zstd::Decoder::new(&*frame).map_err(|_| DecompressError)?;
         let mut text = String::new();
-        let read = unpacked.take(MAX_TEXT + 1).read_to_string(&mut text);
-        let is_whole = read.is_ok_and(|len| len as u64 <= MAX_TEXT);
-        is_whole.then_some(text).ok_or(DecompressError)
+        let read = decoder.take(MAX_TEXT_BYTES + 1).read_to_string(&mut text);
+        let is_complete = read.is_ok_and(|len| len as u64 <= MAX_TEXT_BYTES);
+        is_complete.then_some(text).ok_or(DecompressError)
     }
 
-    /// Returns the length of the short form, in bytes.
+    /// Returns the length of the compressed form, in bytes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Returns whether there is no short form at all.
+    /// Returns whether the compressed form is empty, which is never valid.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// Writes a long text packed and a short one as it is, and reads both; for fields of messages.
+/// Serde functions for text fields of messages: long texts are compressed, short ones written as they
+/// are, and both forms are read.
 pub mod text {
     use std::sync::Arc;
 
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-    use super::{COMPRESSION_THRESHOLD, CompressedText, FRAME_START};
+    use super::{COMPRESSED_PREFIX, COMPRESSION_THRESHOLD, CompressedText};
 
-    /// Writes it.
+    /// Serializes a text, compressed if it has at least [`COMPRESSION_THRESHOLD`] bytes.
     ///
     /// # Errors
     ///
-    /// Fails where the serializer does.
+    /// Fails if the serializer fails.
     pub fn serialize<S>(text: &Arc<str>, serializer: S) -> Result<S::Ok, S::Error>
     where
         S: Serializer,
@@ -95,17 +97,17 @@
         }
     }
 
-    /// Reads it, packed or as it is.
+    /// Deserializes a text from either form.
     ///
     /// # Errors
     ///
-    /// Fails where it is damaged, or no text.
+    /// Fails if the value is not a string, or if its compressed text is corrupt or too long.
     pub fn deserialize<'de, D>(deserializer: D) -> Result<Arc<str>, D::Error>
     where
         D: Deserializer<'de>,
     {
         let text = Arc::<str>::deserialize(deserializer)?;
-        if !text.starts_with(FRAME_START) {
+        if !text.starts_with(COMPRESSED_PREFIX) {
             return Ok(text);
         }
         let text = CompressedText(text).decompress().map_err(D::Error::custom)?;
@@ -115,7 +117,7 @@
 
 impl Display for DecompressError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        f.write_str("the packed text is damaged")
+        f.write_str("the compressed text is corrupt or longer than 64 MiB")
     }
 }
 
--- a/state/base/src/event.rs
+++ b/state/base/src/event.rs
@@ -1,10 +1,10 @@
-//! Log lines of key=value pairs, one for each event.
+//! Structured log lines: one line of `key=value` pairs per event.
 
 use std::fmt::{Display, Write};
 
-/// Adds ` key=value` to a line, quoted and escaped where needed.
+/// Appends ` key=value` to a line, with the value quoted and escaped if necessary.
 ///
-/// Callers choose some of the values; an unescaped line break or quote would let them forge a line.
+/// Callers choose some of the values; an unescaped line break or quote would let them forge log lines.
 pub fn push_pair<V>(line: &mut String, key: &str, value: V)
 where
     V: Display,
@@ -19,7 +19,9 @@
     }
 }
 
-/// Logs one event: `event!(Info, "endpoint_ready", name = x, domain = y)`.
+/// Logs an event with its fields: `event!(Info, "endpoint_ready", name = x, domain = y)`.
+///
+/// The values are only evaluated if the level is enabled.
 #[macro_export]
 macro_rules! event {
     ($level:ident, $name:literal $(, $key:ident = $value:expr)* $(,)?) => {
--- a/state/base/src/findings.rs
+++ b/state/base/src/findings.rs
@@ -1,31 +1,31 @@
-//! Faults of an input, collected with their place and reported together.
+//! Errors of an input, collected with their place and reported together.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 
-/// One fault and where it stands.
+/// An error of an input and its place.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Finding {
-    /// A flag, a path in a document, or a field of a request body.
+    /// The place of the error: a flag, a path in a document, or a field of a request body.
     pub place: String,
-    /// What is wrong and what would be right.
+    /// A description of the error and of what was expected.
     pub reason: String,
 }
 
-/// All faults of one input, in the order they were met.
+/// All errors of one input, in the order in which they were found.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// Returns an empty list.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Makes a list of a single finding.
+    /// Creates a list of a single finding.
     pub fn one<P, R>(place: P, reason: R) -> Self
     where
         P: Into<String>,
@@ -36,7 +36,7 @@
         findings
     }
 
-    /// Adds a finding.
+    /// Appends a finding.
     pub fn add<P, R>(&mut self, place: P, reason: R)
     where
         P: Into<String>,
@@ -45,12 +45,12 @@
         self.0.push(Finding { place: place.into(), reason: reason.into() });
     }
 
-    /// Adds all findings of another list.
+    /// Appends all findings of another list.
     pub fn extend(&mut self, other: Findings) {
         self.0.extend(other.0);
     }
 
-    /// Returns whether nothing was found.
+    /// Returns whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -60,16 +60,16 @@
         self.0.len()
     }
 
-    /// Iterates over the findings.
+    /// Iterates over the findings in the order in which they were found.
     pub fn iter(&self) -> impl Iterator<Item = &Finding> {
         self.0.iter()
     }
 
-    /// Turns the list into `Ok(value)` when empty, or into an error.
+    /// Returns `Ok(value)` if the list is empty.
     ///
     /// # Errors
     ///
-    /// Returns the list itself when it holds any finding.
+    /// Returns the list itself if it contains any finding.
     pub fn into_result<T>(self, value: T) -> Result<T, Findings> {
         if self.is_empty() { Ok(value) } else { Err(self) }
     }
--- a/state/base/src/lib.rs
+++ b/state/base/src/lib.rs
@@ -1,4 +1,4 @@
-//! Ground types that every layer shares: clock, names, maps, findings, seeded randomness, promises.
+//! Basic types that all layers share: clock, names, maps, findings, seeded randomness, promises.
 
 pub mod clock;
 pub mod compressed;
@@ -12,7 +12,7 @@
 pub mod recent_max;
 pub mod recent_times;
 pub mod secret;
-mod spans;
+mod window_pair;
 
 pub use clock::{Clock, Millis};
 pub use compressed::CompressedText;
--- a/state/base/src/name.rs
+++ b/state/base/src/name.rs
@@ -1,4 +1,4 @@
-//! Shared immutable strings for names.
+//! Immutable, shared strings for names.
 
 use std::borrow::Borrow;
 use std::fmt::{self, Debug, Display, Formatter};
@@ -12,7 +12,7 @@
 pub struct Name(Arc<str>);
 
 impl Name {
-    /// Makes a name of any text.
+    /// Creates a name from any text, without checking it.
     pub fn new<S>(text: S) -> Self
     where
         S: Into<Arc<str>>,
@@ -20,17 +20,17 @@
         Self(text.into())
     }
 
-    /// Returns the text.
+    /// Returns the name as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// Returns whether the text is fit for a name that people choose: 1 to 64 characters out of
-    /// letters, digits, `-`, `_`, `.`, starting with a letter or digit.
+    /// Returns whether the text is valid as a name that people choose: 1 to 64 ASCII letters, digits,
+    /// `-`, `_` or `.`, starting with a letter or digit.
     pub fn is_well_formed(text: &str) -> bool {
-        let first_ok = text.chars().next().is_some_and(|c| c.is_ascii_alphanumeric());
-        let rest_ok = text.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
-        first_ok && rest_ok && text.len() <= 64
+        let is_first_valid = text.chars().next().is_some_and(|c| c.is_ascii_alphanumeric());
+        let are_all_valid = text.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
+        is_first_valid && are_all_valid && text.len() <= 64
     }
 }
 
--- a/state/base/src/promise.rs
+++ b/state/base/src/promise.rs
@@ -1,32 +1,32 @@
-//! The promises of the system, by the names that assertions, logs, metrics and tests use.
+//! The promises of the system: the guarantees that assertions, logs, metrics and tests refer to by name.
 
 use std::fmt::{self, Display, Formatter};
 
-/// What must hold at all times.
+/// A guarantee that must hold at all times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Promise {
     /// An accepted request survives every announced reclaim.
     AcceptedSurvives,
-    /// A caller gets the whole answer to its own request, once, in order.
+    /// A caller receives the complete answer to its own request, once, in order.
     WholeAnswer,
-    /// A refusal that says not-run means that no byte has left for an endpoint.
+    /// A refusal marked as not run means that no byte of the request was sent to an endpoint.
     NotRunIsTrue,
     /// A non-idempotent request is sent to at most one endpoint, ever.
     AtMostOnce,
-    /// A leaving endpoint gets no new work after two seconds.
+    /// An endpoint receives no new requests more than two seconds after it started leaving.
     LeavingGetsNothing,
-    /// A planned stop cuts off no request in flight.
+    /// A planned stop interrupts no request in flight.
     GracefulStop,
-    /// An accepted settings change is in force everywhere in seconds and never reverts.
+    /// An accepted settings change takes effect everywhere within seconds and never reverts.
     AcceptedChangeStays,
-    /// An order of a superseded control instance has no effect.
+    /// An order of a control instance that has lost its leadership has no effect.
     OneOrderer,
     /// A client account stays within its limit over all entry instances.
     AccountLimit,
 }
 
 impl Promise {
-    /// Every promise, in the order of the design page.
+    /// All promises, in the order of the design document.
     pub const ALL: [Self; 9] = [
         Self::AcceptedSurvives,
         Self::WholeAnswer,
@@ -39,7 +39,7 @@
         Self::AccountLimit,
     ];
 
-    /// Returns the name used in logs and metrics.
+    /// Returns the promise's name in logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::AcceptedSurvives => "accepted_survives",
@@ -61,10 +61,10 @@
     }
 }
 
-/// Panics, in release builds too, when a promise does not hold.
+/// Asserts that a promise holds; panics otherwise, in release builds too.
 ///
-/// Going on with a broken invariant would repeat or lose a request silently, so the process stops
-/// here, where the log still tells what led to it.
+/// With a broken invariant the process could silently repeat or lose a request, so it stops here, while
+/// the log still shows the cause.
 #[macro_export]
 macro_rules! keep {
     ($promise:expr, $cond:expr, $($arg:tt)+) => {
--- a/state/base/src/recent_max.rs
+++ b/state/base/src/recent_max.rs
@@ -1,21 +1,21 @@
-//! The largest figure of the last while.
+//! The maximum of recent values.
 
 use crate::Millis;
-use crate::spans::Spans;
+use crate::window_pair::WindowPair;
 
-/// The largest figure of the last one or two spans, without a history of them.
+/// The maximum of the values of the last one to two windows, without a history of them.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct RecentMax(Spans<f64>);
+pub struct RecentMax(WindowPair<f64>);
 
 impl RecentMax {
-    /// Takes in a figure, which is not negative.
-    pub fn record(&mut self, now: Millis, span: Millis, figure: f64) {
-        let newest = self.0.newest(now, span, 0.0);
-        *newest = newest.max(figure);
+    /// Records a value, which must not be negative.
+    pub fn record(&mut self, now: Millis, window: Millis, value: f64) {
+        let current = self.0.current_mut(now, window, 0.0);
+        *current = current.max(value);
     }
 
-    /// Returns the largest figure, unless none came for two spans.
-    pub fn max(&self, now: Millis, span: Millis) -> Option<f64> {
-        self.0.is_fresh(now, span).then(|| self.0.now.max(self.0.before))
+    /// Returns the maximum, or `None` once two windows have passed since the current one started.
+    pub fn max(&self, now: Millis, window: Millis) -> Option<f64> {
+        self.0.is_fresh(now, window).then(|| self.0.current.max(self.0.previous))
     }
 }
--- a/state/base/src/secret.rs
+++ b/state/base/src/secret.rs
@@ -5,22 +5,23 @@
 
 use subtle::ConstantTimeEq;
 
-/// A key or token. Its debug form hides it, and it has no display form.
+/// A key or token. `Debug` does not show it, and it has no `Display`.
 #[derive(Clone)]
 pub struct Secret(Arc<str>);
 
 impl Secret {
-    /// Wraps a secret.
+    /// Creates a secret from its text.
     pub fn new(text: &str) -> Self {
         Self(text.into())
     }
 
-    /// Returns the secret itself, to put it on the wire.
+    /// Returns the secret text, for sending it in a request.
     pub fn reveal(&self) -> &str {
         &self.0
     }
 
-    /// Compares in a time that does not depend on where the two differ.
+    /// Returns whether the text equals the secret. The comparison takes constant time, so that its
+    /// duration does not show where the two differ.
     pub fn matches(&self, other: &str) -> bool {
         self.0.as_bytes().ct_eq(other.as_bytes()).into()
     }
--- a/state/base/tests/compressed.rs
+++ b/state/base/tests/compressed.rs
@@ -1,4 +1,4 @@
-//! Packed texts come back as they were, and damaged ones are noticed.
+//! Compressed texts are restored unchanged, and corrupt ones are detected.
 
 use serde::{Deserialize, Serialize};
 use sill_base::CompressedText;
@@ -12,42 +12,47 @@
 }
 
 #[test]
-fn texts_come_back_as_they_were() {
+fn texts_are_restored_unchanged() {
     let cases = ["", "a", "{\"a\":1}", "ä€\u{0}\"\\", &"route ".repeat(100_000)];
     for text in cases {
         assert_eq!(CompressedText::new(text).decompress().as_deref(), Ok(text));
         let message = Message { text: text.into() };
-        let json = serde_json::to_string(&message).expect("it can be written");
+        let json = serde_json::to_string(&message).expect("the message can be serialized");
         assert!(
             json.len() < COMPRESSION_THRESHOLD.max(text.len() / 10) + 100,
-            "{} bytes",
-            json.len()
+            "{} bytes of JSON for a text of {} bytes",
+            json.len(),
+            text.len()
+        );
+        assert_eq!(
+            serde_json::from_str::<Message>(&json).expect("the JSON can be read back"),
+            message
         );
-        assert_eq!(serde_json::from_str::<Message>(&json).expect("it can be read"), message);
     }
 }
 
+/// A piece of settings may be corrupted in transit or written by another program. Its reader must detect
+/// that, and a text that expands to a huge size must not exhaust the memory of a small instance.
 #[test]
-fn a_damaged_text_is_an_error_and_no_panic() {
-    // A piece of settings is damaged on its way, or written by something else. Whoever reads it must
-    // notice; a text that claims to be huge must not take the memory of a small instance.
+fn a_corrupt_text_is_an_error_and_no_panic() {
     struct Case {
         name: &'static str,
-        packed: String,
+        json: String,
     }
-    let json =
-        |text: &str| serde_json::to_string(&CompressedText::new(text)).expect("it can be written");
-    let whole = json(&"abc".repeat(1000));
-    let huge = json(&"\0".repeat((64 << 20) + 1));
+    let compressed = |text: &str| {
+        serde_json::to_string(&CompressedText::new(text)).expect("the text can be serialized")
+    };
+    let intact = compressed(&"abc".repeat(1000));
+    let huge = compressed(&"\0".repeat((64 << 20) + 1));
     let cases = [
-        Case { name: "empty", packed: "\"\"".to_owned() },
-        Case { name: "not base64", packed: "\"~~~\"".to_owned() },
-        Case { name: "not compressed", packed: "\"YWJj\"".to_owned() },
-        Case { name: "cut", packed: format!("{}\"", &whole[..whole.len() / 2]) },
-        Case { name: "huge", packed: huge },
+        Case { name: "empty", json: "\"\"".to_owned() },
+        Case { name: "not base64", json: "\"~~~\"".to_owned() },
+        Case { name: "not compressed", json: "\"YWJj\"".to_owned() },
+        Case { name: "truncated", json: format!("{}\"", &intact[..intact.len() / 2]) },
+        Case { name: "huge", json: huge },
     ];
-    for Case { name, packed } in cases {
-        let packed: CompressedText = serde_json::from_str(&packed).expect("a string");
-        assert!(packed.decompress().is_err(), "{name}");
+    for Case { name, json } in cases {
+        let text: CompressedText = serde_json::from_str(&json).expect("the JSON is a string");
+        assert!(text.decompress().is_err(), "case {name:?} was decompressed without an error");
     }
 }
