--- a/coordination/dispatch/src/budget.rs
+++ b/coordination/dispatch/src/budget.rs
@@ -73,13 +73,13 @@
         let fixed = bounds.allowance * USED_PART / f64::from(entries);
         let reserve = bounds.share * RESERVE_PART * budget.requests;
         budget.budget.set_reserve((window_part * (fixed + reserve)).max(MIN_RESERVE));
-        budget.budget.succeeded(&Name::default(), &Target::Service(service.clone()));
+        budget.budget.record_success(&Name::default(), &Target::Service(service.clone()));
     }
 
     /// Returns whether a retry may be sent to a service, and takes it from the budget if so.
     pub fn may_retry(&mut self, now: Millis, service: &Name) -> bool {
         let target = Target::Service(service.clone());
-        self.service_budget(now, service).budget.may_retry(&Name::default(), &target)
+        self.service_budget(now, service).budget.try_spend(&Name::default(), &target)
     }
 
     fn service_budget(&mut self, now: Millis, service: &Name) -> &mut ServiceBudget {
--- /dev/null
+++ b/coordination/route/src/request.rs
@@ -0,0 +1,142 @@
+//! Requests, events and answers of the router.
+
+use std::sync::Arc;
+
+use serde::{Deserialize, Serialize};
+use sill_base::{Millis, Name};
+use sill_wire::endpoint::CacheEvents;
+use sill_wire::{Announcement, Incarnation, Priority};
+
+/// The model or service that a request is for.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub enum Target {
+    /// A language model.
+    Model(Name),
+    /// A service other than a language model.
+    Service(Name),
+}
+
+/// A request that needs an endpoint.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct RouteRequest {
+    /// Name of the request in logs.
+    pub request: Name,
+    /// The model or service that has to serve it.
+    pub target: Target,
+    /// Chained hashes of the prompt's whole blocks, from its start.
+    pub blocks: Arc<[u64]>,
+    /// Tokens of the prompt. On a resume, these include the tokens that were already emitted.
+    pub prompt_tokens: u64,
+    /// Highest number of tokens still to be generated.
+    pub max_tokens: u32,
+    /// Priority, which selects the load and waiting bounds of [`PolicyCfg`](crate::PolicyCfg).
+    pub priority: Priority,
+    /// Time by which the whole answer is due, on the entry instance's clock. `Millis::MAX` means
+    /// that there is no deadline.
+    pub deadline: Millis,
+    /// Endpoints that must not be chosen, such as those at which the request just failed.
+    pub exclude: Vec<Name>,
+}
+
+/// The router's answer.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub enum Choice {
+    /// Send the request to this endpoint.
+    Endpoint(ChosenEndpoint),
+    /// No endpoint can take the request now.
+    Refuse(Refusal),
+}
+
+/// The endpoint that the router chose for a request.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct ChosenEndpoint {
+    /// Name of the endpoint.
+    pub endpoint: Name,
+    /// Incarnation that was chosen.
+    pub incarnation: Incarnation,
+    /// Address for requests, as `IP:PORT`.
+    pub address: Name,
+    /// Estimated number of leading prompt tokens that it has cached.
+    pub cached_tokens: u64,
+    /// Expected time to the first token.
+    pub expected_ttft: Millis,
+    /// The figures behind the choice, as text for people.
+    pub why: String,
+}
+
+/// The answer to a request that is not sent to any endpoint.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Refusal {
+    /// The reason.
+    pub reason: RefusalReason,
+    /// Time after which the caller may retry, with jitter.
+    pub retry_after: Millis,
+}
+
+/// Why no endpoint was chosen for a request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub enum RefusalReason {
+    /// No endpoint that serves the target is known and may be sent requests.
+    NoEndpoint,
+    /// Every endpoint that may be sent requests is full, or the pool is overloaded.
+    Full,
+    /// No endpoint is expected to answer before the deadline.
+    Deadline,
+}
+
+/// An input that updates the router's state.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub enum Event {
+    /// An announcement of an endpoint, from itself or passed on by membership.
+    Announced {
+        /// The announcement.
+        announcement: Announcement,
+        /// Time since the endpoint sent it.
+        age: Millis,
+    },
+    /// Membership removed an endpoint.
+    Gone {
+        /// The endpoint.
+        endpoint: Name,
+        /// The incarnation that was removed.
+        incarnation: Incarnation,
+    },
+    /// A batch of cache events that an endpoint published.
+    Cache(CacheEvents),
+    /// A request was sent to an endpoint.
+    Sent {
+        /// The endpoint.
+        endpoint: Name,
+        /// The request that was passed to [`Router::choose`](crate::Router::choose).
+        ask: RouteRequest,
+    },
+    /// The first token of an answer was received.
+    FirstToken {
+        /// The endpoint.
+        endpoint: Name,
+        /// The request.
+        request: Name,
+    },
+    /// A request is no longer at an endpoint.
+    Ended {
+        /// The endpoint.
+        endpoint: Name,
+        /// The request.
+        request: Name,
+        /// Number of tokens received.
+        tokens: u32,
+        /// How the request ended at this endpoint.
+        outcome: Outcome,
+    },
+}
+
+/// How a request ended at an endpoint.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub enum Outcome {
+    /// The whole answer was received.
+    Finished,
+    /// The caller disconnected, or the request was moved to another endpoint.
+    Cancelled,
+    /// The endpoint failed the request.
+    Failed,
+}
