--- a/protocol/wire/src/endpoint.rs
+++ b/protocol/wire/src/endpoint.rs
@@ -64,13 +64,15 @@
     /// The requested path, for plain services.
     #[serde(default)]
     pub path: String,
-    /// Number of tokens in the prompt, including the part of the answer that a resumed run continues.
+    /// Number of tokens in the prompt, including the part of the answer that a resumed run
+    /// continues.
     pub prompt_tokens: u64,
     /// Number of those tokens that were found in the prefix cache or imported.
     pub cached_tokens: u64,
     /// Number of those tokens that were computed.
     pub computed_tokens: u64,
-    /// The index of the first answer token that this run was asked for; 0 unless it resumed an answer.
+    /// The index of the first answer token that this run was asked for; 0 unless it resumed an
+    /// answer.
     #[serde(default)]
     pub resumed_at: u32,
     /// The source of the run's KV cache, if it was imported.
--- a/protocol/wire/src/feed.rs
+++ b/protocol/wire/src/feed.rs
@@ -1,5 +1,5 @@
-//! The settings feed: entry instances pull settings by long polling, so that a change arrives at once
-//! and a subscriber that missed many changes catches up with the same call.
+//! The settings feed: entry instances pull settings by long polling, so that a change arrives at
+//! once and a subscriber that missed many changes catches up with the same call.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -25,8 +25,8 @@
     /// The revisions that its own subscribers have applied, if it relays settings.
     #[serde(rename = "below", default)]
     pub subscribers: Vec<RunningRevision>,
-    /// The endpoints of its failure domain; one entry instance of the domain sends them from time to
-    /// time.
+    /// The endpoints of its failure domain; one entry instance of the domain sends them from time
+    /// to time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoints: Option<DomainEndpoints>,
 }
--- a/protocol/wire/src/handoff.rs
+++ b/protocol/wire/src/handoff.rs
@@ -88,7 +88,8 @@
     pub id: Option<String>,
     /// The completion's `created` time.
     pub created: u64,
-    /// The texts of the tokens from the requested one on, escaped as JSON strings without the quotes.
+    /// The texts of the tokens from the requested one on, escaped as JSON strings without the
+    /// quotes.
     pub escaped: Vec<String>,
     /// The reason why the answer ended, once it has.
     pub finish: Option<String>,
--- a/protocol/wire/src/header.rs
+++ b/protocol/wire/src/header.rs
@@ -21,7 +21,8 @@
 /// `true` on a refusal that guarantees that the request has not run.
 pub const NOT_RUN: &str = "sill-not-run";
 
-/// Set by an endpoint that ends a stream early because it is leaving; a trailer event may say the same.
+/// Set by an endpoint that ends a stream early because it is leaving; a trailer event may say the
+/// same.
 pub const LEAVING: &str = "sill-leaving";
 
 /// The number of whole seconds after which to retry.
--- a/protocol/wire/src/link.rs
+++ b/protocol/wire/src/link.rs
@@ -48,8 +48,8 @@
     pub state: EndpointState,
     /// Whether the platform may reclaim its instance.
     pub reclaimable: bool,
-    /// Time left until its instance is reclaimed, counted from the heartbeat's arrival, if the platform
-    /// has announced it.
+    /// Time left until its instance is reclaimed, counted from the heartbeat's arrival, if the
+    /// platform has announced it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leaves_in: Option<Millis>,
     /// Time since the heartbeat arrived.
@@ -122,12 +122,13 @@
     pub admitted: f64,
     /// Recent rate of admission, per second.
     pub admitted_per_s: f64,
-    /// The admitted amount by seconds, newest first, for an account that is not far below its limit. It
-    /// shows how much is still inside the window some time later, when the entry instance may be gone.
+    /// The admitted amount by seconds, newest first, for an account that is not far below its
+    /// limit. It shows how much is still inside the window some time later, when the entry instance
+    /// may be gone.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub by_second: Vec<u64>,
-    /// The share of the limit that the entry instance admits by itself, also while it is partitioned
-    /// from the control instances.
+    /// The share of the limit that the entry instance admits by itself, also while it is
+    /// partitioned from the control instances.
     pub share: f64,
 }
 
@@ -173,9 +174,9 @@
     /// The uptime of its process; absent in reports of older versions.
     #[serde(rename = "up", default, skip_serializing_if = "Option::is_none")]
     pub uptime: Option<Millis>,
-    /// The number of entry instances in the totals that it received last, or 0 if it has received none
-    /// lately. This is the only way in which a control instance that becomes leader without prior state
-    /// learns of partitioned entry instances.
+    /// The number of entry instances in the totals that it received last, or 0 if it has received
+    /// none lately. This is the only way in which a control instance that becomes leader without
+    /// prior state learns of partitioned entry instances.
     #[serde(default, skip_serializing_if = "is_default")]
     pub entries: u32,
     /// Age of the report when another control instance relayed it.
@@ -217,12 +218,13 @@
     pub admitted: f64,
     /// Recent rate of admission, per second.
     pub admitted_per_s: f64,
-    /// The share of the limit held by entry instances that send no reports at present. The demand above
-    /// is that of the other instances; `admitted` includes what these are known to have admitted.
+    /// The share of the limit held by entry instances that send no reports at present. The demand
+    /// above is that of the other instances; `admitted` includes what these are known to have
+    /// admitted.
     pub held: f64,
-    /// The amount that may have been admitted in the last [`LIMIT_WINDOW`] without a report, in seconds
-    /// of the limit. If it is absent, instances that hold a share are assumed to have held it for the
-    /// whole window.
+    /// The amount that may have been admitted in the last [`LIMIT_WINDOW`] without a report, in
+    /// seconds of the limit. If it is absent, instances that hold a share are assumed to have held
+    /// it for the whole window.
     #[serde(rename = "untold_s", default, skip_serializing_if = "Option::is_none")]
     pub unreported_s: Option<f64>,
 }
@@ -234,8 +236,8 @@
     pub age: Millis,
     /// Number of entry instances, including those that may be partitioned.
     pub entries: u32,
-    /// The amount that may have been admitted in the last [`LIMIT_WINDOW`] for an account that is in no
-    /// report, in seconds of its limit.
+    /// The amount that may have been admitted in the last [`LIMIT_WINDOW`] for an account that is
+    /// in no report, in seconds of its limit.
     #[serde(rename = "untold_s", default, skip_serializing_if = "is_default")]
     pub unreported_s: f64,
     /// Demand by client account.
@@ -245,8 +247,8 @@
 /// The updates for an entry instance, in reply to a [`LinkPoll`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LinkReply {
-    /// The pieces of newer settings, if there are any. The settings themselves are fetched separately:
-    /// on a slow link, their transfer would delay totals and departures of endpoints.
+    /// The pieces of newer settings, if there are any. The settings themselves are fetched
+    /// separately: on a slow link, their transfer would delay totals and departures of endpoints.
     pub settings: Option<Manifest>,
     /// The position up to which this reply contains endpoint changes.
     pub cursor: Cursor,
--- a/protocol/wire/src/member.rs
+++ b/protocol/wire/src/member.rs
@@ -49,15 +49,16 @@
     /// Upper bound of the time since the summary was created.
     #[serde(default)]
     pub age: Millis,
-    /// Free capacity for each model or service; only for the requested ones, if the caller names any.
+    /// Free capacity for each model or service; only for the requested ones, if the caller names
+    /// any.
     pub capacity: Vec<DomainCapacity>,
     /// Endpoints that the caller may use already and that still have free slots.
     #[serde(rename = "still", default, skip_serializing_if = "Vec::is_empty")]
     pub held_with_free_slots: Vec<EndpointIncarnation>,
 }
 
-/// Identifies an incarnation of an endpoint of another failure domain, which an entry instance may use
-/// for a limited time.
+/// Identifies an incarnation of an endpoint of another failure domain, which an entry instance may
+/// use for a limited time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndpointIncarnation {
     /// The endpoint.
@@ -84,8 +85,8 @@
 
 /// A load update of an endpoint whose announcement the receiver has already.
 ///
-/// It is sent as an array of numbers, because load updates make up most of the traffic between entry
-/// instances.
+/// It is sent as an array of numbers, because load updates make up most of the traffic between
+/// entry instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "LoadNumbers", into = "LoadNumbers")]
 pub struct LoadUpdate {
@@ -138,7 +139,8 @@
 /// A digest of the facts that the caller has already, as eight hexadecimal digits for each.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Mixed into the hashes, so that two facts that collide in one digest don't collide in the next.
+    /// Mixed into the hashes, so that two facts that collide in one digest don't collide in the
+    /// next.
     pub salt: u64,
     /// For each fact six digits of its hash and two of its sequence number, concatenated.
     #[serde(rename = "marks")]
@@ -156,8 +158,8 @@
 
 /// Requests updates from an entry instance.
 ///
-/// Updates are sent in replies only: a caller knows when it sent the request, so it can bound the age
-/// of what it receives, however long the messages were in transit. Leaving notices are the only
+/// Updates are sent in replies only: a caller knows when it sent the request, so it can bound the
+/// age of what it receives, however long the messages were in transit. Leaving notices are the only
 /// exception, since they stay true however late they arrive.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberSync {
--- a/protocol/wire/src/prefix.rs
+++ b/protocol/wire/src/prefix.rs
@@ -17,8 +17,8 @@
     text.len().div_ceil(BYTES_PER_TOKEN) as u64
 }
 
-/// Returns the chained hash of each complete block; equal hashes mean equal text up to the end of the
-/// block.
+/// Returns the chained hash of each complete block; equal hashes mean equal text up to the end of
+/// the block.
 ///
 /// The hash is not keyed. A caller who forges a collision only misleads the routing of its own
 /// prompts, since endpoints compare the text itself.
--- a/protocol/wire/src/settings.rs
+++ b/protocol/wire/src/settings.rs
@@ -1,5 +1,5 @@
-//! Transfer of settings from control instances to entry instances that serve routes: split into pieces
-//! that are identified by their content and fetched separately from the polls.
+//! Transfer of settings from control instances to entry instances that serve routes: split into
+//! pieces that are identified by their content and fetched separately from the polls.
 
 use serde::{Deserialize, Serialize};
 use sill_base::{CompressedText, Millis};
--- a/protocol/wire/tests/chat_random.rs
+++ b/protocol/wire/tests/chat_random.rs
@@ -66,8 +66,8 @@
     run.expect("the property holds for every body");
 }
 
-/// Fields that the system doesn't read are forwarded to the engine; they must not change what it reads
-/// from the others.
+/// Fields that the system doesn't read are forwarded to the engine; they must not change what it
+/// reads from the others.
 #[test]
 fn valid_bodies_are_read_alike_whatever_their_other_fields() {
     let run = runner(500).run(&(any_json(), 1u32..MAX_MAX_TOKENS), |(other, max_tokens)| {
--- a/protocol/wire/tests/reports.rs
+++ b/protocol/wire/tests/reports.rs
@@ -2,8 +2,8 @@
 
 use sill_wire::link::{EntryReport, Totals};
 
-/// Guards against new required fields: instances are upgraded one after the other, and an unreadable
-/// report would leave entry instances of the older version without settings.
+/// Guards against new required fields: instances are upgraded one after the other, and an
+/// unreadable report would leave entry instances of the older version without settings.
 #[test]
 fn reports_and_totals_of_the_previous_version_are_readable() {
     let report = r#"{"entry":"e1","incarnation":7,"domain":"a","sequence":3,"wall":9,"usage":[],"accounts":[
--- a/state/base/src/clock.rs
+++ b/state/base/src/clock.rs
@@ -9,8 +9,8 @@
 
 /// A point in time or a duration, in milliseconds.
 ///
-/// Arithmetic saturates: a deadline that overflows must mean "never" and a negative duration "none",
-/// rather than panic in the middle of a request.
+/// Arithmetic saturates: a deadline that overflows must mean "never" and a negative duration
+/// "none", rather than panic in the middle of a request.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,8 +20,8 @@
 /// The monotonic clock of one process.
 ///
 /// It includes the time for which the instance was suspended. `CLOCK_MONOTONIC` stops meanwhile: a
-/// control instance that resumes would trust a lease that expired seconds ago, and an operator would
-/// read an outdated value from it.
+/// control instance that resumes would trust a lease that expired seconds ago, and an operator
+/// would read an outdated value from it.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Duration,
--- a/state/base/src/compressed.rs
+++ b/state/base/src/compressed.rs
@@ -1,7 +1,7 @@
 //! Large texts in a compressed form that fits into any message.
 //!
-//! Settings are repetitive and compress to a tenth of their length. A text is compressed once and then
-//! stored, replicated and sent to many readers without being escaped or compressed again.
+//! Settings are repetitive and compress to a tenth of their length. A text is compressed once and
+//! then stored, replicated and sent to many readers without being escaped or compressed again.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
@@ -15,15 +15,16 @@
 /// The zstd compression level: higher levels take more time and save nothing on settings.
 const COMPRESSION_LEVEL: i32 = 1;
 
-/// The maximum length of a decompressed text, in bytes. A corrupt or hostile text could expand to more
-/// than the memory of the instance that reads it.
+/// The maximum length of a decompressed text, in bytes. A corrupt or hostile text could expand to
+/// more than the memory of the instance that reads it.
 const MAX_TEXT_BYTES: u64 = 64 << 20;
 
 /// The length in bytes from which texts are compressed. Shorter texts are left as they are, so that
 /// people can read them in a log.
 pub const COMPRESSION_THRESHOLD: usize = 2048;
 
-/// The start of every compressed text, the zstd magic number in base64; no JSON text starts with it.
+/// The start of every compressed text, the zstd magic number in base64; no JSON text starts with
+/// it.
 const COMPRESSED_PREFIX: &str = "KLUv/";
 
 /// A text in compressed form: a zstd frame in base64. Clones share one allocation.
@@ -72,8 +73,8 @@
     }
 }
 
-/// Serde functions for text fields of messages: long texts are compressed, short ones written as they
-/// are, and both forms are read.
+/// Serde functions for text fields of messages: long texts are compressed, short ones written as
+/// they are, and both forms are read.
 pub mod text {
     use std::sync::Arc;
 
--- a/state/base/src/event.rs
+++ b/state/base/src/event.rs
@@ -4,7 +4,8 @@
 
 /// Appends ` key=value` to a line, with the value quoted and escaped if necessary.
 ///
-/// Callers choose some of the values; an unescaped line break or quote would let them forge log lines.
+/// Callers choose some of the values; an unescaped line break or quote would let them forge log
+/// lines.
 pub fn push_pair<V>(line: &mut String, key: &str, value: V)
 where
     V: Display,
--- a/state/base/src/machine.rs
+++ b/state/base/src/machine.rs
@@ -4,9 +4,9 @@
 
 /// A pure state machine.
 ///
-/// Implementations do no I/O, take no lock, read no clock and start no thread. Randomness comes from a
-/// seed given at construction. The same events at the same times yield the same actions, so that runs
-/// can be replayed.
+/// Implementations do no I/O, take no lock, read no clock and start no thread. Randomness comes
+/// from a seed given at construction. The same events at the same times yield the same actions, so
+/// that runs can be replayed.
 pub trait Machine {
     /// An input: something that happened, or a tick.
     type Event;
--- a/state/base/src/map.rs
+++ b/state/base/src/map.rs
@@ -1,7 +1,7 @@
 //! Hash maps and sets with a fast hasher.
 //!
-//! The hasher is not keyed, so callers could force collisions: maps whose keys callers choose must be
-//! bounded in size.
+//! The hasher is not keyed, so callers could force collisions: maps whose keys callers choose must
+//! be bounded in size.
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
--- a/state/base/src/name.rs
+++ b/state/base/src/name.rs
@@ -25,8 +25,8 @@
         &self.0
     }
 
-    /// Returns whether the text is valid as a name that people choose: 1 to 64 ASCII letters, digits,
-    /// `-`, `_` or `.`, starting with a letter or digit.
+    /// Returns whether the text is valid as a name that people choose: 1 to 64 ASCII letters,
+    /// digits, `-`, `_` or `.`, starting with a letter or digit.
     pub fn is_well_formed(text: &str) -> bool {
         let is_first_valid = text.chars().next().is_some_and(|c| c.is_ascii_alphanumeric());
         let are_all_valid = text.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
--- a/state/base/src/promise.rs
+++ b/state/base/src/promise.rs
@@ -1,4 +1,5 @@
-//! The promises of the system: the guarantees that assertions, logs, metrics and tests refer to by name.
+//! The promises of the system: the guarantees that assertions, logs, metrics and tests refer to by
+//! name.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -63,8 +64,8 @@
 
 /// Asserts that a promise holds; panics otherwise, in release builds too.
 ///
-/// With a broken invariant the process could silently repeat or lose a request, so it stops here, while
-/// the log still shows the cause.
+/// With a broken invariant the process could silently repeat or lose a request, so it stops here,
+/// while the log still shows the cause.
 #[macro_export]
 macro_rules! keep {
     ($promise:expr, $cond:expr, $($arg:tt)+) => {
--- a/state/base/src/recent_times.rs
+++ b/state/base/src/recent_times.rs
@@ -3,8 +3,8 @@
 use crate::Millis;
 use crate::window_pair::WindowPair;
 
-/// The number of histogram buckets. With [`BUCKET_RATIO`] they reach 268 s, longer than any call may
-/// take.
+/// The number of histogram buckets. With [`BUCKET_RATIO`] they reach 268 s, longer than any call
+/// may take.
 const BUCKETS: usize = 57;
 
 /// The ratio between the upper bounds of two adjacent buckets. Durations are accurate to a quarter,
@@ -27,8 +27,8 @@
         self.0.current_mut(now, window, [0; BUCKETS])[bucket_index(time)] += 1;
     }
 
-    /// Returns the `quantile` (0 to 1) of the recorded durations as the upper bound of its bucket, or
-    /// `None` once two windows have passed since the current one started.
+    /// Returns the `quantile` (0 to 1) of the recorded durations as the upper bound of its bucket,
+    /// or `None` once two windows have passed since the current one started.
     pub fn quantile(&self, now: Millis, window: Millis, quantile: f64) -> Option<Millis> {
         if !self.0.is_fresh(now, window) {
             return None;
--- a/state/base/src/window_pair.rs
+++ b/state/base/src/window_pair.rs
@@ -20,8 +20,8 @@
         Self { start: Millis::ZERO, current: empty, previous: empty }
     }
 
-    /// Returns the aggregate of the current window. Starts a new window with the value `empty` if the
-    /// current one is older than `window`.
+    /// Returns the aggregate of the current window. Starts a new window with the value `empty` if
+    /// the current one is older than `window`.
     pub fn current_mut(&mut self, now: Millis, window: Millis, empty: T) -> &mut T {
         let age = now - self.start;
         if age >= window {
--- a/state/base/tests/compressed.rs
+++ b/state/base/tests/compressed.rs
@@ -31,8 +31,9 @@
     }
 }
 
-/// A piece of settings may be corrupted in transit or written by another program. Its reader must detect
-/// that, and a text that expands to a huge size must not exhaust the memory of a small instance.
+/// A piece of settings may be corrupted in transit or written by another program. Its reader must
+/// detect that, and a text that expands to a huge size must not exhaust the memory of a small
+/// instance.
 #[test]
 fn a_corrupt_text_is_an_error_and_no_panic() {
     struct Case {
--- a/state/base/tests/recent_times.rs
+++ b/state/base/tests/recent_times.rs
@@ -1,4 +1,5 @@
-//! Quantiles of recent durations: they must be accurate to a bucket, and old durations must not count.
+//! Quantiles of recent durations: they must be accurate to a bucket, and old durations must not
+//! count.
 
 use sill_base::{Millis, RecentTimes};
 
