--- a/coordination/fleet/src/orders.rs
+++ b/coordination/fleet/src/orders.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use sill_base::{Machine, Map, Millis, Name, Promise, keep};
+use sill_base::{Machine, Map, Millis, Name, Promise, assert_promise};
 use sill_wire::endpoint::{Order, OrderAction};
 
 /// Settings of an order issuer.
@@ -227,7 +227,7 @@
                 exhausted.push(*sequence);
                 continue;
             }
-            keep!(
+            assert_promise!(
                 Promise::OneOrderer,
                 now + cfg.not_after <= lease_until || weakening == Weakening::SendWithoutLease,
                 "order {}/{sequence} at {now} ms would outlive the lease until {lease_until} ms",
--- a/coordination/flight/src/claims.rs
+++ b/coordination/flight/src/claims.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
-use sill_base::{Millis, Promise, keep};
+use sill_base::{Millis, Promise, assert_promise};
 use sill_wire::claim::{BodyHash, ClaimAsk, ClaimKey, ClaimOutcome, ClaimOwner, ClaimVerdict};
 
 /// How long the owner that released a claim can't take it again.
@@ -213,7 +213,7 @@
         while let Some(first) = self.by_expiry.first().filter(|e| e.at <= self.now).cloned() {
             self.remove(&first.key);
         }
-        keep!(
+        assert_promise!(
             Promise::AtMostOnce,
             self.by_expiry.len() == self.claims.len(),
             "claim table is inconsistent: {} claims, but {} expiry entries",
--- a/coordination/flight/src/drain.rs
+++ b/coordination/flight/src/drain.rs
@@ -2,7 +2,7 @@
 //! flight.
 
 use serde::{Deserialize, Serialize};
-use sill_base::{Machine, Millis, Promise, keep};
+use sill_base::{Machine, Millis, Promise, assert_promise};
 
 /// Delays and timeouts of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -73,7 +73,7 @@
     }
 
     fn exit(&mut self, forced: bool, out: &mut Vec<DrainAction>) {
-        keep!(
+        assert_promise!(
             Promise::GracefulStop,
             forced || self.in_flight == 0,
             "an unforced stop exits with {} requests in flight",
--- a/coordination/flight/src/flight.rs
+++ b/coordination/flight/src/flight.rs
@@ -7,7 +7,7 @@
 mod search;
 
 use sill_base::random::{Rng, seeded};
-use sill_base::{Machine, Millis, Name, Promise, keep};
+use sill_base::{Machine, Millis, Name, Promise, assert_promise};
 use sill_wire::ErrorCode;
 use sill_wire::claim::{ClaimAsk, ClaimOutcome, ClaimVerdict};
 
@@ -252,7 +252,7 @@
             self.on_attempt_lost(now, epoch, RecomputeCause::Gap, out);
             return;
         }
-        keep!(
+        assert_promise!(
             Promise::WholeAnswer,
             self.is_current(epoch),
             "request {}: token {index} of stale attempt {} would be forwarded",
--- a/coordination/flight/src/flight/ending.rs
+++ b/coordination/flight/src/flight/ending.rs
@@ -1,6 +1,6 @@
 //! How attempts and requests end.
 
-use sill_base::{Millis, Promise, keep};
+use sill_base::{Millis, Promise, assert_promise};
 use sill_wire::ErrorCode;
 use sill_wire::claim::{ClaimAsk, ClaimOutcome};
 
@@ -90,7 +90,7 @@
                 out.push(Action::Refuse(lifecycle.refuse(code, message, retry)));
             }
             Stage::Dispatched(lifecycle) => {
-                keep!(
+                assert_promise!(
                     Promise::AcceptedSurvives,
                     !self.spec.is_idempotent
                         || now >= self.spec.deadline
--- a/coordination/flight/src/flight/search.rs
+++ b/coordination/flight/src/flight/search.rs
@@ -1,7 +1,7 @@
 //! The search for an endpoint, and the dispatch of a new attempt.
 
 use rand::Rng as _;
-use sill_base::{Millis, Promise, keep};
+use sill_base::{Millis, Promise, assert_promise};
 use sill_wire::ErrorCode;
 
 use super::cfg::Weakening;
@@ -104,7 +104,7 @@
             }
         };
         let resume = self.resume_point(&lifecycle, &placement, search.cause, out);
-        keep!(
+        assert_promise!(
             Promise::AtMostOnce,
             self.spec.is_idempotent
                 || !lifecycle.may_have_sent()
--- a/coordination/flight/src/transcript.rs
+++ b/coordination/flight/src/transcript.rs
@@ -2,7 +2,7 @@
 //! answer.
 
 use serde::{Deserialize, Serialize};
-use sill_base::{Promise, keep};
+use sill_base::{Promise, assert_promise};
 
 /// The tokens of one answer, in order and without a gap.
 ///
@@ -35,7 +35,7 @@
 
     /// Adds the token with this index; its text is escaped as in a JSON string.
     pub fn push(&mut self, index: u32, escaped: &str) {
-        keep!(
+        assert_promise!(
             Promise::WholeAnswer,
             index == self.next_index() && !self.is_complete,
             "transcript received token {index}, expected {} (complete: {})",
--- a/coordination/limit/src/bucket.rs
+++ b/coordination/limit/src/bucket.rs
@@ -4,7 +4,7 @@
 //! cover the whole cost first, it would never admit the request. So a request is admitted while the
 //! balance is positive, and the debt is paid back before the next one.
 
-use sill_base::{Millis, Promise, keep};
+use sill_base::{Millis, Promise, assert_promise};
 
 /// Requests that can be saved up in addition to the burst. Without them, the bucket of a small
 /// share would overflow, and lose tokens, between two requests that are far apart by chance.
@@ -80,7 +80,7 @@
         let Meter { level, max_cap, max_cost } = &mut self.meter;
         *level += cost;
         *max_cost = max_cost.max(cost);
-        keep!(
+        assert_promise!(
             Promise::AccountLimit,
             *level <= (*max_cap + *max_cost) * (1.0 + 1e-6),
             "admitted {level} more than the share, allowed is a burst of {max_cap} and a request of \
--- a/coordination/limit/src/limiter.rs
+++ b/coordination/limit/src/limiter.rs
@@ -1,7 +1,7 @@
 //! The limiter of one entry instance, which admits requests within its shares of the limits.
 
 use serde::{Deserialize, Serialize};
-use sill_base::{Machine, Map, Millis, Name, Promise, keep};
+use sill_base::{Machine, Map, Millis, Name, Promise, assert_promise};
 use sill_wire::Incarnation;
 use sill_wire::limits::{AccountDemand, DemandReport};
 
@@ -262,7 +262,7 @@
                 continue;
             };
             let share = self.exchange.share(name);
-            keep!(
+            assert_promise!(
                 Promise::AccountLimit,
                 share.requests <= 1.0 + 1e-9 && share.tokens <= 1.0 + 1e-9,
                 "share of account {name} is more than its whole limit (1): {share:?}"
--- a/coordination/member/src/endpoints.rs
+++ b/coordination/member/src/endpoints.rs
@@ -1,6 +1,6 @@
 //! Endpoints of the own failure domain, and the incarnations that must not receive requests again.
 
-use sill_base::{Map, Millis, Name, Promise, keep};
+use sill_base::{Map, Millis, Name, Promise, assert_promise};
 use sill_wire::member::{Digest, LeavingNotice, LoadUpdate, RelayedAnnouncement};
 use sill_wire::{Announcement, Incarnation, Servable};
 
@@ -215,7 +215,7 @@
             return;
         }
         record.router_state = ready;
-        keep!(
+        assert_promise!(
             Promise::LeavingGetsNothing,
             self.ended_incarnations.get(name).is_none_or(|ended| *ended < incarnation),
             "endpoint {name} is offered as ready although incarnation {} or later is leaving",
--- a/coordination/quorum/src/append.rs
+++ b/coordination/quorum/src/append.rs
@@ -1,6 +1,6 @@
 //! Replication of entries from the leader to the other replicas, and their commit.
 
-use sill_base::{Millis, Promise, keep};
+use sill_base::{Millis, Promise, assert_promise};
 
 use crate::log::{Entry, Payload};
 use crate::members::ReplicaId;
@@ -168,7 +168,7 @@
                 continue;
             }
             if index <= self.log.last_index() {
-                keep!(
+                assert_promise!(
                     Promise::AcceptedChangeStays,
                     index > self.commit_index,
                     "leader would replace committed entry {index}"
@@ -190,7 +190,7 @@
         if index > self.commit_index || self.is_weakened(Weakening::InstallOlderSnapshot) {
             self.log.install(snapshot.clone());
             self.pending_write.is_full = true;
-            keep!(
+            assert_promise!(
                 Promise::AcceptedChangeStays,
                 index >= self.commit_index,
                 "snapshot at index {index} is older than commit index {}",
@@ -209,7 +209,7 @@
             return false;
         }
         let is_leader = matches!(self.role, Role::Leader(_)) && msg.term == self.hard_state.term;
-        keep!(Promise::OneOrderer, !is_leader, "two leaders in term {}", msg.term);
+        assert_promise!(Promise::OneOrderer, !is_leader, "two leaders in term {}", msg.term);
         self.become_follower(now, msg.term);
         self.leader = Some(msg.from.clone());
         self.no_vote_until = now + self.cfg.election_timeout;
--- a/coordination/quorum/src/election.rs
+++ b/coordination/quorum/src/election.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand::Rng;
-use sill_base::{Millis, Promise, keep};
+use sill_base::{Millis, Promise, assert_promise};
 
 use crate::log::Payload;
 use crate::members::ReplicaId;
@@ -137,7 +137,7 @@
     }
 
     fn record_vote(&mut self, candidate: &ReplicaId) {
-        keep!(
+        assert_promise!(
             Promise::OneOrderer,
             self.hard_state.vote.as_ref().is_none_or(|vote| vote == candidate),
             "second vote in term {}",
--- a/coordination/quorum/src/members.rs
+++ b/coordination/quorum/src/members.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
-use sill_base::{Millis, Name, Promise, keep};
+use sill_base::{Millis, Name, Promise, assert_promise};
 
 use crate::log::Payload;
 use crate::replica::{Replica, Role};
@@ -165,7 +165,7 @@
             return;
         }
         let changed = before.voters.symmetric_difference(&after.voters).count();
-        keep!(Promise::OneOrderer, changed <= 1, "change of {changed} voters at once");
+        assert_promise!(Promise::OneOrderer, changed <= 1, "change of {changed} voters at once");
         self.append_payloads(vec![Payload::Members(after)]);
         self.update_progress_members();
         self.broadcast(now);
--- a/coordination/quorum/src/replica.rs
+++ b/coordination/quorum/src/replica.rs
@@ -6,7 +6,7 @@
 use rand::Rng as _;
 use serde::{Deserialize, Serialize};
 use sill_base::random::{Rng, seeded};
-use sill_base::{Machine, Millis, Promise, keep};
+use sill_base::{Machine, Millis, Promise, assert_promise};
 
 use crate::cfg::Cfg;
 use crate::event::{Action, Event, NewEntries, Write};
@@ -287,7 +287,7 @@
     }
 
     pub(crate) fn set_commit_index(&mut self, index: u64) {
-        keep!(
+        assert_promise!(
             Promise::AcceptedChangeStays,
             index >= self.commit_index && index <= self.log.last_index(),
             "commit index {} can't become {index}, last entry is {}",
@@ -429,13 +429,13 @@
         }
         self.run_timers(now);
         self.emit_actions(out);
-        keep!(
+        assert_promise!(
             Promise::OneOrderer,
             self.hard_state.term >= term,
             "term decreased from {term} to {}",
             self.hard_state.term
         );
-        keep!(
+        assert_promise!(
             Promise::AcceptedChangeStays,
             self.commit_index >= commit_index && self.applied_index == self.commit_index,
             "commit index went from {commit_index} to {}, applied index {}",
--- a/coordination/route/src/router.rs
+++ b/coordination/route/src/router.rs
@@ -2,7 +2,7 @@
 
 use rand::Rng as _;
 use sill_base::random::{self, Rng};
-use sill_base::{Machine, Map, Millis, Name, Promise, keep};
+use sill_base::{Machine, Map, Millis, Name, Promise, assert_promise};
 use sill_wire::endpoint::{CacheEvent, CacheEvents};
 use sill_wire::prefix::BLOCK_TOKENS;
 use sill_wire::{Announcement, Incarnation, Role};
@@ -289,7 +289,7 @@
         let Some(latest) = self.versions.get(&chosen.endpoint) else {
             return;
         };
-        keep!(
+        assert_promise!(
             Promise::LeavingGetsNothing,
             !latest.leaving && latest.incarnation == chosen.incarnation,
             "at {now}, endpoint {} was chosen as {:?}, but its latest announcement, received {} \
--- a/daemons/control/src/app/state.rs
+++ b/daemons/control/src/app/state.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use sill_base::{Millis, Name, Promise, keep};
+use sill_base::{Millis, Name, Promise, assert_promise};
 use sill_flight::claims::{ClaimBounds, ClaimTable};
 use sill_quorum::{Entry, Payload};
 use sill_tree::{DocumentText, Operator, Tree};
@@ -211,7 +211,7 @@
     /// Panics on an entry that this version of the program can't read: going on without it would
     /// make this instance's state differ from the others' for good.
     pub fn apply(&mut self, index: u64, entry: &Entry) -> Option<Outcome> {
-        keep!(
+        assert_promise!(
             Promise::AcceptedChangeStays,
             index == self.index + 1,
             "entry {index} applied after {}",
@@ -236,7 +236,7 @@
                 Some(self.carry_out(index, entry.term, command))
             }
         };
-        keep!(
+        assert_promise!(
             Promise::AcceptedChangeStays,
             self.tree.revision >= before,
             "the tree went back from revision {before}"
--- a/daemons/entry/src/settings.rs
+++ b/daemons/entry/src/settings.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use parking_lot::RwLock;
-use sill_base::{Findings, Name, Promise, keep};
+use sill_base::{Findings, Name, Promise, assert_promise};
 use sill_tree::{Document, Effective, Tree};
 use sill_wire::control::Revision;
 use sill_wire::feed::{Change, FeedReply};
@@ -225,7 +225,7 @@
         }
         *held = Arc::new(next);
         let after = held.revision();
-        keep!(
+        assert_promise!(
             Promise::AcceptedChangeStays,
             after >= before,
             "settings went back from revision {} to {}",
--- a/daemons/gateway/src/state.rs
+++ b/daemons/gateway/src/state.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, OnceLock};
 
 use parking_lot::{Mutex, RwLock};
-use sill_base::{Clock, Map, Millis, Name, Promise, event, keep};
+use sill_base::{Clock, Map, Millis, Name, Promise, assert_promise, event};
 use sill_dispatch::usage::window_of;
 use sill_dispatch::{
     AdmittedByReason, FactUpdate, LimitEstimate, LimitShares, MAX_TOTALS_AGE, MovingAverage,
@@ -275,7 +275,7 @@
     /// Puts newer settings in force.
     pub fn put_in_force(&self, table: Arc<RouteTable>) {
         let held = self.table().map_or(0, |table| table.revision);
-        keep!(
+        assert_promise!(
             Promise::AcceptedChangeStays,
             table.revision > held,
             "revision {} over {held}",
--- a/daemons/setup/tests/panics.rs
+++ b/daemons/setup/tests/panics.rs
@@ -2,7 +2,7 @@
 
 use std::process::{Command, Output};
 
-use sill_base::{Promise, keep};
+use sill_base::{Promise, assert_promise};
 
 /// Set for the process that panics.
 const CHILD: &str = "SILL_TEST_PANICS";
@@ -45,7 +45,8 @@
 fn a_broken_promise_ends_the_process() {
     if std::env::var_os(CHILD).is_some() {
         sill_setup::logs::start(log::LevelFilter::Info).expect("the first logger");
-        let task = || keep!(Promise::LeavingGetsNothing, false, "endpoint m1 was offered");
+        let task =
+            || assert_promise!(Promise::LeavingGetsNothing, false, "endpoint m1 was offered");
         let _ = std::thread::spawn(task).join();
         return;
     }
@@ -78,7 +79,7 @@
         },
         Case {
             name: "promise",
-            ends: || keep!(Promise::LeavingGetsNothing, false, "endpoint m1 was offered"),
+            ends: || assert_promise!(Promise::LeavingGetsNothing, false, "endpoint m1 was offered"),
             code: 3,
             last: "promise=leaving_gets_nothing",
         },
--- a/state/base/src/promise.rs
+++ b/state/base/src/promise.rs
@@ -67,7 +67,7 @@
 /// With a broken invariant the process could silently repeat or lose a request, so it stops here,
 /// while the log still shows the cause.
 #[macro_export]
-macro_rules! keep {
+macro_rules! assert_promise {
     ($promise:expr, $cond:expr, $($arg:tt)+) => {
         if !$cond {
             panic!("promise={} broken: {}", $promise.name(), format_args!($($arg)+));
