--- a/protocol/wire/src/link.rs
+++ b/protocol/wire/src/link.rs
@@ -72,7 +72,7 @@
 /// A position in the sequence of endpoint changes of one control instance.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The incarnation of the control instance; a cursor is void in any other.
+    /// The incarnation of the control instance; a cursor is invalid for any other.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
     /// The number of the last change that was received.
