--- a/coordination/member/src/digest.rs
+++ b/coordination/member/src/digest.rs
@@ -47,7 +47,7 @@
     seq: u64,
 ) {
     let hash = truncate_hash(fact_hash(digest.salt, kind, name, incarnation, content));
-    let _ = write!(digest.marks, "{hash:06x}{:02x}", seq as u8);
+    let _ = write!(digest.hashes, "{hash:06x}{:02x}", seq as u8);
 }
 
 /// Returns the rendezvous hash of a key and a name, which is the same in every process.
@@ -70,7 +70,7 @@
 impl DigestIndex {
     /// Parses a digest. Facts that are not well formed are skipped, as if the peer lacked them.
     pub fn parse(digest: &Digest) -> Self {
-        let text = digest.marks.as_bytes();
+        let text = digest.hashes.as_bytes();
         let mut sequences = Map::default();
         for fact in text.chunks_exact(FACT_DIGITS) {
             let Ok(fact) = std::str::from_utf8(fact) else { continue };
--- a/coordination/member/src/entries.rs
+++ b/coordination/member/src/entries.rs
@@ -54,7 +54,7 @@
         heartbeats: &[Heartbeat],
         transit: Millis,
     ) {
-        let by_hash: Map<u64, &Heartbeat> = heartbeats.iter().map(|h| (h.mark, h)).collect();
+        let by_hash: Map<u64, &Heartbeat> = heartbeats.iter().map(|h| (h.hash, h)).collect();
         for record in self.records.values_mut() {
             let info = &mut record.info;
             let hash = digest::fact_hash(
@@ -177,7 +177,7 @@
         let newer = self.recent(now, cfg).filter_map(|r| {
             let info = &r.info;
             digest::is_newer(info.sequence, known_sequence(index, info)?).then(|| Heartbeat {
-                mark: index.fact_hash(
+                hash: index.fact_hash(
                     FactKind::Entry,
                     &info.name,
                     info.incarnation,
--- a/coordination/member/src/foreign.rs
+++ b/coordination/member/src/foreign.rs
@@ -4,7 +4,7 @@
 
 use sill_base::{Map, Millis, Name};
 use sill_wire::Announcement;
-use sill_wire::member::{DomainSummary, EntryInfo, HeldOffer, SummaryAge};
+use sill_wire::member::{DomainSummary, EndpointIncarnation, EntryInfo, SummaryAge};
 
 use crate::cfg::MemberCfg;
 use crate::digest;
@@ -64,12 +64,12 @@
     }
 
     /// Returns the offers of other domains that have not expired, sorted.
-    pub fn held_offers(&self) -> Vec<HeldOffer> {
-        let held = self.offers.iter().map(|(name, offer)| HeldOffer {
+    pub fn held_offers(&self) -> Vec<EndpointIncarnation> {
+        let held = self.offers.iter().map(|(name, offer)| EndpointIncarnation {
             name: name.clone(),
             incarnation: offer.announcement.incarnation,
         });
-        let mut held: Vec<HeldOffer> = held.collect();
+        let mut held: Vec<EndpointIncarnation> = held.collect();
         held.sort_unstable();
         held
     }
@@ -111,7 +111,7 @@
                 self.add_offer(now, announcement, age, cfg, out);
             }
         }
-        for held in std::mem::take(&mut summary.still) {
+        for held in std::mem::take(&mut summary.held_with_free_slots) {
             let known = self.offers.get_mut(&held.name);
             if let Some(offer) = known.filter(|o| o.announcement.incarnation == held.incarnation) {
                 offer.expires_at = offer.expires_at.max(now + (cfg.foreign_lease - age));
--- a/coordination/member/src/members/requests.rs
+++ b/coordination/member/src/members/requests.rs
@@ -176,7 +176,7 @@
         MemberSync {
             from,
             digest,
-            back: false,
+            is_reply: false,
             leaving: Vec::new(),
             summaries: None,
             wants: Vec::new(),
--- a/protocol/wire/src/lib.rs
+++ b/protocol/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed messages between callers, endpoints, operators and our own processes.
+//! Typed messages between callers, endpoints, operators and the processes of the system.
 
 pub mod announce;
 pub mod call;
@@ -17,7 +17,7 @@
 pub mod priority;
 pub mod settings;
 
-pub use announce::{Announcement, Incarnation, Load, Role, Served};
+pub use announce::{Announcement, Incarnation, Load, Role, Servable};
 pub use call::Call;
 pub use error::{ErrorBody, ErrorCode, ErrorDetail};
 pub use priority::Priority;
