--- a/coordination/member/benches/scale.rs
+++ b/coordination/member/benches/scale.rs
@@ -11,7 +11,7 @@
 use sill_base::{Machine, Millis, Name};
 use sill_member::{Action, CLOCK_START, Event, MemberCfg, Members};
 use sill_wire::member::{EntryInfo, MemberReply, MemberSync};
-use sill_wire::{Announcement, Incarnation, Load, Served};
+use sill_wire::{Announcement, Incarnation, Load, Servable};
 
 /// Bytes of HTTP and JSON-RPC around a request, with a key of 64 characters.
 const CALL_OVERHEAD: u64 = 270;
@@ -261,7 +261,7 @@
         class: "accel-4".into(),
         reclaimable: true,
         price: 1850,
-        serves: vec![Served::Model {
+        serves: vec![Servable::Model {
             model: model(model_number),
             version: "2026-11".into(),
             adapters: vec!["trace-reports".into(), "tags".into()],
--- a/coordination/member/src/endpoints.rs
+++ b/coordination/member/src/endpoints.rs
@@ -1,8 +1,8 @@
 //! Endpoints of the own failure domain, and the incarnations that must not receive requests again.
 
-use sill_base::{Map, Millis, Name, Promise, keep};
-use sill_wire::member::{Digest, LeavingNotice, LoadUpdate, Relayed};
-use sill_wire::{Announcement, Incarnation, Served};
+use sill_base::{Map, Millis, Name, Promise, assert_promise};
+use sill_wire::member::{Digest, LeavingNotice, LoadUpdate, RelayedAnnouncement};
+use sill_wire::{Announcement, Incarnation, Servable};
 
 use crate::cfg::{MemberCfg, Weakening};
 use crate::digest::{self, DigestIndex, FactKind};
@@ -215,7 +215,7 @@
             return;
         }
         record.router_state = ready;
-        keep!(
+        assert_promise!(
             Promise::LeavingGetsNothing,
             self.ended_incarnations.get(name).is_none_or(|ended| *ended < incarnation),
             "endpoint {name} is offered as ready although incarnation {} or later is leaving",
@@ -265,14 +265,19 @@
     }
 
     /// Returns the announcements of live endpoints that a digest lacks.
-    pub fn missing_from(&self, now: Millis, cfg: &MemberCfg, index: &DigestIndex) -> Vec<Relayed> {
+    pub fn missing_from(
+        &self,
+        now: Millis,
+        cfg: &MemberCfg,
+        index: &DigestIndex,
+    ) -> Vec<RelayedAnnouncement> {
         let missing = self.live(now, cfg).filter(|(name, record)| {
             let incarnation = record.announcement.incarnation;
             index
                 .known_sequence(FactKind::Endpoint, name, incarnation, record.content_hash)
                 .is_none()
         });
-        let relayed = missing.map(|(_, record)| Relayed {
+        let relayed = missing.map(|(_, record)| RelayedAnnouncement {
             announcement: Announcement { leaving: None, ..record.announcement.clone() },
             age: now - record.sent_at,
         });
@@ -295,7 +300,7 @@
                 record.content_hash,
             )?;
             digest::is_newer(a.sequence, known).then(|| LoadUpdate {
-                mark: index.fact_hash(FactKind::Endpoint, name, a.incarnation, record.content_hash),
+                hash: index.fact_hash(FactKind::Endpoint, name, a.incarnation, record.content_hash),
                 sequence: a.sequence,
                 age: now - record.sent_at,
                 load: a.load,
@@ -394,10 +399,10 @@
 }
 
 /// Returns the name of the model or service that an endpoint serves.
-pub fn served_name(served: &Served) -> &Name {
+pub fn served_name(served: &Servable) -> &Name {
     match served {
-        Served::Model { model, .. } => model,
-        Served::Service { service } => service,
+        Servable::Model { model, .. } => model,
+        Servable::Service { service } => service,
     }
 }
 
--- a/daemons/control/src/app/command.rs
+++ b/daemons/control/src/app/command.rs
@@ -71,7 +71,7 @@
     /// The number that the outside system gave it.
     pub number: u64,
     /// The text as received, to be read back unchanged.
-    #[serde(with = "sill_base::packed::text")]
+    #[serde(with = "sill_base::compressed::text")]
     pub source: Arc<str>,
 }
 
--- a/daemons/control/src/app/state.rs
+++ b/daemons/control/src/app/state.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use sill_base::{Millis, Name, Promise, keep};
+use sill_base::{Millis, Name, Promise, assert_promise};
 use sill_flight::claims::{ClaimBounds, ClaimTable};
 use sill_quorum::{Entry, Payload};
 use sill_tree::{DocumentText, Operator, Tree};
@@ -216,7 +216,7 @@
     /// Panics on an entry that this version of the program can't parse: continuing without it would
     /// make this instance's state differ from the others' permanently.
     pub fn apply(&mut self, index: u64, entry: &Entry) -> Option<Outcome> {
-        keep!(
+        assert_promise!(
             Promise::AcceptedChangeStays,
             index == self.index + 1,
             "log entry {index} applied after entry {}",
@@ -243,7 +243,7 @@
                 Some(self.apply_command(index, entry.term, command))
             }
         };
-        keep!(
+        assert_promise!(
             Promise::AcceptedChangeStays,
             self.tree.revision >= before,
             "entry {index} set the tree back from revision {before} to {}",
--- a/daemons/control/src/entry_status.rs
+++ b/daemons/control/src/entry_status.rs
@@ -46,7 +46,7 @@
 }
 
 impl EntryStatusTable {
-    /// Records what an entry instance reports in a poll, also on the entry instances below it.
+    /// Records what an entry instance reports in a poll, also on its subscribers.
     pub fn record_poll(&self, now: Millis, poll: &FeedPoll) {
         if let Some(domain) = &poll.endpoints {
             self.record_endpoints(now, domain, true);
@@ -65,8 +65,13 @@
             records.insert(entry.clone(), polled);
         };
         update(&poll.entry, &poll.domain, poll.have, now);
-        for below in &poll.below {
-            update(&below.entry, &below.domain, below.revision, now - below.age);
+        for subscriber in &poll.subscribers {
+            update(
+                &subscriber.entry,
+                &subscriber.domain,
+                subscriber.revision,
+                now - subscriber.age,
+            );
         }
     }
 
--- a/daemons/control/src/log/disk.rs
+++ b/daemons/control/src/log/disk.rs
@@ -149,7 +149,7 @@
         let record = serde_json::from_slice(&record)
             .wrap_err_with(|| format!("log record {i} can't be parsed"))?;
         match record {
-            Record::Id(found) => id = Some(found),
+            Record::Id(owner) => id = Some(owner),
             Record::Write(write) => persisted.apply(write),
         }
     }
