--- a/daemons/control/src/log/handle.rs
+++ b/daemons/control/src/log/handle.rs
@@ -47,7 +47,7 @@
 pub enum SubmitResult {
     /// The command was committed and applied.
     Applied(Outcome),
-    /// This instance is not the leader; the command was not written, or never will be committed.
+    /// This instance is not the leader. The command was not written, or will never be committed.
     NotLeader,
     /// The command may have been written; whether it will be committed is unknown.
     Unknown,
