--- a/daemons/entry/src/announce.rs
+++ b/daemons/entry/src/announce.rs
@@ -38,7 +38,7 @@
         Ok(events) => events,
         Err(failure) => return refuse(&req, failure),
     };
-    app.routing.hear(app.clock.now(), sill_route::Event::Cache(events));
+    app.routing.apply(app.clock.now(), sill_route::Event::Cache(events));
     HttpResponse::NoContent().finish()
 }
 
--- a/daemons/entry/src/api.rs
+++ b/daemons/entry/src/api.rs
@@ -11,7 +11,7 @@
 
 use crate::body::Body;
 use crate::daemon::Shared;
-use crate::{announce, ask, explain, handoff, serve};
+use crate::{announce, explain, handoff, request, serve};
 
 /// The shared state, as handlers get it.
 pub type AppState = web::types::State<Arc<Shared>>;
@@ -53,7 +53,7 @@
 
 async fn models(app: AppState, req: HttpRequest) -> HttpResponse {
     let settings = app.settings.current();
-    let account = match ask::account(&settings, req.headers()) {
+    let account = match request::find_account(&settings, req.headers()) {
         Ok(account) => account,
         Err(failure) => return failure.response(&app.request_id()),
     };
@@ -72,9 +72,9 @@
 
 async fn chat(app: AppState, client: ClientState, req: HttpRequest, body: Body) -> HttpResponse {
     let id = app.request_id();
-    match ask::chat(&app, &req, &body) {
-        Ok(ask) => serve::chat(&app, &client, id, ask).await,
-        Err(failure) => serve::refuse_unread(&app, &id, failure),
+    match request::chat(&app, &req, &body) {
+        Ok(request) => serve::chat(&app, &client, id, request).await,
+        Err(failure) => serve::refuse_with_failure(&app, &id, failure),
     }
 }
 
@@ -86,9 +86,9 @@
     body: Body,
 ) -> HttpResponse {
     let id = app.request_id();
-    match ask::plain(&app, &req, &path.service, &path.path, body.0) {
-        Ok(ask) => serve::plain(&app, &client, id, ask).await,
-        Err(failure) => serve::refuse_unread(&app, &id, failure),
+    match request::plain(&app, &req, &path.service, &path.path, body.0) {
+        Ok(request) => serve::plain(&app, &client, id, request).await,
+        Err(failure) => serve::refuse_with_failure(&app, &id, failure),
     }
 }
 
--- a/daemons/entry/src/body.rs
+++ b/daemons/entry/src/body.rs
@@ -27,7 +27,7 @@
         limit: usize,
     },
     /// It ended early, or can't be decoded.
-    Cut,
+    Unreadable,
 }
 
 impl FromRequest<DefaultError> for Body {
@@ -35,18 +35,18 @@
 
     async fn from_request(req: &HttpRequest, payload: &mut Payload) -> Result<Self, BodyError> {
         let limit = req.app_state::<Arc<Shared>>().map_or(0, |app| app.cfg.max_body);
-        let announced = req.headers().get(CONTENT_LENGTH).and_then(|v| v.to_str().ok());
+        let content_length = req.headers().get(CONTENT_LENGTH).and_then(|v| v.to_str().ok());
         // Who announces too much is told before any of it is held.
-        if announced.and_then(|n| n.parse::<u64>().ok()).is_some_and(|n| n > limit as u64) {
+        if content_length.and_then(|n| n.parse::<u64>().ok()).is_some_and(|n| n > limit as u64) {
             return Err(BodyError::TooLarge { limit });
         }
         let mut body = BytesMut::new();
-        while let Some(piece) = payload.next().await {
-            let piece = piece.map_err(|_| BodyError::Cut)?;
-            if body.len() + piece.len() > limit {
+        while let Some(chunk) = payload.next().await {
+            let chunk = chunk.map_err(|_| BodyError::Unreadable)?;
+            if body.len() + chunk.len() > limit {
                 return Err(BodyError::TooLarge { limit });
             }
-            body.extend_from_slice(&piece);
+            body.extend_from_slice(&chunk);
         }
         Ok(Self(body.freeze()))
     }
@@ -64,7 +64,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::TooLarge { limit } => write!(f, "body: larger than the limit of {limit} bytes"),
-            Self::Cut => f.write_str("body: it ended early or can't be decoded"),
+            Self::Unreadable => f.write_str("body: it ended early or can't be decoded"),
         }
     }
 }
@@ -73,7 +73,7 @@
     fn error_response(&self, req: &HttpRequest) -> HttpResponse {
         let code = match self {
             Self::TooLarge { .. } => ErrorCode::TooLarge,
-            Self::Cut => ErrorCode::BadRequest,
+            Self::Unreadable => ErrorCode::BadRequest,
         };
         let id = req.app_state::<Arc<Shared>>().map_or(Name::default(), |app| app.request_id());
         // The handler has not begun, so no byte can have left for an endpoint.
--- a/daemons/entry/src/claims.rs
+++ b/daemons/entry/src/claims.rs
@@ -15,30 +15,30 @@
 use crate::peers;
 
 /// How long asks are gathered.
-const TICK: Millis = Millis(2);
+const BATCH_INTERVAL: Millis = Millis(2);
 
 /// Asks in one batch at most.
 const MAX_BATCH: usize = 512;
 
 /// How long one control instance has to answer.
-const TIMEOUT: Millis = Millis(700);
+const CALL_TIMEOUT: Millis = Millis(700);
 
 /// Pause before the log is told again what it has to know.
-const RETRY: Millis = Millis(500);
+const RETRY_DELAY: Millis = Millis(500);
 
 /// How often the log is told before it is given up; the claim expires by itself then.
-const MAX_TELLS: u32 = 120;
+const MAX_SETTLE_ATTEMPTS: u32 = 120;
 
 /// Pause before the log is asked again for the outcome of a key that another one holds.
-const OUTCOME_PAUSE: Millis = Millis(100);
+const OUTCOME_POLL_INTERVAL: Millis = Millis(100);
 
 /// How often it is asked again.
-const OUTCOME_ASKS: u32 = 10;
+const MAX_OUTCOME_POLLS: u32 = 10;
 
 /// The claims' log, as requests see it.
 pub trait Claims: Debug + Send + Sync {
     /// Asks; a verdict that never comes reads as a closed channel.
-    fn ask(&self, ask: ClaimAsk) -> oneshot::Receiver<ClaimVerdict>;
+    fn submit(&self, ask: ClaimAsk) -> oneshot::Receiver<ClaimVerdict>;
 
     /// Tells, and tells again until it was heard.
     fn settle(&self, ask: ClaimAsk);
@@ -50,14 +50,14 @@
 /// The claims' log of the control instances.
 #[derive(Debug)]
 pub struct ControlClaims {
-    asks: mpsc::UnboundedSender<Ask>,
-    releases: Releases,
+    asks: mpsc::UnboundedSender<PendingAsk>,
+    releases: PendingReleases,
 }
 
 #[derive(Debug)]
-struct Ask {
+struct PendingAsk {
     ask: ClaimAsk,
-    to: Recipient,
+    recipient: Recipient,
 }
 
 /// Who has to learn the verdict on an ask.
@@ -66,9 +66,9 @@
     /// A request that waits for it.
     Request(oneshot::Sender<ClaimVerdict>),
     /// Nobody, but the log has to be told until it has heard.
-    Settling { tells: u32 },
+    Settle { attempts: u32 },
     /// Nobody; what it repeats is told by another ask.
-    Nobody,
+    None,
 }
 
 /// Releases that the log may not have heard yet.
@@ -77,42 +77,42 @@
 /// request, and the caller would be told that the outcome of a request is unknown that was never
 /// sent. So a claim goes to the log behind the releases of its key, in the same batch.
 #[derive(Debug, Clone, Default)]
-struct Releases(Arc<Mutex<Map<ClaimKey, Vec<ClaimOwner>>>>);
+struct PendingReleases(Arc<Mutex<Map<ClaimKey, Vec<ClaimOwner>>>>);
 
-impl Releases {
-    fn note(&self, ask: &ClaimAsk) {
+impl PendingReleases {
+    fn add(&self, ask: &ClaimAsk) {
         if let ClaimAsk::Release { key, owner } = ask {
             self.0.lock().entry(key.clone()).or_default().push(owner.clone());
         }
     }
 
-    fn forget(&self, ask: &ClaimAsk) {
+    fn remove(&self, ask: &ClaimAsk) {
         let ClaimAsk::Release { key, owner } = ask else {
             return;
         };
-        let mut owners_of = self.0.lock();
-        let Some(owners) = owners_of.get_mut(key) else {
+        let mut owners_by_key = self.0.lock();
+        let Some(owners) = owners_by_key.get_mut(key) else {
             return;
         };
         owners.retain(|o| o != owner);
         if owners.is_empty() {
-            owners_of.remove(key);
+            owners_by_key.remove(key);
         }
     }
 
-    fn has(&self, key: &ClaimKey) -> bool {
+    fn contains(&self, key: &ClaimKey) -> bool {
         self.0.lock().contains_key(key)
     }
 
     /// Returns the releases that have to reach the log before an ask.
-    fn before(&self, ask: &ClaimAsk) -> Vec<Ask> {
+    fn releases_before(&self, ask: &ClaimAsk) -> Vec<PendingAsk> {
         let ClaimAsk::Take { key, .. } = ask else {
             return Vec::new();
         };
         let owners = self.0.lock().get(key).cloned().unwrap_or_default();
         let release = |owner| ClaimAsk::Release { key: key.clone(), owner };
         let asks = owners.into_iter().map(release);
-        asks.map(|ask| Ask { ask, to: Recipient::Nobody }).collect()
+        asks.map(|ask| PendingAsk { ask, recipient: Recipient::None }).collect()
     }
 }
 
@@ -122,31 +122,31 @@
         let clients: Vec<PeerClient> = cfg
             .control
             .iter()
-            .map(|address| PeerClient::new(*address, &cfg.cluster_key, TIMEOUT))
+            .map(|address| PeerClient::new(*address, &cfg.cluster_key, CALL_TIMEOUT))
             .collect();
         let (asks, rx) = mpsc::unbounded_channel();
-        let releases = Releases::default();
-        let log = Log { clients: clients.into(), again: asks.downgrade(), releases };
-        let releases = log.releases.clone();
-        tokio::spawn(gather(log, rx));
+        let releases = PendingReleases::default();
+        let client = LogClient { clients: clients.into(), retry_tx: asks.downgrade(), releases };
+        let releases = client.releases.clone();
+        tokio::spawn(send_batches(client, rx));
         Self { asks, releases }
     }
 }
 
 impl Claims for ControlClaims {
-    fn ask(&self, ask: ClaimAsk) -> oneshot::Receiver<ClaimVerdict> {
+    fn submit(&self, ask: ClaimAsk) -> oneshot::Receiver<ClaimVerdict> {
         let (tx, rx) = oneshot::channel();
-        let _ = self.asks.send(Ask { ask, to: Recipient::Request(tx) });
+        let _ = self.asks.send(PendingAsk { ask, recipient: Recipient::Request(tx) });
         rx
     }
 
     fn settle(&self, ask: ClaimAsk) {
-        self.releases.note(&ask);
-        let _ = self.asks.send(Ask { ask, to: Recipient::Settling { tells: 0 } });
+        self.releases.add(&ask);
+        let _ = self.asks.send(PendingAsk { ask, recipient: Recipient::Settle { attempts: 0 } });
     }
 
     fn is_releasing(&self, key: &ClaimKey) -> bool {
-        self.releases.has(key)
+        self.releases.contains(key)
     }
 }
 
@@ -155,20 +155,20 @@
 ///
 /// An owner answers its caller before the log has the outcome. A caller that sends the request again
 /// at once, through another failure domain, would be told that its outcome is unknown.
-pub fn ask(app: &Arc<Shared>, ask: ClaimAsk) -> oneshot::Receiver<ClaimVerdict> {
+pub fn submit(app: &Arc<Shared>, ask: ClaimAsk) -> oneshot::Receiver<ClaimVerdict> {
     let (tx, rx) = oneshot::channel();
     let shared = app.clone();
     app.runtime.spawn(async move {
-        let mut verdict = shared.claims.ask(ask.clone()).await;
-        for _ in 0..OUTCOME_ASKS {
+        let mut verdict = shared.claims.submit(ask.clone()).await;
+        for _ in 0..MAX_OUTCOME_POLLS {
             let Ok(ClaimVerdict::Taken { owner, outcome: None }) = &verdict else {
                 break;
             };
             if tx.is_closed() || peers::find_owner(&shared, owner).is_some() {
                 break;
             }
-            tokio::time::sleep(OUTCOME_PAUSE.into()).await;
-            verdict = shared.claims.ask(ask.clone()).await;
+            tokio::time::sleep(OUTCOME_POLL_INTERVAL.into()).await;
+            verdict = shared.claims.submit(ask.clone()).await;
         }
         let _ = tx.send(verdict.unwrap_or(ClaimVerdict::Unavailable));
     });
@@ -178,42 +178,42 @@
 /// Waits until the log has heard that a claim on a key was given up here.
 ///
 /// A peer whose caller came with the same key takes the refused request for a running one until then.
-pub async fn released(app: &Arc<Shared>, key: &ClaimKey, wait: Millis) {
+pub async fn wait_for_release(app: &Arc<Shared>, key: &ClaimKey, wait: Millis) {
     let end = app.clock.now() + wait;
     while app.claims.is_releasing(key) && app.clock.now() < end {
-        tokio::time::sleep(OUTCOME_PAUSE.into()).await;
+        tokio::time::sleep(OUTCOME_POLL_INTERVAL.into()).await;
     }
 }
 
 /// What is needed to ask the claims' log.
 #[derive(Debug, Clone)]
-struct Log {
+struct LogClient {
     clients: Arc<[PeerClient]>,
-    again: mpsc::WeakUnboundedSender<Ask>,
-    releases: Releases,
+    retry_tx: mpsc::WeakUnboundedSender<PendingAsk>,
+    releases: PendingReleases,
 }
 
-async fn gather(log: Log, mut asks: mpsc::UnboundedReceiver<Ask>) {
+async fn send_batches(client: LogClient, mut asks: mpsc::UnboundedReceiver<PendingAsk>) {
     let mut turn = 0;
     while let Some(first) = asks.recv().await {
-        tokio::time::sleep(TICK.into()).await;
-        let mut batch = log.releases.before(&first.ask);
+        tokio::time::sleep(BATCH_INTERVAL.into()).await;
+        let mut batch = client.releases.releases_before(&first.ask);
         batch.push(first);
         while batch.len() < MAX_BATCH {
             let Ok(next) = asks.try_recv() else {
                 break;
             };
-            batch.extend(log.releases.before(&next.ask));
+            batch.extend(client.releases.releases_before(&next.ask));
             batch.push(next);
         }
-        tokio::spawn(log.clone().carry(turn, batch));
+        tokio::spawn(client.clone().send_batch(turn, batch));
         turn += 1;
     }
 }
 
-impl Log {
+impl LogClient {
     /// Asks one control instance after the other until every ask has its verdict.
-    async fn carry(self, turn: usize, mut batch: Vec<Ask>) {
+    async fn send_batch(self, turn: usize, mut batch: Vec<PendingAsk>) {
         for offset in 0..self.clients.len() {
             if batch.is_empty() {
                 return;
@@ -222,7 +222,7 @@
             let call = ClaimBatch { asks: batch.iter().map(|a| a.ask.clone()).collect() };
             match client.call(&call).await {
                 Ok(reply) if reply.verdicts.len() == batch.len() => {
-                    batch = self.hand_out(batch, reply.verdicts);
+                    batch = self.deliver(batch, reply.verdicts);
                 }
                 Ok(_) => event!(Error, "claims_garbled", address = client.address()),
                 Err(err) => {
@@ -231,46 +231,46 @@
             }
         }
         for ask in batch {
-            self.give_up(ask);
+            self.handle_undecided(ask);
         }
     }
 
     /// Hands verdicts out, and returns the asks that this instance could not decide.
-    fn hand_out(&self, batch: Vec<Ask>, verdicts: Vec<ClaimVerdict>) -> Vec<Ask> {
+    fn deliver(&self, batch: Vec<PendingAsk>, verdicts: Vec<ClaimVerdict>) -> Vec<PendingAsk> {
         let mut undecided = Vec::new();
         for (ask, verdict) in batch.into_iter().zip(verdicts) {
             if verdict == ClaimVerdict::Unavailable {
                 undecided.push(ask);
                 continue;
             }
-            self.releases.forget(&ask.ask);
-            if let Recipient::Request(tx) = ask.to {
+            self.releases.remove(&ask.ask);
+            if let Recipient::Request(tx) = ask.recipient {
                 let _ = tx.send(verdict);
             }
         }
         undecided
     }
 
-    fn give_up(&self, ask: Ask) {
-        match ask.to {
+    fn handle_undecided(&self, ask: PendingAsk) {
+        match ask.recipient {
             Recipient::Request(tx) => drop(tx.send(ClaimVerdict::Unavailable)),
-            Recipient::Settling { tells } if tells < MAX_TELLS => {
-                let to = Recipient::Settling { tells: tells + 1 };
-                self.tell_later(Ask { to, ..ask });
+            Recipient::Settle { attempts } if attempts < MAX_SETTLE_ATTEMPTS => {
+                let recipient = Recipient::Settle { attempts: attempts + 1 };
+                self.retry_later(PendingAsk { recipient, ..ask });
             }
-            Recipient::Settling { .. } => {
-                self.releases.forget(&ask.ask);
+            Recipient::Settle { .. } => {
+                self.releases.remove(&ask.ask);
                 event!(Warn, "claim_not_settled", ask = format!("{:?}", ask.ask));
             }
-            Recipient::Nobody => {}
+            Recipient::None => {}
         }
     }
 
-    fn tell_later(&self, ask: Ask) {
-        let again = self.again.clone();
+    fn retry_later(&self, ask: PendingAsk) {
+        let retry_tx = self.retry_tx.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(RETRY.into()).await;
-            if let Some(asks) = again.upgrade() {
+            tokio::time::sleep(RETRY_DELAY.into()).await;
+            if let Some(asks) = retry_tx.upgrade() {
                 let _ = asks.send(ask);
             }
         });
@@ -282,7 +282,7 @@
 pub struct MemoryClaims(Mutex<ClaimTable>);
 
 impl Claims for MemoryClaims {
-    fn ask(&self, ask: ClaimAsk) -> oneshot::Receiver<ClaimVerdict> {
+    fn submit(&self, ask: ClaimAsk) -> oneshot::Receiver<ClaimVerdict> {
         let (tx, rx) = oneshot::channel();
         let _ = tx.send(self.0.lock().apply(Millis::wall(), &ask));
         rx
--- a/daemons/entry/src/cli.rs
+++ b/daemons/entry/src/cli.rs
@@ -24,7 +24,7 @@
     let entry = Entry::start(cfg)?;
     runtime.block_on(async {
         let late = stops.next().await;
-        let cut = entry.stop_unless(late, stops.interrupted()).await;
+        let cut = entry.stop_unless_forced(late, stops.interrupted()).await;
         if cut > 0 {
             event!(Warn, "stop_cut", requests = cut);
         }
--- a/daemons/entry/src/daemon.rs
+++ b/daemons/entry/src/daemon.rs
@@ -20,11 +20,11 @@
 
 use crate::cfg::EntryCfg;
 use crate::claims::{Claims, ControlClaims};
-use crate::closing::CloseOnStop;
+use crate::close_on_stop::CloseOnStop;
 use crate::copy::SettingsCopy;
-use crate::errors::OneShape;
+use crate::errors::ErrorFormat;
 use crate::feed::Feed;
-use crate::handoff::Takers;
+use crate::handoff::WorkerSenders;
 use crate::limits::Limits;
 use crate::members::Membership;
 use crate::metrics::Metrics;
@@ -82,7 +82,7 @@
     /// Clients of peers.
     pub peers: Peers,
     /// Threads that can take requests over from peers.
-    pub takers: Takers,
+    pub takers: WorkerSenders,
     /// Where calls to peers run.
     pub runtime: Handle,
     /// Where peers reach this instance, `IP:PORT`.
@@ -143,7 +143,7 @@
             journal: Mutex::new(Journal::new(RECORDS)),
             signals: Signals::new(),
             peers: Peers::default(),
-            takers: Takers::default(),
+            takers: WorkerSenders::default(),
             runtime,
             peer_address: peer_address.to_string().into(),
             stopping: AtomicBool::new(false),
@@ -215,7 +215,7 @@
     let (shared, client) = (shared.clone(), client.clone());
     ntex::rt::spawn(async move {
         while let Some(taken) = rx.recv().await {
-            ntex::rt::spawn(serve::go_on(shared.clone(), client.clone(), taken));
+            ntex::rt::spawn(serve::resume_run(shared.clone(), client.clone(), taken));
         }
     });
 }
@@ -234,7 +234,7 @@
             let upstream = upstream.expect("a client without TLS can be made");
             take_over_here(&shared, &upstream);
             App::new()
-                .middleware(OneShape)
+                .middleware(ErrorFormat)
                 .middleware(CloseOnStop(shared.clone()))
                 .state(shared.clone())
                 .state(upstream)
--- a/daemons/entry/src/errors.rs
+++ b/daemons/entry/src/errors.rs
@@ -16,23 +16,23 @@
 
 /// Reshapes errors that carry no request name, because every answer of our handlers has one.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct OneShape;
+pub struct ErrorFormat;
 
 /// The service around another one.
 #[derive(Debug)]
-pub struct OneShapeService<S> {
+pub struct ErrorFormatService<S> {
     inner: S,
 }
 
-impl<S> Middleware<S, SharedCfg> for OneShape {
-    type Service = OneShapeService<S>;
+impl<S> Middleware<S, SharedCfg> for ErrorFormat {
+    type Service = ErrorFormatService<S>;
 
     fn create(&self, inner: S, _: SharedCfg) -> Self::Service {
-        OneShapeService { inner }
+        ErrorFormatService { inner }
     }
 }
 
-impl<S, E> Service<WebRequest<E>> for OneShapeService<S>
+impl<S, E> Service<WebRequest<E>> for ErrorFormatService<S>
 where
     S: Service<WebRequest<E>, Response = WebResponse>,
 {
@@ -57,17 +57,17 @@
         }
         let json = HeaderValue::from_static("application/json");
         res.headers_mut().insert(CONTENT_TYPE, json);
-        let body = error(status);
+        let body = error_body(status);
         if body.error.not_run {
-            let yes = HeaderValue::from_static("true");
-            res.headers_mut().insert(HeaderName::from_static(header::NOT_RUN), yes);
+            let not_run = HeaderValue::from_static("true");
+            res.headers_mut().insert(HeaderName::from_static(header::NOT_RUN), not_run);
         }
         let body = serde_json::to_vec(&body).unwrap_or_default();
         Ok(res.map_body(|_, _| Body::from(body).into()))
     }
 }
 
-fn error(status: u16) -> ErrorBody {
+fn error_body(status: u16) -> ErrorBody {
     let (code, message) = match status {
         404 => (ErrorCode::NotFound, "no such path"),
         405 => (ErrorCode::BadRequest, "the path has no such method"),
--- a/daemons/entry/src/explain.rs
+++ b/daemons/entry/src/explain.rs
@@ -7,8 +7,8 @@
 use sill_net::http::{self, Failure};
 use sill_wire::ErrorCode;
 
-use crate::ask;
 use crate::daemon::Shared;
+use crate::request;
 
 /// Answers the request's own client account, and who has the join token.
 pub async fn explain(
@@ -19,7 +19,7 @@
     let settings = app.settings.current();
     let authorization = req.headers().get("authorization").and_then(|v| v.to_str().ok());
     let is_operator = authorization.is_some_and(|header| app.cfg.join_token.is_bearer(header));
-    let account = ask::account(&settings, req.headers());
+    let account = request::find_account(&settings, req.headers());
     if let (false, Err(failure)) = (is_operator, &account) {
         return failure.clone().response(&id);
     }
--- a/daemons/entry/src/handoff.rs
+++ b/daemons/entry/src/handoff.rs
@@ -17,23 +17,23 @@
 
 use crate::daemon::Shared;
 use crate::peers;
-use crate::serve::TakenOver;
+use crate::serve::IncomingRun;
 use crate::serve::signals::Offer;
 
 /// Time that a hand-off is given at least; with less left it begins at once.
-const NEEDED: Millis = Millis(1_500);
+const MIN_HAND_OFF_TIME: Millis = Millis(1_500);
 
 /// How long offers are gathered into one call.
-const GATHER: Millis = Millis(5);
+const BATCH_INTERVAL: Millis = Millis(5);
 
 /// Requests in one call at most.
 const MAX_RUNS: usize = 256;
 
 /// How long a peer has to take requests over before another one is asked.
-const TIMEOUT: Millis = Millis(500);
+const PEER_TIMEOUT: Millis = Millis(500);
 
 /// Threads that requests can be handed to.
-pub type Takers = parking_lot::Mutex<Vec<mpsc::UnboundedSender<TakenOver>>>;
+pub type WorkerSenders = parking_lot::Mutex<Vec<mpsc::UnboundedSender<IncomingRun>>>;
 
 /// `POST /reclaim`.
 pub async fn reclaim(
@@ -46,13 +46,13 @@
         return Failure::new(ErrorCode::Unauthorized, "wrong join token")
             .response(&Name::default());
     }
-    begin(&app, notice.in_ms);
+    begin_reclaim(&app, notice.in_ms);
     http::json(200, &json!({ "accepted": true }))
 }
 
 /// Begins to leave.
-pub fn begin(app: &Arc<Shared>, left: Millis) {
-    event!(Info, "reclaim_notice", name = app.cfg.name, in_ms = left);
+pub fn begin_reclaim(app: &Arc<Shared>, time_left: Millis) {
+    event!(Info, "reclaim_notice", name = app.cfg.name, in_ms = time_left);
     app.stopping.store(true, Ordering::Relaxed);
     if app.reclaimed.swap(true, Ordering::Relaxed) {
         return;
@@ -60,7 +60,7 @@
     let leaving = app.clone();
     app.runtime.spawn(async move {
         // Answers that come to their end meanwhile need not be moved.
-        tokio::time::sleep(wait(left).into()).await;
+        tokio::time::sleep(hand_off_delay(time_left).into()).await;
         hand_off(&leaving).await;
     });
 }
@@ -69,10 +69,10 @@
 ///
 /// A caller whose answer is cut has half of it, and whoever comes back has the prompt computed again; one
 /// that was handed over finds its answer at a peer.
-pub fn before_limit(app: &Arc<Shared>, limit: Millis) {
+pub fn schedule_before_limit(app: &Arc<Shared>, limit: Millis) {
     let leaving = app.clone();
     app.runtime.spawn(async move {
-        tokio::time::sleep(limit.since(NEEDED).into()).await;
+        tokio::time::sleep(limit.since(MIN_HAND_OFF_TIME).into()).await;
         // What comes from now on would have to be handed over at once.
         if !leaving.reclaimed.swap(true, Ordering::Relaxed) {
             hand_off(&leaving).await;
@@ -81,15 +81,15 @@
 }
 
 /// Returns how long to let requests run on here.
-fn wait(left: Millis) -> Millis {
-    left.since(NEEDED.max(Millis(left.0 / 3)))
+fn hand_off_delay(time_left: Millis) -> Millis {
+    time_left.since(MIN_HAND_OFF_TIME.max(Millis(time_left.0 / 3)))
 }
 
 async fn hand_off(app: &Arc<Shared>) {
     let mut offers = app.signals.begin_hand_off();
-    let mut refused = BTreeMap::new();
+    let mut failures = BTreeMap::new();
     while let Some(first) = offers.recv().await {
-        tokio::time::sleep(GATHER.into()).await;
+        tokio::time::sleep(BATCH_INTERVAL.into()).await;
         let mut batch = vec![first];
         while batch.len() < MAX_RUNS {
             let Ok(next) = offers.try_recv() else {
@@ -97,29 +97,33 @@
             };
             batch.push(next);
         }
-        give(app, batch, &mut refused).await;
+        offer_to_peers(app, batch, &mut failures).await;
     }
 }
 
 /// Offers requests to one peer after the other.
-async fn give(app: &Arc<Shared>, mut batch: Vec<Offer>, refused: &mut BTreeMap<Name, u32>) {
+async fn offer_to_peers(
+    app: &Arc<Shared>,
+    mut batch: Vec<Offer>,
+    failures: &mut BTreeMap<Name, u32>,
+) {
     let mut peers = peers::candidates(app);
-    peers.sort_by_key(|peer| refused.get(peer).copied().unwrap_or_default());
+    peers.sort_by_key(|peer| failures.get(peer).copied().unwrap_or_default());
     for peer in peers {
         if batch.is_empty() {
             return;
         }
         let runs = batch.iter().map(|offer| offer.run.clone()).collect();
         let call = HandOff { from: app.cfg.name.clone(), runs };
-        let called = tokio::time::timeout(TIMEOUT.into(), peers::call(app, &peer, call)).await;
+        let called = tokio::time::timeout(PEER_TIMEOUT.into(), peers::call(app, &peer, call)).await;
         match called {
             Ok(Ok(reply)) => {
                 event!(Info, "handed_off", to = peer, requests = reply.accepted.len());
-                batch = tell(batch, &reply, &peer);
+                batch = confirm_accepted(batch, &reply, &peer);
             }
             Ok(Err(_)) | Err(_) => {
                 event!(Warn, "hand_off_failed", to = peer, requests = batch.len());
-                *refused.entry(peer).or_default() += 1;
+                *failures.entry(peer).or_default() += 1;
                 // Whether the peer has them is unknown. A second peer may run the others again, but
                 // these could then be moved twice.
                 batch.retain(|offer| offer.run.spec.is_idempotent);
@@ -128,16 +132,16 @@
     }
 }
 
-fn tell(batch: Vec<Offer>, reply: &HandOffReply, peer: &Name) -> Vec<Offer> {
-    let mut left = Vec::new();
+fn confirm_accepted(batch: Vec<Offer>, reply: &HandOffReply, peer: &Name) -> Vec<Offer> {
+    let mut remaining = Vec::new();
     for offer in batch {
         if reply.accepted.contains(&offer.run.spec.request) {
-            let _ = offer.taken_by.send(Some(peer.clone()));
+            let _ = offer.accepted_by.send(Some(peer.clone()));
         } else {
-            left.push(offer);
+            remaining.push(offer);
         }
     }
-    left
+    remaining
 }
 
 /// Takes requests over from a peer.
@@ -145,22 +149,22 @@
 /// # Errors
 ///
 /// Refuses when this instance is leaving itself.
-pub async fn take(app: Arc<Shared>, call: HandOff) -> Result<HandOffReply, PeerError> {
+pub async fn accept(app: Arc<Shared>, call: HandOff) -> Result<HandOffReply, PeerError> {
     if app.stopping.load(Ordering::Relaxed) {
         return Err(PeerError::Refused("leaving as well".to_owned()));
     }
-    let mut taken = Vec::new();
-    let takers = app.takers.lock();
+    let mut accepted = Vec::new();
+    let workers = app.takers.lock();
     for (number, run) in call.runs.into_iter().enumerate() {
         let request = run.spec.request.clone();
-        let Some(taker) = takers.get(number % takers.len().max(1)) else {
+        let Some(worker) = workers.get(number % workers.len().max(1)) else {
             break;
         };
-        match taker.send(TakenOver::begin(&app, run)) {
-            Ok(()) => taken.push(request),
-            Err(unsent) => unsent.0.give_back(),
+        match worker.send(IncomingRun::register(&app, run)) {
+            Ok(()) => accepted.push(request),
+            Err(unsent) => unsent.0.unregister(),
         }
     }
-    event!(Info, "taken_over", from = call.from, requests = taken.len());
-    Ok(HandOffReply { accepted: taken })
+    event!(Info, "taken_over", from = call.from, requests = accepted.len());
+    Ok(HandOffReply { accepted })
 }
--- a/daemons/entry/src/lib.rs
+++ b/daemons/entry/src/lib.rs
@@ -2,12 +2,11 @@
 
 pub mod announce;
 pub mod api;
-pub mod ask;
 pub mod body;
 pub mod cfg;
 pub mod claims;
 pub mod cli;
-pub mod closing;
+pub mod close_on_stop;
 pub mod copy;
 pub mod daemon;
 pub mod errors;
@@ -22,6 +21,7 @@
 pub mod peer;
 pub mod peers;
 pub mod record;
+pub mod request;
 pub mod routing;
 pub mod serve;
 pub mod settings;
--- a/daemons/entry/src/members.rs
+++ b/daemons/entry/src/members.rs
@@ -167,12 +167,12 @@
             Action::Reply(reply) => answers.reply = Some(*reply),
             Action::Accept(reply) => answers.accept = Some(reply),
             Action::Use { announcement, age } => {
-                routing.hear(now, sill_route::Event::Announced { announcement, age });
+                routing.apply(now, sill_route::Event::Announced { announcement, age });
             }
             Action::Drop { endpoint, incarnation } => {
-                routing.hear(now, sill_route::Event::Gone { endpoint, incarnation });
+                routing.apply(now, sill_route::Event::Gone { endpoint, incarnation });
             }
-            Action::Trust { until } => routing.trust(until - START),
+            Action::Trust { until } => routing.set_valid_until(until - START),
             Action::Report(found) => report(&found),
         }
     }
--- a/daemons/entry/src/ask.rs
+++ b/daemons/entry/src/request.rs
@@ -19,13 +19,13 @@
 use crate::serve::headers::passed_headers;
 
 /// The longest idempotency key, in bytes.
-const MAX_KEY: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 
 /// A checked request for a model's answer.
 #[derive(Debug, Clone)]
-pub struct ChatAsk {
+pub struct ChatRequest {
     /// What holds for every request.
-    pub common: CommonAsk,
+    pub meta: RequestMeta,
     /// What the system needs to know of the body.
     pub summary: ChatSummary,
     /// The path that was called.
@@ -33,14 +33,14 @@
     /// The body as the caller sent it.
     pub body: Value,
     /// The first token that a caller who came back has not got.
-    pub from: u32,
+    pub start_index: u32,
 }
 
 /// A checked call of a plain service.
 #[derive(Debug, Clone)]
-pub struct PlainAsk {
+pub struct PlainRequest {
     /// What holds for every request.
-    pub common: CommonAsk,
+    pub meta: RequestMeta,
     /// The method.
     pub method: ntex::http::Method,
     /// The service.
@@ -55,19 +55,19 @@
 
 /// What holds for every request.
 #[derive(Debug, Clone)]
-pub struct CommonAsk {
+pub struct RequestMeta {
     /// The client account.
     pub account: Arc<EffectiveAccount>,
     /// The caller's key, which names the request over resends.
     pub key: Option<Name>,
     /// Whether the request may be run more than once.
-    pub idempotent: bool,
+    pub is_idempotent: bool,
     /// Its priority, no higher than its account may ask for.
     pub priority: Priority,
     /// Time in which the whole answer is wanted.
     pub deadline: Option<Millis>,
     /// Hash of method, path and body.
-    pub content: BodyHash,
+    pub content_hash: BodyHash,
 }
 
 /// Checks a request for a model's answer.
@@ -75,28 +75,28 @@
 /// # Errors
 ///
 /// Returns the refusal; nothing was sent anywhere then.
-pub fn chat(app: &Shared, req: &HttpRequest, body: &[u8]) -> Result<ChatAsk, Failure> {
+pub fn chat(app: &Shared, req: &HttpRequest, body: &[u8]) -> Result<ChatRequest, Failure> {
     check_running(app)?;
     let settings = app.settings.current();
-    let account = account(&settings, req.headers())?;
-    let content = content_hash(req.method().as_str(), req.path(), body);
+    let account = find_account(&settings, req.headers())?;
+    let content_hash = content_hash(req.method().as_str(), req.path(), body);
     let body: Value = serde_json::from_slice(body)
         .map_err(|err| Failure::new(ErrorCode::BadRequest, format!("body: not JSON: {err}")))?;
     let mut findings = Findings::new();
     let summary = ChatSummary::read(&body).map_err(|found| findings.extend(found)).ok();
-    let common = common(req.headers(), account, content, &mut findings);
-    let last = read(req.headers(), header::LAST_EVENT_ID, &mut findings, |text| {
+    let meta = read_meta(req.headers(), account, content_hash, &mut findings);
+    let last_event_id = parse_header(req.headers(), header::LAST_EVENT_ID, &mut findings, |text| {
         text.parse::<u32>().map_err(|_| "expected the id of the last event that came")
     });
     let (Some(summary), true) = (summary, findings.is_empty()) else {
         return Err(bad_request(findings));
     };
     let is_model = |s: &EffectiveService| matches!(s.kind, Service::Model { .. });
-    let service = service(&settings, &common.account, &summary.model, is_model)?;
-    let deadline = common.deadline.or(service.deadline);
-    let common = CommonAsk { deadline, ..common };
-    let from = last.map_or(0, |last| last.saturating_add(1));
-    Ok(ChatAsk { common, summary, path: req.path().to_owned(), body, from })
+    let service = find_service(&settings, &meta.account, &summary.model, is_model)?;
+    let deadline = meta.deadline.or(service.deadline);
+    let meta = RequestMeta { deadline, ..meta };
+    let start_index = last_event_id.map_or(0, |id| id.saturating_add(1));
+    Ok(ChatRequest { meta, summary, path: req.path().to_owned(), body, start_index })
 }
 
 /// Checks a call of a plain service.
@@ -108,38 +108,39 @@
     app: &Shared,
     req: &HttpRequest,
     name: &Name,
-    rest: &str,
+    decoded_path: &str,
     body: ntex::util::Bytes,
-) -> Result<PlainAsk, Failure> {
+) -> Result<PlainRequest, Failure> {
     check_running(app)?;
     let settings = app.settings.current();
-    let account = account(&settings, req.headers())?;
-    let mut path = below_service(req.uri().path());
+    let account = find_account(&settings, req.headers())?;
+    let mut path = path_below_service(req.uri().path());
     // Two calls that differ in their query only are two calls.
-    let target = req.uri().path_and_query().map_or(req.path(), |whole| whole.as_str());
-    let content = content_hash(req.method().as_str(), target, &body);
+    let target = req.uri().path_and_query().map_or(req.path(), |target| target.as_str());
+    let content_hash = content_hash(req.method().as_str(), target, &body);
     let mut findings = Findings::new();
-    let mut common = common(req.headers(), account, content, &mut findings);
+    let mut meta = read_meta(req.headers(), account, content_hash, &mut findings);
     if !findings.is_empty() {
         return Err(bad_request(findings));
     }
     let is_plain = |s: &EffectiveService| matches!(s.kind, Service::Plain { .. });
-    let service = service(&settings, &common.account, name, is_plain)?;
+    let service = find_service(&settings, &meta.account, name, is_plain)?;
     if let Service::Plain { non_idempotent, .. } = &service.kind {
-        common.idempotent &= !is_marked(non_idempotent, req.method().as_str(), &path, rest);
+        meta.is_idempotent &=
+            !is_non_idempotent(non_idempotent, req.method().as_str(), &path, decoded_path);
     }
-    common.deadline = common.deadline.or(service.deadline);
+    meta.deadline = meta.deadline.or(service.deadline);
     if !req.query_string().is_empty() {
         path.push('?');
         path.push_str(req.query_string());
     }
     let headers = passed_headers(req.headers());
     let method = req.method().clone();
-    Ok(PlainAsk { common, method, service: name.clone(), path, headers, body })
+    Ok(PlainRequest { meta, method, service: name.clone(), path, headers, body })
 }
 
 /// Returns the path below `/s/SERVICE` as the caller wrote it.
-fn below_service(path: &str) -> String {
+fn path_below_service(path: &str) -> String {
     let rest = path.trim_start_matches('/').splitn(3, '/').nth(2).unwrap_or_default();
     format!("/{}", rest.trim_start_matches('/'))
 }
@@ -148,17 +149,17 @@
 ///
 /// A service may take `/x/../send`, `//send` or `/%73end` for `/send`. Were such a call not marked,
 /// a lost answer would send the notice again; so what is written in an odd way counts as marked.
-fn is_marked(rules: &[CallRule], method: &str, path: &str, decoded: &str) -> bool {
+fn is_non_idempotent(rules: &[CallRule], method: &str, path: &str, decoded: &str) -> bool {
     let decoded = format!("/{}", decoded.trim_start_matches('/'));
-    let odd = ["//", "/./", "/../"].iter().any(|part| decoded.contains(part))
+    let is_ambiguous = ["//", "/./", "/../"].iter().any(|part| decoded.contains(part))
         || decoded.ends_with("/..")
         || decoded.contains('%');
-    let marks = |rule: &CallRule| {
+    let matches = |rule: &CallRule| {
         rule.marks(method, path)
             || rule.marks(method, &decoded)
-            || (odd && rule.marks(method, &rule.path))
+            || (is_ambiguous && rule.marks(method, &rule.path))
     };
-    rules.iter().any(marks)
+    rules.iter().any(matches)
 }
 
 /// Finds the client account by the key in the `Authorization` header.
@@ -166,11 +167,12 @@
 /// # Errors
 ///
 /// Returns the refusal when the key is missing or unknown.
-pub fn account(
+pub fn find_account(
     settings: &Effective,
     headers: &HeaderMap,
 ) -> Result<Arc<EffectiveAccount>, Failure> {
-    let Some(key) = text(headers, "authorization").and_then(|h| h.strip_prefix("Bearer ")) else {
+    let Some(key) = header_text(headers, "authorization").and_then(|h| h.strip_prefix("Bearer "))
+    else {
         return Err(Failure::new(ErrorCode::Unauthorized, "Authorization: expected `Bearer KEY`"));
     };
     let account = settings.accounts.get(&KeyHash::of(key.trim()));
@@ -188,54 +190,59 @@
     Ok(())
 }
 
-fn service(
+fn find_service(
     settings: &Effective,
     account: &EffectiveAccount,
     name: &Name,
-    fits: impl Fn(&EffectiveService) -> bool,
+    is_kind: impl Fn(&EffectiveService) -> bool,
 ) -> Result<Arc<EffectiveService>, Failure> {
     let service = settings.services.get(name);
-    let usable = service.filter(|s| fits(s) && Effective::may_use(account, s));
+    let usable = service.filter(|s| is_kind(s) && Effective::may_use(account, s));
     usable.cloned().ok_or_else(|| {
         let message = format!("{name:?} is not served to this client account");
         Failure::new(ErrorCode::NotFound, message)
     })
 }
 
-fn common(
+fn read_meta(
     headers: &HeaderMap,
     account: Arc<EffectiveAccount>,
-    content: BodyHash,
+    content_hash: BodyHash,
     findings: &mut Findings,
-) -> CommonAsk {
-    let key = read(headers, header::IDEMPOTENCY_KEY, findings, |text| {
-        let fits = !text.is_empty() && text.len() <= MAX_KEY && text.is_ascii();
-        fits.then(|| Name::from(text)).ok_or("expected 1 to 255 ASCII characters")
+) -> RequestMeta {
+    let key = parse_header(headers, header::IDEMPOTENCY_KEY, findings, |text| {
+        let is_valid = !text.is_empty() && text.len() <= MAX_KEY_BYTES && text.is_ascii();
+        is_valid.then(|| Name::from(text)).ok_or("expected 1 to 255 ASCII characters")
     });
-    let idempotent = read(headers, header::IDEMPOTENT, findings, |text| {
+    let idempotent = parse_header(headers, header::IDEMPOTENT, findings, |text| {
         text.parse::<bool>().map_err(|_| "expected `true` or `false`")
     });
-    let asked = read(headers, header::PRIORITY, findings, |text| {
+    let requested = parse_header(headers, header::PRIORITY, findings, |text| {
         Priority::parse(text).ok_or("expected `low`, `normal` or `high`")
     });
-    let deadline = read(headers, header::DEADLINE_MS, findings, |text| {
+    let deadline = parse_header(headers, header::DEADLINE_MS, findings, |text| {
         let millis = text.parse().ok().filter(|ms| *ms > 0);
         millis.map(Millis).ok_or("expected a whole number of milliseconds")
     });
-    let usual = account.account.priority.as_deref().and_then(Priority::parse).unwrap_or_default();
+    let default = account.account.priority.as_deref().and_then(Priority::parse).unwrap_or_default();
     let highest =
         account.account.max_priority.as_deref().and_then(Priority::parse).unwrap_or(Priority::High);
-    CommonAsk {
+    RequestMeta {
         account,
         key,
-        idempotent: idempotent.unwrap_or(true),
-        priority: asked.unwrap_or(usual).min(highest),
+        is_idempotent: idempotent.unwrap_or(true),
+        priority: requested.unwrap_or(default).min(highest),
         deadline,
-        content,
+        content_hash,
     }
 }
 
-fn read<T, F>(headers: &HeaderMap, name: &str, findings: &mut Findings, parse: F) -> Option<T>
+fn parse_header<T, F>(
+    headers: &HeaderMap,
+    name: &str,
+    findings: &mut Findings,
+    parse: F,
+) -> Option<T>
 where
     F: FnOnce(&str) -> Result<T, &'static str>,
 {
@@ -249,7 +256,7 @@
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
--- a/daemons/entry/src/routing.rs
+++ b/daemons/entry/src/routing.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct Routing {
     shards: Vec<Mutex<RecordedRouter>>,
-    trusted_until: AtomicU64,
+    valid_until: AtomicU64,
 }
 
 impl Routing {
@@ -33,54 +33,54 @@
     /// Fails when a record is asked for and can't be written.
     pub fn new(cfg: &EntryCfg) -> io::Result<Self> {
         let router = |shard| {
-            let file = cfg.record.as_deref().map(|file| record_of(file, shard));
+            let file = cfg.record.as_deref().map(|file| shard_file(file, shard));
             let router = RouterCfg { domain: cfg.domain.clone(), seed: seed(cfg, shard) };
             RecordedRouter::new(router, file.as_deref()).map(Mutex::new)
         };
         Ok(Self {
             shards: (0..SHARDS).map(router).collect::<io::Result<_>>()?,
-            trusted_until: AtomicU64::new(u64::MAX),
+            valid_until: AtomicU64::new(u64::MAX),
         })
     }
 
     /// Lets requests be sent until then. Membership moves it on; a process that was frozen finds it
     /// in the past, and sends nothing before it has heard which endpoints are leaving.
-    pub fn trust(&self, until: Millis) {
-        self.trusted_until.store(until.0, Ordering::Relaxed);
+    pub fn set_valid_until(&self, until: Millis) {
+        self.valid_until.store(until.0, Ordering::Relaxed);
     }
 
     /// Chooses an endpoint and counts the request as sent there, under one lock, so that two
     /// requests can't both take the last slot.
-    pub fn choose(&self, now: Millis, ask: &RouteRequest) -> Choice {
-        if now.0 > self.trusted_until.load(Ordering::Relaxed) {
+    pub fn choose(&self, now: Millis, request: &RouteRequest) -> Choice {
+        if now.0 > self.valid_until.load(Ordering::Relaxed) {
             let retry_after = Millis::from_secs(1);
             let refusal = Refusal { reason: RefusalReason::NoEndpoint, retry_after };
-            event!(Warn, "route_refused", request = ask.request, reason = "membership_too_old");
+            event!(Warn, "route_refused", request = request.request, reason = "membership_too_old");
             return Choice::Refuse(refusal);
         }
-        let mut router = self.shard(&ask.target).lock();
-        let choice = router.choose(now, ask);
+        let mut router = self.shard(&request.target).lock();
+        let choice = router.choose(now, request);
         match &choice {
             Choice::Endpoint(chosen) => {
-                let sent = Event::Sent { endpoint: chosen.endpoint.clone(), ask: ask.clone() };
+                let sent = Event::Sent { endpoint: chosen.endpoint.clone(), ask: request.clone() };
                 router.step(now, sent);
             }
             Choice::Refuse(refusal) => {
-                let view = router.view(now, ask);
+                let view = router.view(now, request);
                 drop(router);
-                log_refusal(ask, refusal, &view);
+                log_refusal(request, refusal, &view);
             }
         }
         choice
     }
 
     /// Passes on what concerns one target.
-    pub fn hear_about(&self, now: Millis, target: &Target, event: Event) {
+    pub fn apply_for_target(&self, now: Millis, target: &Target, event: Event) {
         self.shard(target).lock().step(now, event);
     }
 
     /// Passes on what concerns an endpoint with all that it serves.
-    pub fn hear(&self, now: Millis, event: Event) {
+    pub fn apply(&self, now: Millis, event: Event) {
         let Event::Announced { announcement, .. } = &event else {
             for shard in &self.shards {
                 shard.lock().step(now, event.clone());
@@ -88,7 +88,7 @@
             return;
         };
         let mut shards: Vec<usize> =
-            announcement.serves.iter().map(|s| index(&target(s))).collect();
+            announcement.serves.iter().map(|s| shard_index(&target(s))).collect();
         shards.sort_unstable();
         shards.dedup();
         for shard in shards {
@@ -97,18 +97,18 @@
     }
 
     fn shard(&self, target: &Target) -> &Mutex<RecordedRouter> {
-        &self.shards[index(target)]
+        &self.shards[shard_index(target)]
     }
 }
 
-fn log_refusal(ask: &RouteRequest, refusal: &Refusal, view: &PoolView) {
+fn log_refusal(request: &RouteRequest, refusal: &Refusal, view: &PoolView) {
     event!(
         Info,
         "route_refused",
-        request = ask.request,
+        request = request.request,
         reason = format!("{:?}", refusal.reason),
-        priority = format!("{:?}", ask.priority),
-        excluded = ask.exclude.len(),
+        priority = format!("{:?}", request.priority),
+        excluded = request.exclude.len(),
         ready = view.ready,
         full = view.full,
         suspect = view.suspect,
@@ -122,7 +122,7 @@
 }
 
 /// Each shard is a core of its own and has its own trace: `FILE.0`, `FILE.1` and so on.
-fn record_of(file: &Path, shard: usize) -> PathBuf {
+fn shard_file(file: &Path, shard: usize) -> PathBuf {
     let mut name = file.as_os_str().to_owned();
     name.push(format!(".{shard}"));
     name.into()
@@ -143,7 +143,7 @@
     }
 }
 
-fn index(target: &Target) -> usize {
+fn shard_index(target: &Target) -> usize {
     let mut hasher = FxHasher::default();
     let name: &Name = match target {
         Target::Model(name) | Target::Service(name) => name,
--- a/daemons/entry/src/serve.rs
+++ b/daemons/entry/src/serve.rs
@@ -5,7 +5,7 @@
 pub mod calls;
 pub mod chunk;
 pub mod driver;
-mod ending;
+mod finish;
 pub mod headers;
 pub mod run;
 pub mod signals;
@@ -28,73 +28,85 @@
 use sill_wire::handoff::{PassedHeader, RunAt};
 use sill_wire::{ErrorCode, prefix};
 
-use self::attach::{Followed, Follower, Found, Source};
-use self::caller::Final;
-use self::driver::{Driver, Form, Order};
+use self::attach::{AnswerSource, FollowOutcome, Follower, LookupResult};
+use self::caller::ResponseEnd;
+use self::driver::{Driver, Job, ResponseMode};
 use self::run::Run;
-use self::upstream::Outgoing;
-use crate::ask::{ChatAsk, CommonAsk, PlainAsk};
+use self::upstream::UpstreamRequest;
 use crate::daemon::Shared;
+use crate::request::{ChatRequest, PlainRequest, RequestMeta};
 
 /// The deadline of requests that name none, and the longest there is. A claim has to be kept for
 /// longer than any request can run.
-const LONGEST_DEADLINE: Millis = Millis(600_000);
+const MAX_DEADLINE: Millis = Millis(600_000);
 
 /// How long a claim is kept: the longest deadline, and as long again for resends.
 const CLAIM_RETENTION: Millis = Millis(1_200_000);
 
 /// When to come back after a refusal for want of room.
-const COME_BACK: Millis = Millis(1_000);
+const RETRY_AFTER: Millis = Millis(1_000);
 
 /// Sees a model request through.
-pub async fn chat(app: &Arc<Shared>, client: &Client, id: Name, ask: ChatAsk) -> HttpResponse {
-    let ChatAsk { common, summary, path, body, from } = ask;
-    let form = if summary.stream {
-        Form::Streamed { include_usage: summary.include_usage }
+pub async fn chat(
+    app: &Arc<Shared>,
+    client: &Client,
+    id: Name,
+    request: ChatRequest,
+) -> HttpResponse {
+    let ChatRequest { meta, summary, path, body, start_index } = request;
+    let mode = if summary.stream {
+        ResponseMode::Stream { include_usage: summary.include_usage }
     } else {
-        Form::Whole
+        ResponseMode::Full
     };
     let prompt_tokens = prefix::tokens(&summary.prompt);
-    let spec = spec(app, &id, &common, ServiceKind::Model, prompt_tokens, summary.max_tokens);
-    let outgoing = Outgoing {
+    let spec = request_spec(app, &id, &meta, ServiceKind::Model, prompt_tokens, summary.max_tokens);
+    let upstream_request = UpstreamRequest {
         method: Method::POST,
         path: path.clone(),
         request: id,
-        key: common.key.clone(),
+        key: meta.key.clone(),
         headers: vec![PassedHeader::new("content-type", "application/json")],
-        body: Outgoing::streamed_body(body),
+        body: UpstreamRequest::stream_body(body),
     };
     let blocks = prefix::blocks(&summary.model, &summary.prompt).into();
-    let run = run(&common, spec, path, summary.model);
-    let order = Order { run, outgoing, blocks, priority: common.priority, form, sink: None };
-    serve(app, client, order, from).await
+    let run = new_run(&meta, spec, path, summary.model);
+    let job = Job { run, upstream_request, blocks, priority: meta.priority, mode, sender: None };
+    serve(app, client, job, start_index).await
 }
 
 /// Sees a call of a plain service through.
-pub async fn plain(app: &Arc<Shared>, client: &Client, id: Name, ask: PlainAsk) -> HttpResponse {
-    let PlainAsk { common, method, service, path, headers, body } = ask;
-    let spec = spec(app, &id, &common, ServiceKind::Plain, 0, 0);
-    let key = common.key.clone();
-    let outgoing = Outgoing { method, path: path.clone(), request: id, key, headers, body };
-    let run = run(&common, spec, path, service);
+pub async fn plain(
+    app: &Arc<Shared>,
+    client: &Client,
+    id: Name,
+    request: PlainRequest,
+) -> HttpResponse {
+    let PlainRequest { meta, method, service, path, headers, body } = request;
+    let spec = request_spec(app, &id, &meta, ServiceKind::Plain, 0, 0);
+    let key = meta.key.clone();
+    let upstream_request =
+        UpstreamRequest { method, path: path.clone(), request: id, key, headers, body };
+    let run = new_run(&meta, spec, path, service);
     let blocks = Arc::from([]);
-    let priority = common.priority;
-    let order = Order { run, outgoing, blocks, priority, form: Form::Whole, sink: None };
-    serve(app, client, order, 0).await
+    let priority = meta.priority;
+    let job =
+        Job { run, upstream_request, blocks, priority, mode: ResponseMode::Full, sender: None };
+    serve(app, client, job, 0).await
 }
 
-fn spec(
+fn request_spec(
     app: &Shared,
     id: &Name,
-    common: &CommonAsk,
+    meta: &RequestMeta,
     kind: ServiceKind,
     prompt_tokens: u64,
     max_tokens: u32,
 ) -> RequestSpec {
-    let key = common.key.as_ref().filter(|_| !common.idempotent);
+    let key = meta.key.as_ref().filter(|_| !meta.is_idempotent);
     let claim = key.map(|key| ClaimSpec {
-        key: ClaimKey { account: common.account.name.clone(), key: key.clone() },
-        body: common.content.clone(),
+        key: ClaimKey { account: meta.account.name.clone(), key: key.clone() },
+        body: meta.content_hash.clone(),
         owner: ClaimOwner {
             entry: app.cfg.name.clone(),
             incarnation: app.incarnation,
@@ -102,13 +114,13 @@
         },
         retention: CLAIM_RETENTION,
     });
-    let span = common.deadline.map_or(LONGEST_DEADLINE, |d| d.min(LONGEST_DEADLINE));
+    let span = meta.deadline.map_or(MAX_DEADLINE, |d| d.min(MAX_DEADLINE));
     RequestSpec {
         request: id.clone(),
         kind,
-        is_idempotent: common.idempotent,
+        is_idempotent: meta.is_idempotent,
         claim,
-        is_keyed: common.key.is_some(),
+        is_keyed: meta.key.is_some(),
         deadline: app.clock.now() + span,
         prompt_tokens,
         max_tokens,
@@ -116,69 +128,69 @@
 }
 
 /// An unkeyed request goes by its own name, so that its caller can come back after a hand-off.
-fn run(common: &CommonAsk, spec: RequestSpec, path: String, target: Name) -> Arc<Run> {
-    let key = common.key.clone().unwrap_or_else(|| spec.request.clone());
-    let key = ClaimKey { account: common.account.name.clone(), key };
-    let body = common.content.clone();
+fn new_run(meta: &RequestMeta, spec: RequestSpec, path: String, target: Name) -> Arc<Run> {
+    let key = meta.key.clone().unwrap_or_else(|| spec.request.clone());
+    let key = ClaimKey { account: meta.account.name.clone(), key };
+    let body = meta.content_hash.clone();
     Arc::new(Run::new(spec, key, body, path, target, Transcript::default()))
 }
 
-async fn serve(app: &Arc<Shared>, client: &Client, order: Order, from: u32) -> HttpResponse {
-    let in_flight = InFlight::begin(app);
-    let run = order.run.clone();
+async fn serve(app: &Arc<Shared>, client: &Client, job: Job, start_index: u32) -> HttpResponse {
+    let in_flight = InFlightGuard::begin(app);
+    let run = job.run.clone();
     let id = run.request().clone();
     open_record(app, &run);
-    let (sink, source) = caller::pair();
-    let follower = Follower { run: run.clone(), form: order.form, from, sink };
-    let life = Lifecycle::new(id.clone());
-    let found = if run.spec.is_keyed { attach::find(app, &run).await } else { Found::New };
+    let (sender, source) = caller::channel();
+    let follower = Follower { run: run.clone(), mode: job.mode, start_index, sender };
+    let lifecycle = Lifecycle::new(id.clone());
+    let found = if run.spec.is_keyed { attach::find(app, &run).await } else { LookupResult::New };
     let task = match found {
-        Found::BodyMismatch => {
+        LookupResult::BodyMismatch => {
             let message = "the idempotency key was used with another body";
-            return refuse(app, life.refuse(ErrorCode::KeyReused, message, None));
+            return refuse(app, lifecycle.refuse(ErrorCode::KeyReused, message, None));
         }
-        Found::Here(there) => Task::Follow(Source::Here(there)),
-        Found::At(RunAt { address, .. }) => Task::Follow(Source::At(address)),
-        Found::New => Task::Drive { home_lost: false },
-        Found::HomeLost => Task::Drive { home_lost: true },
+        LookupResult::Local(existing) => Task::Follow(AnswerSource::Local(existing)),
+        LookupResult::Remote(RunAt { address, .. }) => Task::Follow(AnswerSource::Remote(address)),
+        LookupResult::New => Task::Drive { is_home_lost: false },
+        LookupResult::HomeUnreachable => Task::Drive { is_home_lost: true },
     };
-    if let Some(refusal) = admit(app, &run, &task, life) {
+    if let Some(refusal) = admit(app, &run, &task, lifecycle) {
         abandon(app, &run);
         return refuse(app, refusal);
     }
-    if matches!(task, Task::Drive { home_lost: true }) {
+    if matches!(task, Task::Drive { is_home_lost: true }) {
         app.metrics.recomputed(sill_flight::RecomputeCause::HomeLost, run.spec.prompt_tokens);
     }
-    ntex::rt::spawn(carry_out(in_flight, client.clone(), order, follower, task));
+    ntex::rt::spawn(run_task(in_flight, client.clone(), job, follower, task));
     caller::respond(&id, source).await
 }
 
 /// Counts a request as in flight, from its arrival until its caller has the last word; one that only
 /// follows an answer from elsewhere counts too, else a planned stop would cut it off.
 #[derive(Debug)]
-struct InFlight(Arc<Shared>);
+struct InFlightGuard(Arc<Shared>);
 
-impl InFlight {
+impl InFlightGuard {
     fn begin(app: &Arc<Shared>) -> Self {
         app.metrics.in_flight.inc();
         Self(app.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.metrics.in_flight.dec();
     }
 }
 
 enum Task {
-    Follow(Source),
-    Drive { home_lost: bool },
+    Follow(AnswerSource),
+    Drive { is_home_lost: bool },
 }
 
 /// How often a request may change between following and running before its caller is told to come
 /// back.
-const MAX_TURNS: u32 = 4;
+const MAX_TASK_SWITCHES: u32 = 4;
 
 fn open_record(app: &Shared, run: &Run) {
     let now = app.clock.now();
@@ -186,35 +198,40 @@
 }
 
 /// Checks room and the account's limit; coming back for an answer costs nothing.
-fn admit(app: &Shared, run: &Run, task: &Task, life: Lifecycle<Received>) -> Option<NotRunRefusal> {
+fn admit(
+    app: &Shared,
+    run: &Run,
+    task: &Task,
+    lifecycle: Lifecycle<Received>,
+) -> Option<NotRunRefusal> {
     if matches!(task, Task::Follow(_)) {
         return None;
     }
     if app.metrics.in_flight.get() > app.cfg.max_in_flight as i64 {
         let message = "this entry instance holds as many requests as it may";
-        return Some(life.refuse(ErrorCode::NoCapacity, message, Some(COME_BACK)));
+        return Some(lifecycle.refuse(ErrorCode::NoCapacity, message, Some(RETRY_AFTER)));
     }
     let cost = Cost { tokens: run.spec.prompt_tokens + u64::from(run.spec.max_tokens) };
     match app.limits.admit(app.clock.now(), &run.key.account, cost) {
         Verdict::Admit => None,
         Verdict::Refuse { retry_after } => {
             let message = "the client account is over its limit";
-            Some(life.refuse(ErrorCode::LimitReached, message, Some(retry_after)))
+            Some(lifecycle.refuse(ErrorCode::LimitReached, message, Some(retry_after)))
         }
     }
 }
 
 fn abandon(app: &Arc<Shared>, run: &Arc<Run>) {
-    run.end(run::RunEnd::Abandoned);
+    run.set_end(run::RunEnd::Abandoned);
     app.runs.close(app.clock.now(), run);
-    forget_later(app, run);
+    spawn_forget(app, run);
 }
 
 /// Lets the key's home know that nothing runs, off the caller's path.
-pub(crate) fn forget_later(app: &Arc<Shared>, run: &Arc<Run>) {
+pub(crate) fn spawn_forget(app: &Arc<Shared>, run: &Arc<Run>) {
     if run.spec.is_keyed {
         let (app, run) = (app.clone(), run.clone());
-        ntex::rt::spawn(async move { attach::forget(&app, &run.key, run.request()).await });
+        ntex::rt::spawn(async move { attach::forget_run(&app, &run.key, run.request()).await });
     }
 }
 
@@ -224,37 +241,37 @@
     let id = refusal.request().clone();
     let what = format!("refused, not run: {}", refusal.message());
     app.journal.lock().add_step(app.clock.now(), &id, what);
-    caller::whole(&id, Final::NotRun(refusal))
+    caller::full_response(&id, ResponseEnd::NotRun(refusal))
 }
 
 /// Refuses a request that could not even be read.
-pub fn refuse_unread(app: &Shared, id: &Name, failure: Failure) -> HttpResponse {
+pub fn refuse_with_failure(app: &Shared, id: &Name, failure: Failure) -> HttpResponse {
     app.metrics.refused.inc();
     // Reading a request sends nothing, so the certificate is due here as well.
     let Failure { code, message, findings, retry_after, .. } = failure;
     let retry = retry_after.map(|secs| Millis::from_secs(u64::from(secs)));
     let refusal = Lifecycle::new(id.clone()).refuse(code, message, retry);
-    Failure { findings, ..caller::failure(Final::NotRun(refusal)) }.response(id)
+    Failure { findings, ..caller::failure(ResponseEnd::NotRun(refusal)) }.response(id)
 }
 
-async fn carry_out(
-    in_flight: InFlight,
+async fn run_task(
+    in_flight: InFlightGuard,
     client: Client,
-    mut order: Order,
+    mut job: Job,
     follower: Follower,
     mut task: Task,
 ) {
     let app = in_flight.0.clone();
     let mut transcript = Transcript::default();
-    for _ in 0..MAX_TURNS {
+    for _ in 0..MAX_TASK_SWITCHES {
         if let Task::Follow(source) = task {
             transcript = match follower.follow(&app, source).await {
-                Followed::Ended => return,
-                Followed::Lost(transcript) => transcript,
+                FollowOutcome::Done => return,
+                FollowOutcome::SourceLost(transcript) => transcript,
             };
-            task = go_on_alone(&app, &mut order, transcript.clone()).await;
+            task = take_over_run(&app, &mut job, transcript.clone()).await;
         } else {
-            let driven = drive(&app, &client, &order, &follower, std::mem::take(&mut transcript));
+            let driven = drive(&app, &client, &job, &follower, std::mem::take(&mut transcript));
             match driven.await {
                 Some(source) => task = Task::Follow(source),
                 None => return,
@@ -262,104 +279,105 @@
         }
     }
     // A request that nobody runs must not stay where the next caller of its key would wait for it.
-    abandon(&app, &order.run);
-    follower.lost().await;
+    abandon(&app, &job.run);
+    follower.send_lost_failure().await;
 }
 
 /// Runs the request here; returns where its answer is followed, if another request has the key.
 async fn drive(
     app: &Arc<Shared>,
     client: &Client,
-    order: &Order,
+    job: &Job,
     follower: &Follower,
     transcript: Transcript,
-) -> Option<Source> {
-    let run = &order.run;
-    let next = transcript.next_index();
+) -> Option<AnswerSource> {
+    let run = &job.run;
+    let next_index = transcript.next_index();
     let cfg = RequestCfg::default();
     // A request that may be run once only is not gone on with: the claims' log knows its owner.
-    let (flight, first) = if next > 0 && run.spec.is_idempotent {
-        let flight = InFlightRequest::from_hand_off(cfg, run.spec.clone(), next, seed(run));
+    let (flight, first) = if next_index > 0 && run.spec.is_idempotent {
+        let flight =
+            InFlightRequest::from_hand_off(cfg, run.spec.clone(), next_index, jitter_seed(run));
         (flight, Event::TakenOver { from: None })
     } else {
         run.with_transcript(|transcript| *transcript = Transcript::default());
-        (InFlightRequest::new(cfg, run.spec.clone(), seed(run)), Event::Admitted)
+        (InFlightRequest::new(cfg, run.spec.clone(), jitter_seed(run)), Event::Admitted)
     };
-    let order = Order { sink: Some(follower.sink.clone()), ..order.clone() };
-    Driver::new(app.clone(), client.clone(), order, flight).run(first).await
+    let job = Job { sender: Some(follower.sender.clone()), ..job.clone() };
+    Driver::new(app.clone(), client.clone(), job, flight).run(first).await
 }
 
 /// Takes over an answer whose instance was lost while it was followed, unless another caller of the
 /// same key was faster.
-async fn go_on_alone(app: &Arc<Shared>, order: &mut Order, transcript: Transcript) -> Task {
-    let lost = &order.run;
+async fn take_over_run(app: &Arc<Shared>, job: &mut Job, transcript: Transcript) -> Task {
+    let lost_run = &job.run;
     let run = Arc::new(Run::new(
-        lost.spec.clone(),
-        lost.key.clone(),
-        lost.body_hash.clone(),
-        lost.path.clone(),
-        lost.target.clone(),
+        lost_run.spec.clone(),
+        lost_run.key.clone(),
+        lost_run.body_hash.clone(),
+        lost_run.path.clone(),
+        lost_run.target.clone(),
         transcript,
     ));
-    if let Some(there) = app.runs.open(&run) {
-        return Task::Follow(Source::Here(there));
+    if let Some(existing) = app.runs.open(&run) {
+        return Task::Follow(AnswerSource::Local(existing));
     }
-    attach::note(app, &run).await;
-    order.run = run;
-    Task::Drive { home_lost: true }
+    attach::report_run(app, &run).await;
+    job.run = run;
+    Task::Drive { is_home_lost: true }
 }
 
 /// A request that another entry instance handed over, on its way to a thread that goes on with it.
 #[derive(Debug)]
-pub struct TakenOver {
-    in_flight: InFlight,
+pub struct IncomingRun {
+    in_flight: InFlightGuard,
     run: Arc<Run>,
     body: String,
     from: Option<Placement>,
     /// Whether its caller was back before it came, and has begun it anew.
-    begun_anew: bool,
+    is_restarted: bool,
 }
 
-impl TakenOver {
+impl IncomingRun {
     /// Lets a caller who comes back find the request from now on.
     ///
     /// The instance that leaves cuts its callers off once it has our answer. One that is back before
     /// the request can be found would begin it anew: the tokens so far would be thrown away, and the
     /// prompt computed a second time. So this is done before the answer, not by the busy thread.
-    pub fn begin(app: &Arc<Shared>, handed: HandOffRun) -> Self {
-        let in_flight = InFlight::begin(app);
-        let mut handed = handed.with_absolute_deadline(app.clock.now());
-        handed.spec.is_keyed = true;
+    pub fn register(app: &Arc<Shared>, hand_off: HandOffRun) -> Self {
+        let in_flight = InFlightGuard::begin(app);
+        let mut hand_off = hand_off.with_absolute_deadline(app.clock.now());
+        hand_off.spec.is_keyed = true;
         let run = Arc::new(Run::new(
-            handed.spec,
-            handed.key,
-            handed.body_hash,
-            handed.path,
-            handed.model,
-            handed.transcript,
+            hand_off.spec,
+            hand_off.key,
+            hand_off.body_hash,
+            hand_off.path,
+            hand_off.model,
+            hand_off.transcript,
         ));
         open_record(app, &run);
-        let begun_anew = app.runs.open(&run).is_some();
-        Self { in_flight, run, body: handed.body, from: handed.placement, begun_anew }
+        let is_restarted = app.runs.open(&run).is_some();
+        Self { in_flight, run, body: hand_off.body, from: hand_off.placement, is_restarted }
     }
 
     /// Forgets the request again, since no thread is there to go on with it.
-    pub fn give_back(self) {
+    pub fn unregister(self) {
         let app = &self.in_flight.0;
-        self.run.end(run::RunEnd::Abandoned);
+        self.run.set_end(run::RunEnd::Abandoned);
         app.runs.close(app.clock.now(), &self.run);
     }
 }
 
 /// Goes on with a request that another entry instance handed over; its caller comes back later.
-pub async fn go_on(app: Arc<Shared>, client: Client, taken: TakenOver) {
-    let TakenOver { in_flight: _in_flight, run, body, from, begun_anew } = taken;
-    if begun_anew {
+pub async fn resume_run(app: Arc<Shared>, client: Client, incoming: IncomingRun) {
+    let IncomingRun { in_flight: _in_flight, run, body, from, is_restarted } = incoming;
+    if is_restarted {
         return;
     }
-    attach::note(&app, &run).await;
-    let next = run.with_transcript(|transcript| transcript.next_index());
-    let outgoing = Outgoing {
+    attach::report_run(&app, &run).await;
+    let next_index = run.with_transcript(|transcript| transcript.next_index());
+    let upstream_request = UpstreamRequest {
         method: Method::POST,
         path: run.path.clone(),
         request: run.request().clone(),
@@ -369,16 +387,26 @@
     };
     let blocks = Arc::from([]);
     let priority = sill_wire::Priority::High;
-    let order =
-        Order { run: run.clone(), outgoing, blocks, priority, form: Form::Whole, sink: None };
-    let flight =
-        InFlightRequest::from_hand_off(RequestCfg::default(), run.spec.clone(), next, seed(&run));
-    let driver = Driver::new(app.clone(), client, order, flight);
+    let job = Job {
+        run: run.clone(),
+        upstream_request,
+        blocks,
+        priority,
+        mode: ResponseMode::Full,
+        sender: None,
+    };
+    let flight = InFlightRequest::from_hand_off(
+        RequestCfg::default(),
+        run.spec.clone(),
+        next_index,
+        jitter_seed(&run),
+    );
+    let driver = Driver::new(app.clone(), client, job, flight);
     driver.run(Event::TakenOver { from }).await;
 }
 
 /// Differs from request to request, so that pauses do.
-fn seed(run: &Run) -> u64 {
+fn jitter_seed(run: &Run) -> u64 {
     let hash = blake3::hash(run.request().as_bytes());
     let mut seed = [0; 8];
     seed.copy_from_slice(&hash.as_bytes()[..8]);
--- a/daemons/entry/src/serve/attach.rs
+++ b/daemons/entry/src/serve/attach.rs
@@ -15,16 +15,16 @@
 };
 use sill_wire::{Call, ErrorCode};
 
-use super::caller::{Final, Out, Sink};
-use super::chunk::{Frame, Shape};
-use super::driver::Form;
+use super::caller::{ResponseEnd, ResponseItem, ResponseSender};
+use super::chunk::{AnswerFormat, ChunkTemplate};
+use super::driver::ResponseMode;
 use super::run::{Run, RunEnd};
 use super::tokens::completion_id;
 use crate::daemon::Shared;
 use crate::peers::{self, Home};
 
 /// How long one question for more waits at a peer.
-const WAIT: Millis = Millis(5_000);
+const FOLLOW_WAIT: Millis = Millis(5_000);
 
 /// How often an answer may move while it is followed.
 const MAX_HOPS: u32 = 5;
@@ -33,28 +33,28 @@
 const HOME_TIMEOUT: Millis = Millis(400);
 
 /// When to come back for an answer that is not there yet.
-const COME_BACK: Millis = Millis(2_000);
+const RETRY_AFTER: Millis = Millis(2_000);
 
 /// Where a keyed request was found.
 #[derive(Debug)]
-pub enum Found {
+pub enum LookupResult {
     /// Nowhere; it is to be run here.
     New,
     /// Its home could not be asked.
-    HomeLost,
+    HomeUnreachable,
     /// Here.
-    Here(Arc<Run>),
+    Local(Arc<Run>),
     /// At a peer.
-    At(RunAt),
+    Remote(RunAt),
     /// The key was used with another body.
     BodyMismatch,
 }
 
 /// Looks for a request with the same key: here, then at the key's home.
-pub async fn find(app: &Arc<Shared>, run: &Arc<Run>) -> Found {
-    if let Some(there) = app.runs.open(run) {
-        let same = there.body_hash == run.body_hash;
-        return if same { Found::Here(there) } else { Found::BodyMismatch };
+pub async fn find(app: &Arc<Shared>, run: &Arc<Run>) -> LookupResult {
+    if let Some(existing) = app.runs.open(run) {
+        let is_same = existing.body_hash == run.body_hash;
+        return if is_same { LookupResult::Local(existing) } else { LookupResult::BodyMismatch };
     }
     let asker = RunAt { address: app.peer_address.clone(), request: run.request().clone() };
     let call = LocateRun {
@@ -65,31 +65,31 @@
     };
     let location = match peers::home(app, &run.key) {
         Home::Here => Ok(locate(app, &call)),
-        Home::At(address) => ask_home(app, &address, call).await,
+        Home::At(address) => call_home(app, &address, call).await,
     };
     match location {
-        Ok(Location::New) => Found::New,
+        Ok(Location::New) => LookupResult::New,
         // This very instance, in an earlier life or with a run that is over.
         Ok(Location::At(at)) if at.address == asker.address => {
-            note(app, run).await;
-            Found::New
+            report_run(app, run).await;
+            LookupResult::New
         }
         Ok(Location::At(at)) => {
-            close(app, run, RunEnd::Moved(at.address.clone()));
-            Found::At(at)
+            close_run(app, run, RunEnd::Moved(at.address.clone()));
+            LookupResult::Remote(at)
         }
         Ok(Location::BodyMismatch) => {
-            close(app, run, RunEnd::Failed(key_reused(run)));
-            Found::BodyMismatch
+            close_run(app, run, RunEnd::Failed(key_reused_failure(run)));
+            LookupResult::BodyMismatch
         }
         Err(err) => {
             event!(Info, "key_home_lost", request = run.request(), error = err);
-            Found::HomeLost
+            LookupResult::HomeUnreachable
         }
     }
 }
 
-async fn ask_home<C>(app: &Arc<Shared>, address: &Name, call: C) -> Result<C::Reply, PeerError>
+async fn call_home<C>(app: &Arc<Shared>, address: &Name, call: C) -> Result<C::Reply, PeerError>
 where
     C: Call + Sync,
 {
@@ -98,12 +98,12 @@
 }
 
 /// Ends a request that is not run here, for those who came for it in the meantime.
-fn close(app: &Shared, run: &Arc<Run>, end: RunEnd) {
-    run.end(end);
+fn close_run(app: &Shared, run: &Arc<Run>, end: RunEnd) {
+    run.set_end(end);
     app.runs.close(app.clock.now(), run);
 }
 
-fn key_reused(run: &Run) -> RequestFailure {
+fn key_reused_failure(run: &Run) -> RequestFailure {
     RequestFailure {
         request: run.request().clone(),
         code: ErrorCode::KeyReused,
@@ -124,35 +124,35 @@
 }
 
 /// Tells the home of a key that its request runs here.
-pub async fn note(app: &Arc<Shared>, run: &Run) {
+pub async fn report_run(app: &Arc<Shared>, run: &Run) {
     let asker = RunAt { address: app.peer_address.clone(), request: run.request().clone() };
     let (key, body) = (run.key.clone(), run.body_hash.clone());
     let call = LocateRun { key, body, asker, runs: true };
     match peers::home(app, &run.key) {
         Home::Here => drop(locate(app, &call)),
-        Home::At(address) => drop(ask_home(app, &address, call).await),
+        Home::At(address) => drop(call_home(app, &address, call).await),
     }
 }
 
 /// Tells the home of a key that its request was refused, so that it can be sent again.
-pub async fn forget(app: &Arc<Shared>, key: &ClaimKey, request: &Name) {
+pub async fn forget_run(app: &Arc<Shared>, key: &ClaimKey, request: &Name) {
     let run = RunAt { address: app.peer_address.clone(), request: request.clone() };
     match peers::home(app, key) {
         Home::Here => app.directory.lock().remove(key, &run),
         Home::At(address) => {
             let call = ForgetRun { key: key.clone(), run };
-            drop(ask_home(app, &address, call).await);
+            drop(call_home(app, &address, call).await);
         }
     }
 }
 
 /// Where an answer is followed.
 #[derive(Debug, Clone)]
-pub enum Source {
+pub enum AnswerSource {
     /// It runs here.
-    Here(Arc<Run>),
+    Local(Arc<Run>),
     /// It runs at a peer.
-    At(Name),
+    Remote(Name),
 }
 
 /// A caller who came back.
@@ -160,33 +160,33 @@
     /// The request, as the caller sent it again.
     pub run: Arc<Run>,
     /// How it wants its answer.
-    pub form: Form,
+    pub mode: ResponseMode,
     /// The first token that it has not got.
-    pub from: u32,
+    pub start_index: u32,
     /// Where the answer goes.
-    pub sink: Sink,
+    pub sender: ResponseSender,
 }
 
 /// How following ended.
 #[derive(Debug)]
-pub enum Followed {
+pub enum FollowOutcome {
     /// The caller has its last word, or went away.
-    Ended,
+    Done,
     /// The answer was lost on the way, or never known there.
-    Lost(Transcript),
+    SourceLost(Transcript),
 }
 
-impl Source {
-    async fn more(
+impl AnswerSource {
+    async fn fetch(
         &self,
         app: &Arc<Shared>,
         key: &ClaimKey,
         from: u32,
     ) -> Result<FollowReply, PeerError> {
         match self {
-            Self::Here(run) => Ok(run.follow(from, WAIT).await),
-            Self::At(address) => {
-                let call = FollowRun { key: key.clone(), from, wait: WAIT };
+            Self::Local(run) => Ok(run.follow(from, FOLLOW_WAIT).await),
+            Self::Remote(address) => {
+                let call = FollowRun { key: key.clone(), from, wait: FOLLOW_WAIT };
                 peers::call(app, address, call).await
             }
         }
@@ -195,72 +195,81 @@
 
 impl Follower {
     /// Sends the answer on as it comes.
-    pub async fn follow(&self, app: &Arc<Shared>, mut source: Source) -> Followed {
+    pub async fn follow(&self, app: &Arc<Shared>, mut source: AnswerSource) -> FollowOutcome {
         let mut transcript = Transcript::default();
         let mut hops = 0;
         while hops < MAX_HOPS {
             let next = transcript.next_index();
-            let more = tokio::select! {
-                more = source.more(app, &self.run.key, next) => more,
-                () = self.sink.closed() => return Followed::Ended,
+            let reply = tokio::select! {
+                reply = source.fetch(app, &self.run.key, next) => reply,
+                () = self.sender.closed() => return FollowOutcome::Done,
             };
-            match more {
+            match reply {
                 Ok(FollowReply::More(part)) => {
-                    self.take(&mut transcript, &part).await;
+                    self.forward_part(&mut transcript, &part).await;
                     if part.whole {
-                        self.end(self.last_word(&transcript)).await;
-                        return Followed::Ended;
+                        self.send_end(self.response_end(&transcript)).await;
+                        return FollowOutcome::Done;
                     }
                 }
                 Ok(FollowReply::Reply(reply)) => {
                     self.replay(reply).await;
-                    return Followed::Ended;
+                    return FollowOutcome::Done;
                 }
                 Ok(FollowReply::Moved { address }) => {
                     hops += 1;
-                    source = Source::At(address);
+                    source = AnswerSource::Remote(address);
                 }
                 Ok(FollowReply::Failed(failed)) => {
-                    self.end(Final::Failed(failed)).await;
-                    return Followed::Ended;
+                    self.send_end(ResponseEnd::Failed(failed)).await;
+                    return FollowOutcome::Done;
                 }
-                Ok(FollowReply::Unknown) | Err(_) => return Followed::Lost(transcript),
+                Ok(FollowReply::Unknown) | Err(_) => return FollowOutcome::SourceLost(transcript),
             }
         }
-        Followed::Lost(transcript)
+        FollowOutcome::SourceLost(transcript)
     }
 
-    async fn take(&self, transcript: &mut Transcript, part: &AnswerPart) {
+    async fn forward_part(&self, transcript: &mut Transcript, part: &AnswerPart) {
         transcript.id = part.id.clone();
         transcript.created = part.created;
         transcript.finish_reason = part.finish.clone();
         transcript.prompt_tokens = part.prompt_tokens;
         let id = part.id.clone().unwrap_or_else(|| completion_id(self.run.request()));
-        let frame = self.frame(&id, part.created);
+        let template = self.template(&id, part.created);
         let mut out = Vec::new();
         for escaped in &part.escaped {
             let index = transcript.next_index();
             transcript.push(index, escaped);
-            if self.form != Form::Whole && index >= self.from {
-                out.extend_from_slice(&frame.token(index, escaped));
+            if self.mode != ResponseMode::Full && index >= self.start_index {
+                out.extend_from_slice(&template.token_event(index, escaped));
             }
         }
         transcript.is_complete = part.whole;
-        if let (true, Form::Streamed { include_usage }) = (part.whole, self.form) {
-            out.extend_from_slice(&frame.closing(part, transcript.next_index(), include_usage));
+        if let (true, ResponseMode::Stream { include_usage }) = (part.whole, self.mode) {
+            out.extend_from_slice(&template.closing_events(
+                part,
+                transcript.next_index(),
+                include_usage,
+            ));
         }
         if !out.is_empty() {
-            let _ = self.sink.send(Out::Part(Bytes::from(out))).await;
+            let _ = self.sender.send(ResponseItem::Data(Bytes::from(out))).await;
         }
     }
 
-    fn frame<'a>(&'a self, id: &'a str, created: u64) -> Frame<'a> {
-        Frame { shape: Shape::of(&self.run.path), model: &self.run.target, id, created }
+    fn template<'a>(&'a self, id: &'a str, created: u64) -> ChunkTemplate<'a> {
+        ChunkTemplate {
+            format: AnswerFormat::of(&self.run.path),
+            model: &self.run.target,
+            id,
+            created,
+        }
     }
 
-    fn last_word(&self, transcript: &Transcript) -> Final {
-        if self.form != Form::Whole {
-            return Final::Whole;
+    fn response_end(&self, transcript: &Transcript) -> ResponseEnd {
+        if self.mode != ResponseMode::Full {
+            return ResponseEnd::Complete;
         }
         let id = transcript.id.clone().unwrap_or_else(|| completion_id(self.run.request()));
         let part = AnswerPart {
@@ -268,21 +277,26 @@
             prompt_tokens: transcript.prompt_tokens,
             ..AnswerPart::default()
         };
-        let frame = self.frame(&id, transcript.created);
-        Final::Reply(json_reply(&frame.whole(&part, &transcript.text(), transcript.next_index())))
+        let template = self.template(&id, transcript.created);
+        ResponseEnd::Reply(json_reply(&template.full_answer(
+            &part,
+            &transcript.text(),
+            transcript.next_index(),
+        )))
     }
 
-    async fn end(&self, end: Final) {
-        let _ = self.sink.send(Out::End(end)).await;
-        self.sink.closed().await;
+    async fn send_end(&self, end: ResponseEnd) {
+        let _ = self.sender.send(ResponseItem::End(end)).await;
+        self.sender.closed().await;
     }
 
     /// Gives a whole answer, as a stream where the caller wants one.
     async fn replay(&self, reply: WholeReply) {
         let whole: Option<Value> = serde_json::from_slice(reply.body.as_bytes()).ok();
         let text = whole.as_ref().and_then(answer_text);
-        let (Form::Streamed { .. }, Some(text), Some(whole)) = (self.form, text, &whole) else {
-            self.end(Final::Reply(reply)).await;
+        let (ResponseMode::Stream { .. }, Some(text), Some(whole)) = (self.mode, text, &whole)
+        else {
+            self.send_end(ResponseEnd::Reply(reply)).await;
             return;
         };
         let quoted = Value::from(text).to_string();
@@ -294,27 +308,27 @@
             prompt_tokens: whole["usage"]["prompt_tokens"].as_u64().map(|n| n as u32),
             whole: true,
         };
-        self.take(&mut Transcript::default(), &part).await;
-        self.end(Final::Whole).await;
+        self.forward_part(&mut Transcript::default(), &part).await;
+        self.send_end(ResponseEnd::Complete).await;
     }
 
     /// Ends a request whose answer can't be found.
-    pub async fn lost(&self) {
+    pub async fn send_lost_failure(&self) {
         let failed = if self.run.spec.is_idempotent {
             FailedRun {
                 code: ErrorCode::InProgress,
                 message: "the request is on its way between entry instances".to_owned(),
-                retry_after: Some(COME_BACK),
+                retry_after: Some(RETRY_AFTER),
             }
         } else {
-            unknown()
+            outcome_unknown()
         };
-        self.end(Final::Failed(failed)).await;
+        self.send_end(ResponseEnd::Failed(failed)).await;
     }
 }
 
 /// Returns where a request ended whose claim another one holds.
-pub fn resolve(
+pub fn owner_run_end(
     app: &Shared,
     request: &Name,
     owner: &ClaimOwner,
@@ -329,17 +343,17 @@
             RunEnd::Moved(address)
         }
         _ => {
-            let FailedRun { code, message, retry_after } = unknown();
+            let FailedRun { code, message, retry_after } = outcome_unknown();
             RunEnd::Failed(RequestFailure { request: request.clone(), code, message, retry_after })
         }
     }
 }
 
-fn unknown() -> FailedRun {
+fn outcome_unknown() -> FailedRun {
     FailedRun {
         code: ErrorCode::OutcomeUnknown,
         message: "the request was sent once, and its answer is not known here".to_owned(),
-        retry_after: Some(COME_BACK),
+        retry_after: Some(RETRY_AFTER),
     }
 }
 
--- a/daemons/entry/src/serve/caller.rs
+++ b/daemons/entry/src/serve/caller.rs
@@ -13,22 +13,22 @@
 use tokio::sync::mpsc;
 
 /// Parts that wait for a slow caller; beyond, the endpoint's answer is not read on.
-const WAITING: usize = 16;
+const CHANNEL_CAPACITY: usize = 16;
 
 /// What a caller is sent.
 #[derive(Debug)]
-pub enum Out {
+pub enum ResponseItem {
     /// A part of a streamed answer.
-    Part(Bytes),
+    Data(Bytes),
     /// The last word.
-    End(Final),
+    End(ResponseEnd),
 }
 
 /// How an answer ends for its caller.
 #[derive(Debug, Clone)]
-pub enum Final {
+pub enum ResponseEnd {
     /// All of it was sent.
-    Whole,
+    Complete,
     /// A whole HTTP answer.
     Reply(WholeReply),
     /// A refusal, certified as not run.
@@ -40,17 +40,17 @@
 }
 
 /// The sending side.
-pub type Sink = mpsc::Sender<Out>;
+pub type ResponseSender = mpsc::Sender<ResponseItem>;
 
 /// The receiving side.
-pub type Source = mpsc::Receiver<Out>;
+pub type ResponseReceiver = mpsc::Receiver<ResponseItem>;
 
 /// Makes both sides.
-pub fn pair() -> (Sink, Source) {
-    mpsc::channel(WAITING)
+pub fn channel() -> (ResponseSender, ResponseReceiver) {
+    mpsc::channel(CHANNEL_CAPACITY)
 }
 
-impl From<RequestFailure> for Final {
+impl From<RequestFailure> for ResponseEnd {
     fn from(failed: RequestFailure) -> Self {
         let RequestFailure { code, message, retry_after, .. } = failed;
         Self::Failed(FailedRun { code, message, retry_after })
@@ -58,21 +58,26 @@
 }
 
 /// Waits for the first word, so that a refusal still gets its status code.
-pub async fn respond(request: &Name, mut source: Source) -> HttpResponse {
-    match source.recv().await {
-        Some(Out::Part(first)) => streamed(request, first, source),
-        Some(Out::End(end)) => whole(request, end),
-        None => whole(request, lost()),
+pub async fn respond(request: &Name, mut receiver: ResponseReceiver) -> HttpResponse {
+    match receiver.recv().await {
+        Some(ResponseItem::Data(first)) => stream_response(request, first, receiver),
+        Some(ResponseItem::End(end)) => full_response(request, end),
+        None => full_response(request, request_lost()),
     }
 }
 
-fn lost() -> Final {
+fn request_lost() -> ResponseEnd {
     let message = "the request was lost inside the entry instance".to_owned();
-    Final::Failed(FailedRun { code: ErrorCode::Internal, message, retry_after: Some(Millis(1000)) })
+    ResponseEnd::Failed(FailedRun {
+        code: ErrorCode::Internal,
+        message,
+        retry_after: Some(Millis(1000)),
+    })
 }
 
-fn streamed(request: &Name, first: Bytes, source: Source) -> HttpResponse {
-    let body = Body { first: Some(first), source, request: request.clone(), cut: false };
+fn stream_response(request: &Name, first: Bytes, receiver: ResponseReceiver) -> HttpResponse {
+    let body =
+        StreamBody { first: Some(first), receiver, request: request.clone(), is_aborted: false };
     let parts = stream::unfold(body, |mut body| async move {
         let part = body.next().await?;
         Some((part, body))
@@ -84,41 +89,41 @@
         .streaming(Box::pin(parts))
 }
 
-struct Body {
+struct StreamBody {
     first: Option<Bytes>,
-    source: Source,
+    receiver: ResponseReceiver,
     request: Name,
-    cut: bool,
+    is_aborted: bool,
 }
 
-impl Body {
+impl StreamBody {
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         if let Some(first) = self.first.take() {
             return Some(Ok(first));
         }
         // A stream that just ended would pass for a whole answer; the broken-off chunked encoding
         // tells every client that it is not.
-        if self.cut {
+        if self.is_aborted {
             return Some(Err(io::ErrorKind::ConnectionAborted.into()));
         }
-        match self.source.recv().await {
-            Some(Out::Part(part)) => Some(Ok(part)),
-            Some(Out::End(Final::Whole)) => None,
-            Some(Out::End(end)) => {
-                self.cut = true;
-                Some(Ok(last_event(&self.request, end)))
+        match self.receiver.recv().await {
+            Some(ResponseItem::Data(part)) => Some(Ok(part)),
+            Some(ResponseItem::End(ResponseEnd::Complete)) => None,
+            Some(ResponseItem::End(end)) => {
+                self.is_aborted = true;
+                Some(Ok(abort_event(&self.request, end)))
             }
             None => {
-                self.cut = true;
-                Some(Ok(last_event(&self.request, lost())))
+                self.is_aborted = true;
+                Some(Ok(abort_event(&self.request, request_lost())))
             }
         }
     }
 }
 
 /// Tells in a stream that has begun why it breaks off.
-fn last_event(request: &Name, end: Final) -> Bytes {
-    if matches!(end, Final::Moved) {
+fn abort_event(request: &Name, end: ResponseEnd) -> Bytes {
+    if matches!(end, ResponseEnd::Moved) {
         return Bytes::from_static(b"retry: 100\n\n");
     }
     let failure = failure(end);
@@ -134,9 +139,9 @@
 }
 
 /// Makes an answer that has not begun.
-pub fn whole(request: &Name, end: Final) -> HttpResponse {
+pub fn full_response(request: &Name, end: ResponseEnd) -> HttpResponse {
     match end {
-        Final::Reply(reply) => {
+        ResponseEnd::Reply(reply) => {
             let status = ntex::http::StatusCode::from_u16(reply.status);
             let status = status.unwrap_or(ntex::http::StatusCode::BAD_GATEWAY);
             let mut res = HttpResponse::build(status);
@@ -151,19 +156,19 @@
 }
 
 /// Makes the error answer of an end.
-pub(super) fn failure(end: Final) -> Failure {
+pub(super) fn failure(end: ResponseEnd) -> Failure {
     let seconds = |after: Millis| after.0.div_ceil(1000).max(1) as u32;
     match end {
-        Final::NotRun(refusal) => Failure {
+        ResponseEnd::NotRun(refusal) => Failure {
             not_run: true,
             retry_after: refusal.retry_after().map(seconds),
             ..Failure::new(refusal.code(), refusal.message())
         },
-        Final::Failed(failed) => Failure {
+        ResponseEnd::Failed(failed) => Failure {
             retry_after: failed.retry_after.map(seconds),
             ..Failure::new(failed.code, failed.message)
         },
-        Final::Moved | Final::Whole | Final::Reply(_) => Failure {
+        ResponseEnd::Moved | ResponseEnd::Complete | ResponseEnd::Reply(_) => Failure {
             retry_after: Some(1),
             ..Failure::new(ErrorCode::Stopping, "moved to another entry instance; send it again")
         },
--- a/daemons/entry/src/serve/calls.rs
+++ b/daemons/entry/src/serve/calls.rs
@@ -14,7 +14,7 @@
 /// Registers the calls.
 pub fn register(peers: &mut PeerServerBuilder, shared: &Arc<Shared>) {
     let app = shared.clone();
-    peers.answer(move |call: HandOff| handoff::take(app.clone(), call));
+    peers.answer(move |call: HandOff| handoff::accept(app.clone(), call));
     let app = shared.clone();
     peers.answer(move |call: LocateRun| {
         let location = attach::locate(&app, &call);
@@ -32,7 +32,7 @@
             if let Some(run) = app.runs.get(&call.key) {
                 return Ok(run.follow(call.from, call.wait).await);
             }
-            claims::released(&app, &call.key, call.wait).await;
+            claims::wait_for_release(&app, &call.key, call.wait).await;
             Ok(FollowReply::Unknown)
         }
     });
--- a/daemons/entry/src/serve/chunk.rs
+++ b/daemons/entry/src/serve/chunk.rs
@@ -10,7 +10,7 @@
 
 /// What the closing pieces of an endpoint's stream say.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Closing {
+pub enum ClosingChunk {
     /// Why the answer ended.
     Finish(String),
     /// Token counts.
@@ -27,20 +27,20 @@
 }
 
 /// Reads a piece that carries no token.
-pub fn closing(data: &str) -> Closing {
+pub fn parse_closing(data: &str) -> ClosingChunk {
     let Ok(data) = serde_json::from_str::<Value>(data) else {
-        return Closing::Other;
+        return ClosingChunk::Other;
     };
     if data.get("error").is_some() {
-        return Closing::Error;
+        return ClosingChunk::Error;
     }
     if let Some(finish) = data.pointer("/choices/0/finish_reason").and_then(Value::as_str) {
-        return Closing::Finish(finish.to_owned());
+        return ClosingChunk::Finish(finish.to_owned());
     }
     let count = |name: &str| data.pointer(name).and_then(Value::as_u64).map(|n| n as u32);
     match (count("/usage/prompt_tokens"), count("/usage/completion_tokens")) {
-        (Some(prompt), Some(completion)) => Closing::Usage { prompt, completion },
-        _ => Closing::Other,
+        (Some(prompt), Some(completion)) => ClosingChunk::Usage { prompt, completion },
+        _ => ClosingChunk::Other,
     }
 }
 
@@ -50,7 +50,7 @@
 }
 
 /// Returns the text of a parsed piece as in JSON between the quotes.
-pub fn escaped(data: &Value) -> String {
+pub fn escaped_text(data: &Value) -> String {
     let chat = data.pointer("/choices/0/delta/content").and_then(Value::as_str);
     let text = chat.or_else(|| data.pointer("/choices/0/text").and_then(Value::as_str));
     let quoted = Value::from(text.unwrap_or_default()).to_string();
@@ -58,7 +58,7 @@
 }
 
 /// Notes the id and time that the caller sees.
-pub fn note_head(transcript: &mut Transcript, data: &Value) {
+pub fn set_head(transcript: &mut Transcript, data: &Value) {
     if transcript.id.is_none() {
         transcript.id = data.get("id").and_then(Value::as_str).map(str::to_owned);
         transcript.created = data.get("created").and_then(Value::as_u64).unwrap_or_default();
@@ -66,7 +66,7 @@
 }
 
 /// Makes a later attempt's piece look like the first attempt's, so that the caller sees one answer.
-pub fn rewritten(transcript: &Transcript, index: u32, mut data: Value) -> Bytes {
+pub fn rewrite_chunk(transcript: &Transcript, index: u32, mut data: Value) -> Bytes {
     data["id"] = json!(transcript.id);
     data["created"] = json!(transcript.created);
     format!("id: {index}\ndata: {data}\n\n").into()
@@ -74,7 +74,7 @@
 
 /// How answers of one path look.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shape {
+pub enum AnswerFormat {
     /// Chat completions.
     Chat,
     /// Plain completions.
@@ -83,9 +83,9 @@
 
 /// What every piece of an answer repeats.
 #[derive(Debug, Clone, Copy)]
-pub struct Frame<'a> {
+pub struct ChunkTemplate<'a> {
     /// How it looks.
-    pub shape: Shape,
+    pub format: AnswerFormat,
     /// The model.
     pub model: &'a str,
     /// The completion's id.
@@ -94,22 +94,22 @@
     pub created: u64,
 }
 
-impl Shape {
+impl AnswerFormat {
     /// Returns the shape of a path's answers.
     pub fn of(path: &str) -> Self {
         if path.ends_with("/chat/completions") { Self::Chat } else { Self::Completion }
     }
 }
 
-impl Frame<'_> {
+impl ChunkTemplate<'_> {
     /// Makes the event of a token from its text as in JSON between the quotes.
-    pub fn token(&self, index: u32, escaped: &str) -> Bytes {
+    pub fn token_event(&self, index: u32, escaped: &str) -> Bytes {
         let Self { model, id, created, .. } = self;
-        let (text, object) = match self.shape {
-            Shape::Chat => ("\"delta\":{\"content\":\"", "chat.completion.chunk"),
-            Shape::Completion => ("\"text\":\"", "text_completion"),
+        let (text, object) = match self.format {
+            AnswerFormat::Chat => ("\"delta\":{\"content\":\"", "chat.completion.chunk"),
+            AnswerFormat::Completion => ("\"text\":\"", "text_completion"),
         };
-        let close = if self.shape == Shape::Chat { "\"}" } else { "\"" };
+        let close = if self.format == AnswerFormat::Chat { "\"}" } else { "\"" };
         format!(
             "id: {index}\ndata: {{\"choices\":[{{{text}{escaped}{close},\"finish_reason\":null,\
              \"index\":0}}],\"created\":{created},\"id\":{},\"model\":{},\"object\":\"{object}\"}}\n\n",
@@ -120,48 +120,50 @@
     }
 
     /// Makes the closing events of a stream.
-    pub fn closing(&self, part: &AnswerPart, tokens: u32, include_usage: bool) -> Bytes {
+    pub fn closing_events(&self, part: &AnswerPart, tokens: u32, include_usage: bool) -> Bytes {
         let finish = part.finish.as_deref().unwrap_or("stop");
-        let mut piece = self.piece();
-        piece["choices"] = match self.shape {
-            Shape::Chat => json!([{ "index": 0, "delta": {}, "finish_reason": finish }]),
-            Shape::Completion => json!([{ "index": 0, "text": "", "finish_reason": finish }]),
+        let mut chunk = self.base_object();
+        chunk["choices"] = match self.format {
+            AnswerFormat::Chat => json!([{ "index": 0, "delta": {}, "finish_reason": finish }]),
+            AnswerFormat::Completion => {
+                json!([{ "index": 0, "text": "", "finish_reason": finish }])
+            }
         };
-        let mut out = format!("data: {piece}\n\n");
+        let mut out = format!("data: {chunk}\n\n");
         if include_usage {
-            piece["choices"] = json!([]);
-            piece["usage"] = usage(part.prompt_tokens, tokens);
-            out.push_str(&format!("data: {piece}\n\n"));
+            chunk["choices"] = json!([]);
+            chunk["usage"] = usage(part.prompt_tokens, tokens);
+            out.push_str(&format!("data: {chunk}\n\n"));
         }
         out.push_str("data: [DONE]\n\n");
         out.into()
     }
 
-    fn piece(&self) -> Value {
-        let object = match self.shape {
-            Shape::Chat => "chat.completion.chunk",
-            Shape::Completion => "text_completion",
+    fn base_object(&self) -> Value {
+        let object = match self.format {
+            AnswerFormat::Chat => "chat.completion.chunk",
+            AnswerFormat::Completion => "text_completion",
         };
         json!({ "id": self.id, "object": object, "created": self.created, "model": self.model })
     }
 
     /// Makes a whole answer.
-    pub fn whole(&self, part: &AnswerPart, text: &str, tokens: u32) -> Value {
+    pub fn full_answer(&self, part: &AnswerPart, text: &str, tokens: u32) -> Value {
         let finish = part.finish.as_deref().unwrap_or("stop");
-        let mut whole = self.piece();
-        match self.shape {
-            Shape::Chat => {
-                whole["object"] = json!("chat.completion");
+        let mut answer = self.base_object();
+        match self.format {
+            AnswerFormat::Chat => {
+                answer["object"] = json!("chat.completion");
                 let message = json!({ "role": "assistant", "content": text });
-                whole["choices"] =
+                answer["choices"] =
                     json!([{ "index": 0, "message": message, "finish_reason": finish }]);
             }
-            Shape::Completion => {
-                whole["choices"] = json!([{ "index": 0, "text": text, "finish_reason": finish }]);
+            AnswerFormat::Completion => {
+                answer["choices"] = json!([{ "index": 0, "text": text, "finish_reason": finish }]);
             }
         }
-        whole["usage"] = usage(part.prompt_tokens, tokens);
-        whole
+        answer["usage"] = usage(part.prompt_tokens, tokens);
+        answer
     }
 }
 
--- a/daemons/entry/src/serve/driver.rs
+++ b/daemons/entry/src/serve/driver.rs
@@ -16,172 +16,172 @@
 use sill_wire::handoff::WholeReply;
 use tokio::sync::{oneshot, watch};
 
-use super::attach::{self, Source};
-use super::caller::{Out, Sink};
+use super::attach::{self, AnswerSource};
+use super::caller::{ResponseItem, ResponseSender};
 use super::run::{Run, RunEnd};
-use super::upstream::{Came, Outgoing, Upstream};
+use super::upstream::{Upstream, UpstreamEvent, UpstreamRequest};
 use crate::claims;
 use crate::daemon::Shared;
 
 /// Bytes that wait for a slow caller before the endpoint's answer is read on.
-const MAX_WAITING: usize = 64 << 10;
+const MAX_SEND_BUFFER: usize = 64 << 10;
 
 /// The longest that a timer is set for.
-const LONGEST_SLEEP: Millis = Millis(3_600_000);
+const MAX_SLEEP: Millis = Millis(3_600_000);
 
 /// How a streamed answer is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum ResponseMode {
     /// Every token as it comes.
-    Streamed {
+    Stream {
         /// Whether it closes with usage counts.
         include_usage: bool,
     },
     /// At the end, in one piece.
-    Whole,
+    Full,
 }
 
 /// What the driver needs beside the machine.
 #[derive(Debug, Clone)]
-pub struct Order {
+pub struct Job {
     /// The request, as others see it.
     pub run: Arc<Run>,
     /// What an endpoint is sent.
-    pub outgoing: Outgoing,
+    pub upstream_request: UpstreamRequest,
     /// Chained hashes of the prompt's blocks.
     pub blocks: Arc<[u64]>,
     /// The priority.
     pub priority: Priority,
     /// How the answer is told.
-    pub form: Form,
+    pub mode: ResponseMode,
     /// Where the answer goes.
-    pub sink: Option<Sink>,
+    pub sender: Option<ResponseSender>,
 }
 
 /// Drives one request from admission to its end.
 pub struct Driver {
     pub(super) app: Arc<Shared>,
-    pub(super) order: Order,
+    pub(super) job: Job,
     pub(super) flight: InFlightRequest,
     pub(super) events: VecDeque<Event>,
     pub(super) upstream: Option<Upstream>,
     pub(super) splitter: EventSplitter,
-    pub(super) closing: ClosingPieces,
-    pub(super) waiting: Vec<u8>,
-    pub(super) head_of: Option<Epoch>,
+    pub(super) closing: ClosingChunks,
+    pub(super) send_buffer: Vec<u8>,
+    pub(super) head_epoch: Option<Epoch>,
     client: Client,
     actions: Vec<Action>,
-    claim: Option<oneshot::Receiver<ClaimVerdict>>,
-    pub(super) offer: Option<oneshot::Receiver<Option<Name>>>,
+    claim_verdict: Option<oneshot::Receiver<ClaimVerdict>>,
+    pub(super) offer_reply: Option<oneshot::Receiver<Option<Name>>>,
     signals: watch::Receiver<u64>,
     timer: Timer,
-    pub(super) ended: Option<RunEnd>,
+    pub(super) end: Option<RunEnd>,
     reply: Option<WholeReply>,
-    pub(super) received: Millis,
-    first_at: Option<Millis>,
-    accepted: bool,
-    pub(super) elsewhere: bool,
+    pub(super) received_at: Millis,
+    first_token_at: Option<Millis>,
+    is_accepted: bool,
+    pub(super) is_attached: bool,
 }
 
 /// The closing pieces of an attempt, held until its end marker has come: were they sent at once, an
 /// attempt cut right then would make the caller see them twice.
 #[derive(Debug, Default)]
-pub(super) struct ClosingPieces {
-    pub(super) finish: Option<String>,
-    pub(super) prompt: Option<u32>,
-    pub(super) completion: Option<u32>,
+pub(super) struct ClosingChunks {
+    pub(super) finish_reason: Option<String>,
+    pub(super) prompt_tokens: Option<u32>,
+    pub(super) completion_tokens: Option<u32>,
 }
 
 /// A timer that is set again only when it went off too early, since most deadlines move on.
 struct Timer {
-    at: Millis,
+    deadline: Millis,
     sleep: Pin<Box<tokio::time::Sleep>>,
 }
 
-enum Happened {
-    Came(Came),
+enum Wakeup {
+    Upstream(UpstreamEvent),
     Verdict(ClaimVerdict),
-    Offered(Option<Name>),
-    CallerGone,
-    Room,
+    OfferReply(Option<Name>),
+    CallerDisconnect,
+    SendCapacity,
     Signal,
     Tick,
 }
 
 impl Driver {
     /// Makes the driver of a request.
-    pub fn new(app: Arc<Shared>, client: Client, order: Order, flight: InFlightRequest) -> Self {
+    pub fn new(app: Arc<Shared>, client: Client, job: Job, flight: InFlightRequest) -> Self {
         let signals = app.signals.subscribe();
         Self {
-            received: app.clock.now(),
+            received_at: app.clock.now(),
             app,
-            order,
+            job,
             flight,
             events: VecDeque::new(),
             upstream: None,
             splitter: EventSplitter::default(),
-            closing: ClosingPieces::default(),
-            waiting: Vec::new(),
-            head_of: None,
+            closing: ClosingChunks::default(),
+            send_buffer: Vec::new(),
+            head_epoch: None,
             client,
             actions: Vec::new(),
-            claim: None,
-            offer: None,
+            claim_verdict: None,
+            offer_reply: None,
             signals,
             timer: Timer::new(),
-            ended: None,
+            end: None,
             reply: None,
-            first_at: None,
-            accepted: false,
-            elsewhere: false,
+            first_token_at: None,
+            is_accepted: false,
+            is_attached: false,
         }
     }
 
     /// Runs the request to its end; returns where its answer is followed, if another
     /// request has the same key.
-    pub async fn run(mut self, first: Event) -> Option<Source> {
+    pub async fn run(mut self, first: Event) -> Option<AnswerSource> {
         self.events.push_back(first);
         loop {
-            self.settle_events();
+            self.process_events();
             self.flush();
-            if self.ended.is_some() {
+            if self.end.is_some() {
                 break;
             }
-            match self.wait().await {
-                Happened::Came(came) => self.came(came),
-                Happened::Verdict(verdict) => {
-                    self.claim = None;
+            match self.next_wakeup().await {
+                Wakeup::Upstream(event) => self.on_upstream_event(event),
+                Wakeup::Verdict(verdict) => {
+                    self.claim_verdict = None;
                     self.events.push_back(Event::Claimed(verdict));
                 }
-                Happened::Offered(taken_by) => self.offered(taken_by),
-                Happened::CallerGone => {
-                    self.order.sink = None;
+                Wakeup::OfferReply(accepted_by) => self.on_offer_reply(accepted_by),
+                Wakeup::CallerDisconnect => {
+                    self.job.sender = None;
                     self.note("the caller went away".to_owned());
                     self.events.push_back(Event::CallerDisconnected);
                 }
-                Happened::Room => {}
-                Happened::Signal => self.signalled(),
-                Happened::Tick => self.events.push_back(Event::Tick),
+                Wakeup::SendCapacity => {}
+                Wakeup::Signal => self.on_signal(),
+                Wakeup::Tick => self.events.push_back(Event::Tick),
             }
         }
         self.finish().await
     }
 
-    async fn wait(&mut self) -> Happened {
+    async fn next_wakeup(&mut self) -> Wakeup {
         let now = self.app.clock.now();
         self.timer.set(now, self.flight.wake_at());
-        let reads = self.waiting.len() < MAX_WAITING && self.offer.is_none();
+        let may_read = self.send_buffer.len() < MAX_SEND_BUFFER && self.offer_reply.is_none();
         tokio::select! {
             biased;
-            came = next(&mut self.upstream), if reads => Happened::Came(came),
-            verdict = answer(&mut self.claim) => Happened::Verdict(verdict.unwrap_or(ClaimVerdict::Unavailable)),
-            taken_by = answer(&mut self.offer) => Happened::Offered(taken_by.flatten()),
-            () = room(&self.order.sink), if !self.waiting.is_empty() => Happened::Room,
-            () = closed(&self.order.sink) => Happened::CallerGone,
-            _ = self.signals.changed() => Happened::Signal,
+            event = next_upstream_event(&mut self.upstream), if may_read => Wakeup::Upstream(event),
+            verdict = recv_reply(&mut self.claim_verdict) => Wakeup::Verdict(verdict.unwrap_or(ClaimVerdict::Unavailable)),
+            accepted_by = recv_reply(&mut self.offer_reply) => Wakeup::OfferReply(accepted_by.flatten()),
+            () = send_capacity(&self.job.sender), if !self.send_buffer.is_empty() => Wakeup::SendCapacity,
+            () = caller_disconnect(&self.job.sender) => Wakeup::CallerDisconnect,
+            _ = self.signals.changed() => Wakeup::Signal,
             () = self.timer.sleep.as_mut() => {
-                self.timer.at = Millis::MAX;
-                Happened::Tick
+                self.timer.deadline = Millis::MAX;
+                Wakeup::Tick
             }
         }
     }
@@ -191,59 +191,59 @@
     }
 
     pub(super) fn note(&self, what: String) {
-        self.app.journal.lock().add_step(self.now(), self.order.run.request(), what);
+        self.app.journal.lock().add_step(self.now(), self.job.run.request(), what);
     }
 
-    pub(super) fn settle_events(&mut self) {
+    pub(super) fn process_events(&mut self) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.flight.step(self.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.perform(action);
             }
             self.actions = actions;
         }
     }
 
     /// Steps a token, and returns whether it has to be forwarded.
-    pub(super) fn takes_token(&mut self, epoch: Epoch, index: u32) -> bool {
+    pub(super) fn accept_token(&mut self, epoch: Epoch, index: u32) -> bool {
         let mut actions = std::mem::take(&mut self.actions);
         self.flight.step(self.app.clock.now(), Event::Token { epoch, index }, &mut actions);
         let mut forward = false;
         for action in actions.drain(..) {
             match action {
                 Action::ForwardToken => forward = true,
-                action => self.act(action),
+                action => self.perform(action),
             }
         }
         self.actions = actions;
-        if forward && self.first_at.is_none() {
-            self.first_token();
+        if forward && self.first_token_at.is_none() {
+            self.record_first_token();
         }
         forward
     }
 
-    fn first_token(&mut self) {
+    fn record_first_token(&mut self) {
         let now = self.now();
-        self.first_at = Some(now);
+        self.first_token_at = Some(now);
         if let Some(place) = self.flight.placement() {
             let endpoint = place.endpoint.clone();
-            let request = self.order.run.request().clone();
-            let heard = sill_route::Event::FirstToken { endpoint, request };
-            self.app.routing.hear_about(now, &self.target(), heard);
+            let request = self.job.run.request().clone();
+            let event = sill_route::Event::FirstToken { endpoint, request };
+            self.app.routing.apply_for_target(now, &self.target(), event);
         }
     }
 
     fn target(&self) -> Target {
-        match self.order.run.spec.kind {
-            ServiceKind::Model => Target::Model(self.order.run.target.clone()),
-            ServiceKind::Plain => Target::Service(self.order.run.target.clone()),
+        match self.job.run.spec.kind {
+            ServiceKind::Model => Target::Model(self.job.run.target.clone()),
+            ServiceKind::Plain => Target::Service(self.job.run.target.clone()),
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
-            Action::TakeClaim(ask) => self.claim = Some(claims::ask(&self.app, ask)),
+            Action::TakeClaim(ask) => self.claim_verdict = Some(claims::submit(&self.app, ask)),
             Action::SettleClaim(ask) => self.app.claims.settle(ask),
             Action::Route { exclude, prompt_tokens, max_tokens } => {
                 self.route(exclude, prompt_tokens, max_tokens);
@@ -256,46 +256,48 @@
                     self.upstream = None;
                 }
             }
-            Action::ReleaseEndpoint { endpoint, outcome } => self.left(endpoint, outcome),
+            Action::ReleaseEndpoint { endpoint, outcome } => {
+                self.release_endpoint(endpoint, outcome)
+            }
             Action::ForwardToken => {}
-            Action::Drop(dropped) => self.app.metrics.dropped(name_of(dropped)),
+            Action::Drop(dropped) => self.app.metrics.dropped(drop_label(dropped)),
             Action::CountRecomputed { cause, tokens } => {
                 self.app.metrics.recomputed(cause, tokens);
                 self.note(format!("{tokens} tokens computed again: {}", cause.name()));
             }
             Action::Attach { owner, outcome } => {
                 self.note(format!("the key is held by {} at {}", owner.request, owner.entry));
-                let request = self.order.run.request();
-                self.ended = Some(attach::resolve(&self.app, request, &owner, outcome));
-                self.elsewhere = true;
+                let request = self.job.run.request();
+                self.end = Some(attach::owner_run_end(&self.app, request, &owner, outcome));
+                self.is_attached = true;
             }
             Action::Finish => {
                 self.close_answer();
-                self.ended = Some(RunEnd::Whole);
+                self.end = Some(RunEnd::Complete);
             }
             Action::ForwardError => {
                 let reply = self.reply.take();
-                self.ended = reply.map(RunEnd::Reply).or(Some(RunEnd::Abandoned));
+                self.end = reply.map(RunEnd::Reply).or(Some(RunEnd::Abandoned));
             }
-            Action::Refuse(refusal) => self.ended = Some(RunEnd::NotRun(refusal)),
-            Action::Fail(failed) => self.ended = Some(RunEnd::Failed(failed)),
-            Action::Abandon => self.ended = Some(RunEnd::Abandoned),
+            Action::Refuse(refusal) => self.end = Some(RunEnd::NotRun(refusal)),
+            Action::Fail(failed) => self.end = Some(RunEnd::Failed(failed)),
+            Action::Abandon => self.end = Some(RunEnd::Abandoned),
         }
     }
 
     fn route(&mut self, exclude: Vec<Name>, prompt_tokens: u64, max_tokens: u32) {
-        let ask = RouteRequest {
-            request: self.order.run.request().clone(),
+        let request = RouteRequest {
+            request: self.job.run.request().clone(),
             target: self.target(),
-            blocks: self.order.blocks.clone(),
+            blocks: self.job.blocks.clone(),
             prompt_tokens,
             max_tokens,
             // What was accepted has to be seen through, so it goes before all that is new.
-            priority: if self.accepted { Priority::High } else { self.order.priority },
-            deadline: self.order.run.spec.deadline,
+            priority: if self.is_accepted { Priority::High } else { self.job.priority },
+            deadline: self.job.run.spec.deadline,
             exclude,
         };
-        let event = match self.app.routing.choose(self.now(), &ask) {
+        let event = match self.app.routing.choose(self.now(), &request) {
             Choice::Endpoint(chosen) => {
                 self.note(format!("sent to {}: {}", chosen.endpoint, chosen.why));
                 Event::Routed(Placement {
@@ -315,8 +317,8 @@
     }
 
     fn dispatch(&mut self, epoch: Epoch, place: &Placement, resume: Option<ResumePoint>) {
-        if !self.accepted {
-            self.accepted = true;
+        if !self.is_accepted {
+            self.is_accepted = true;
             self.app.metrics.accepted.inc();
         }
         if let Some(at) = &resume {
@@ -324,55 +326,55 @@
             self.note(format!("attempt {} goes on at token {}: {how}", epoch.0, at.next_index));
         }
         self.splitter = EventSplitter::default();
-        self.closing = ClosingPieces::default();
-        let streams = self.order.run.spec.kind == ServiceKind::Model;
-        self.upstream = Some(self.order.run.with_transcript(|transcript| {
-            let outgoing = &self.order.outgoing;
+        self.closing = ClosingChunks::default();
+        let is_model = self.job.run.spec.kind == ServiceKind::Model;
+        self.upstream = Some(self.job.run.with_transcript(|transcript| {
+            let upstream_request = &self.job.upstream_request;
             Upstream::send(
                 &self.client,
-                outgoing,
+                upstream_request,
                 epoch,
                 place,
                 resume.as_ref(),
                 transcript,
-                streams,
+                is_model,
             )
         }));
         // It may have been given notice since the router heard of it last.
         self.check_notice();
     }
 
-    fn left(&mut self, endpoint: Name, how: AttemptOutcome) {
-        let outcome = match how {
+    fn release_endpoint(&mut self, endpoint: Name, attempt_outcome: AttemptOutcome) {
+        let outcome = match attempt_outcome {
             AttemptOutcome::Finished => Outcome::Finished,
             AttemptOutcome::Cancelled => Outcome::Cancelled,
             AttemptOutcome::Failed => Outcome::Failed,
         };
-        let request = self.order.run.request().clone();
+        let request = self.job.run.request().clone();
         let tokens = self.flight.next_index();
-        let ended = sill_route::Event::Ended { endpoint, request, tokens, outcome };
-        self.app.routing.hear_about(self.now(), &self.target(), ended);
-        if how != AttemptOutcome::Cancelled {
+        let event = sill_route::Event::Ended { endpoint, request, tokens, outcome };
+        self.app.routing.apply_for_target(self.now(), &self.target(), event);
+        if attempt_outcome != AttemptOutcome::Cancelled {
             self.upstream = None;
         }
     }
 
-    fn came(&mut self, came: Came) {
+    fn on_upstream_event(&mut self, event: UpstreamEvent) {
         let Some(epoch) = self.upstream.as_ref().map(|u| u.epoch) else {
             return;
         };
-        match came {
-            Came::Began => {}
-            Came::Part(part) => self.part(epoch, &part),
-            Came::NotConnected(why) => {
+        match event {
+            UpstreamEvent::Head => {}
+            UpstreamEvent::Part(part) => self.on_part(epoch, &part),
+            UpstreamEvent::ConnectFailure(why) => {
                 self.note(format!("attempt {} was not connected: {why}", epoch.0));
                 self.events.push_back(Event::ConnectFailed { epoch });
             }
-            Came::Cut(why) => {
+            UpstreamEvent::Cut(why) => {
                 self.note(format!("attempt {} was cut: {why}", epoch.0));
                 self.events.push_back(Event::StreamCut { epoch });
             }
-            Came::Whole(reply) => {
+            UpstreamEvent::Reply(reply) => {
                 let status = reply.status;
                 if status >= 400 {
                     self.note(format!("attempt {} got status {status}", epoch.0));
@@ -385,15 +387,15 @@
 
     /// Sends what waits, as far as the caller takes it.
     fn flush(&mut self) {
-        if self.waiting.is_empty() {
+        if self.send_buffer.is_empty() {
             return;
         }
-        let Some(sink) = &self.order.sink else {
-            self.waiting.clear();
+        let Some(sender) = &self.job.sender else {
+            self.send_buffer.clear();
             return;
         };
-        if let Ok(permit) = sink.try_reserve() {
-            permit.send(Out::Part(Bytes::from(std::mem::take(&mut self.waiting))));
+        if let Ok(permit) = sender.try_reserve() {
+            permit.send(ResponseItem::Data(Bytes::from(std::mem::take(&mut self.send_buffer))));
         }
     }
 }
@@ -401,64 +403,64 @@
 impl Drop for Driver {
     fn drop(&mut self) {
         // Also after a panic: whoever follows the request would wait for its end forever.
-        if self.order.run.ended().is_none() {
-            self.order.run.end(RunEnd::Abandoned);
-            self.app.runs.close(self.now(), &self.order.run);
+        if self.job.run.end().is_none() {
+            self.job.run.set_end(RunEnd::Abandoned);
+            self.app.runs.close(self.now(), &self.job.run);
         }
     }
 }
 
 impl Timer {
     fn new() -> Self {
-        Self { at: Millis::MAX, sleep: Box::pin(tokio::time::sleep(LONGEST_SLEEP.into())) }
+        Self { deadline: Millis::MAX, sleep: Box::pin(tokio::time::sleep(MAX_SLEEP.into())) }
     }
 
-    fn set(&mut self, now: Millis, at: Millis) {
-        if at < self.at {
-            self.at = at;
-            let span = at.since(now).min(LONGEST_SLEEP);
+    fn set(&mut self, now: Millis, deadline: Millis) {
+        if deadline < self.deadline {
+            self.deadline = deadline;
+            let span = deadline.since(now).min(MAX_SLEEP);
             self.sleep.as_mut().reset(tokio::time::Instant::now() + span.into());
         }
     }
 }
 
-fn name_of(dropped: DropReason) -> &'static str {
+fn drop_label(dropped: DropReason) -> &'static str {
     match dropped {
         DropReason::StaleAttempt => "late",
         DropReason::DuplicateToken => "repeat",
     }
 }
 
-async fn next(upstream: &mut Option<Upstream>) -> Came {
+async fn next_upstream_event(upstream: &mut Option<Upstream>) -> UpstreamEvent {
     match upstream {
-        Some(upstream) => upstream.next().await,
+        Some(upstream) => upstream.next_event().await,
         None => std::future::pending().await,
     }
 }
 
-async fn answer<T>(receiver: &mut Option<oneshot::Receiver<T>>) -> Option<T> {
+async fn recv_reply<T>(receiver: &mut Option<oneshot::Receiver<T>>) -> Option<T> {
     match receiver {
         Some(receiver) => receiver.await.ok(),
         None => std::future::pending().await,
     }
 }
 
-/// Waits until the caller takes more. One that is gone never does, and [`closed`] tells of it.
+/// Waits until the caller takes more. One that is gone never does, and [`caller_disconnect`] tells of it.
 ///
 /// To call that room as well would hang the worker thread: what waits can't be sent, so the driver
 /// would find room again at once, without ever letting the thread's other requests go on.
-async fn room(sink: &Option<Sink>) {
-    let Some(sink) = sink else {
+async fn send_capacity(sender: &Option<ResponseSender>) {
+    let Some(sender) = sender else {
         return std::future::pending().await;
     };
-    if sink.reserve().await.is_err() {
+    if sender.reserve().await.is_err() {
         std::future::pending().await
     }
 }
 
-async fn closed(sink: &Option<Sink>) {
-    match sink {
-        Some(sink) => sink.closed().await,
+async fn caller_disconnect(sender: &Option<ResponseSender>) {
+    match sender {
+        Some(sender) => sender.closed().await,
         None => std::future::pending().await,
     }
 }
--- a/daemons/entry/src/serve/ending.rs
+++ b/daemons/entry/src/serve/finish.rs
@@ -10,26 +10,26 @@
 use sill_wire::handoff::FailedRun;
 use tokio::sync::oneshot;
 
-use super::attach::{self, Source};
-use super::caller::{Final, Out};
-use super::driver::{Driver, Form};
+use super::attach::{self, AnswerSource};
+use super::caller::{ResponseEnd, ResponseItem};
+use super::driver::{Driver, ResponseMode};
 use super::run::RunEnd;
 use super::signals::Offer;
 
 impl Driver {
-    pub(super) fn signalled(&mut self) {
+    pub(super) fn on_signal(&mut self) {
         self.check_notice();
-        let model = self.order.run.spec.kind == ServiceKind::Model;
-        if !model || self.offer.is_some() || !self.flight.may_have_sent() {
+        let model = self.job.run.spec.kind == ServiceKind::Model;
+        if !model || self.offer_reply.is_some() || !self.flight.may_have_sent() {
             return;
         }
         let Some(offers) = self.app.signals.offers() else {
             return;
         };
-        let (taken_by, answer) = oneshot::channel();
-        let run = self.handed();
-        if offers.send(Offer { run, taken_by }).is_ok() {
-            self.offer = Some(answer);
+        let (accepted_by, answer) = oneshot::channel();
+        let run = self.hand_off_run();
+        if offers.send(Offer { run, accepted_by }).is_ok() {
+            self.offer_reply = Some(answer);
         }
     }
 
@@ -41,13 +41,13 @@
             self.events.push_back(Event::EndpointLeaving {
                 endpoint: place.endpoint.clone(),
                 incarnation: place.incarnation,
-                time_left: notice.dies_at.since(self.now()),
+                time_left: notice.gone_at.since(self.now()),
             });
         }
     }
 
-    pub(super) fn handed(&self) -> HandOffRun {
-        let run = &self.order.run;
+    pub(super) fn hand_off_run(&self) -> HandOffRun {
+        let run = &self.job.run;
         HandOffRun {
             spec: run.spec.clone(),
             account: run.key.account.clone(),
@@ -55,60 +55,60 @@
             body_hash: run.body_hash.clone(),
             path: run.path.clone(),
             model: run.target.clone(),
-            body: String::from_utf8_lossy(&self.order.outgoing.body).into_owned(),
+            body: String::from_utf8_lossy(&self.job.upstream_request.body).into_owned(),
             transcript: run.with_transcript(|t| t.clone()),
             placement: self.flight.placement().cloned(),
         }
         .with_relative_deadline(self.now())
     }
 
-    pub(super) fn offered(&mut self, taken_by: Option<Name>) {
-        self.offer = None;
-        match taken_by {
+    pub(super) fn on_offer_reply(&mut self, accepted_by: Option<Name>) {
+        self.offer_reply = None;
+        match accepted_by {
             Some(peer) => {
                 self.note(format!("handed over to {peer}"));
-                self.ended = Some(RunEnd::Moved(peer));
+                self.end = Some(RunEnd::Moved(peer));
             }
             None => self.note("no peer took it over".to_owned()),
         }
     }
 
     /// Tells everyone how it ended.
-    pub(super) async fn finish(mut self) -> Option<Source> {
-        let ended = self.ended.take().unwrap_or(RunEnd::Abandoned);
+    pub(super) async fn finish(mut self) -> Option<AnswerSource> {
+        let end = self.end.take().unwrap_or(RunEnd::Abandoned);
         // What was found under another's claim is counted and settled there.
-        if !self.elsewhere {
-            self.count(&ended);
-            self.settle_claim(&ended);
+        if !self.is_attached {
+            self.record_end(&end);
+            self.settle_claim(&end);
         }
-        self.order.run.end(ended.clone());
-        self.app.runs.close(self.now(), &self.order.run);
+        self.job.run.set_end(end.clone());
+        self.app.runs.close(self.now(), &self.job.run);
         // A key whose request has no answer may be sent again, and must not lead here.
-        if !matches!(ended, RunEnd::Whole | RunEnd::Reply(_) | RunEnd::Moved(_)) {
-            super::forget_later(&self.app, &self.order.run);
+        if !matches!(end, RunEnd::Complete | RunEnd::Reply(_) | RunEnd::Moved(_)) {
+            super::spawn_forget(&self.app, &self.job.run);
         }
-        if self.elsewhere {
-            return Some(match ended {
-                RunEnd::Moved(peer) => Source::At(peer),
-                _ => Source::Here(self.order.run.clone()),
+        if self.is_attached {
+            return Some(match end {
+                RunEnd::Moved(peer) => AnswerSource::Remote(peer),
+                _ => AnswerSource::Local(self.job.run.clone()),
             });
         }
-        if let Some(sink) = self.order.sink.take() {
-            if !self.waiting.is_empty() {
-                let rest = Bytes::from(std::mem::take(&mut self.waiting));
-                let _ = sink.send(Out::Part(rest)).await;
+        if let Some(sender) = self.job.sender.take() {
+            if !self.send_buffer.is_empty() {
+                let remaining = Bytes::from(std::mem::take(&mut self.send_buffer));
+                let _ = sender.send(ResponseItem::Data(remaining)).await;
             }
-            let _ = sink.send(Out::End(self.last_word(ended))).await;
+            let _ = sender.send(ResponseItem::End(self.response_end(end))).await;
             // Until the caller has taken it, it counts as in flight, else a planned stop cuts it.
-            sink.closed().await;
+            sender.closed().await;
         }
         None
     }
 
-    pub(super) fn count(&self, ended: &RunEnd) {
+    pub(super) fn record_end(&self, end: &RunEnd) {
         let metrics = &self.app.metrics;
-        let what = match ended {
-            RunEnd::Whole => {
+        let what = match end {
+            RunEnd::Complete => {
                 metrics.answered.inc();
                 "answered whole".to_owned()
             }
@@ -129,7 +129,7 @@
                     request = refusal.request(),
                     why = refusal.message(),
                     attempts = self.flight.attempts(),
-                    ms = self.now() - self.received
+                    ms = self.now() - self.received_at
                 );
                 format!("refused, not run: {}", refusal.message())
             }
@@ -139,17 +139,17 @@
         self.note(what);
     }
 
-    pub(super) fn settle_claim(&self, ended: &RunEnd) {
-        let Some(claim) = &self.order.run.spec.claim else {
+    pub(super) fn settle_claim(&self, end: &RunEnd) {
+        let Some(claim) = &self.job.run.spec.claim else {
             return;
         };
-        let outcome = match ended {
+        let outcome = match end {
             RunEnd::Reply(reply) => ClaimOutcome::Answered {
                 status: reply.status,
                 body: std::str::from_utf8(reply.body.as_bytes()).ok().map(str::to_owned),
             },
-            RunEnd::Whole => {
-                ClaimOutcome::Answered { status: 200, body: Some(self.whole_answer().to_string()) }
+            RunEnd::Complete => {
+                ClaimOutcome::Answered { status: 200, body: Some(self.full_answer().to_string()) }
             }
             // The machine has told the log of every other end.
             _ => return,
@@ -158,17 +158,17 @@
         self.app.claims.settle(ask);
     }
 
-    pub(super) fn last_word(&self, ended: RunEnd) -> Final {
-        match ended {
-            RunEnd::Whole if self.order.form == Form::Whole => {
-                Final::Reply(attach::json_reply(&self.whole_answer()))
+    pub(super) fn response_end(&self, end: RunEnd) -> ResponseEnd {
+        match end {
+            RunEnd::Complete if self.job.mode == ResponseMode::Full => {
+                ResponseEnd::Reply(attach::json_reply(&self.full_answer()))
             }
-            RunEnd::Whole => Final::Whole,
-            RunEnd::Reply(reply) => Final::Reply(reply),
+            RunEnd::Complete => ResponseEnd::Complete,
+            RunEnd::Reply(reply) => ResponseEnd::Reply(reply),
             RunEnd::Failed(failed) => failed.into(),
-            RunEnd::NotRun(refusal) => Final::NotRun(refusal),
-            RunEnd::Moved(_) => Final::Moved,
-            RunEnd::Abandoned => Final::Failed(FailedRun {
+            RunEnd::NotRun(refusal) => ResponseEnd::NotRun(refusal),
+            RunEnd::Moved(_) => ResponseEnd::Moved,
+            RunEnd::Abandoned => ResponseEnd::Failed(FailedRun {
                 code: ErrorCode::Internal,
                 message: "nobody waits for it".to_owned(),
                 retry_after: Some(Millis(1000)),
--- a/daemons/entry/src/serve/run.rs
+++ b/daemons/entry/src/serve/run.rs
@@ -15,10 +15,10 @@
 const RETENTION: Millis = Millis(120_000);
 
 /// Answers kept at most; the oldest go first.
-const MAX_KEPT: usize = 10_000;
+const MAX_RETAINED: usize = 10_000;
 
 /// Bytes of all kept answers.
-const MAX_KEPT_BYTES: usize = 64 << 20;
+const MAX_RETAINED_BYTES: usize = 64 << 20;
 
 /// One request as all threads may see it.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone)]
 pub enum RunEnd {
     /// The model's answer is whole.
-    Whole,
+    Complete,
     /// A whole HTTP answer came from the endpoint.
     Reply(WholeReply),
     /// It was given up.
@@ -89,20 +89,20 @@
     }
 
     /// Wakes those who follow it.
-    pub fn wake(&self) {
+    pub fn notify_followers(&self) {
         if self.state.lock().followers > 0 {
             self.changed.notify_waiters();
         }
     }
 
     /// Notes how it ended; the first end stands.
-    pub fn end(&self, end: RunEnd) {
+    pub fn set_end(&self, end: RunEnd) {
         self.state.lock().end.get_or_insert(end);
         self.changed.notify_waiters();
     }
 
     /// Returns how it ended.
-    pub fn ended(&self) -> Option<RunEnd> {
+    pub fn end(&self) -> Option<RunEnd> {
         self.state.lock().end.clone()
     }
 
@@ -112,22 +112,22 @@
         let changed = self.changed.notified();
         let mut changed = std::pin::pin!(changed);
         changed.as_mut().enable();
-        if self.is_news(from) {
+        if self.has_update(from) {
             self.state.lock().followers -= 1;
-            return self.since(from);
+            return self.reply_from(from);
         }
         let _ = tokio::time::timeout(wait.into(), changed).await;
         self.state.lock().followers -= 1;
-        self.since(from)
+        self.reply_from(from)
     }
 
-    fn is_news(&self, from: u32) -> bool {
+    fn has_update(&self, from: u32) -> bool {
         let state = self.state.lock();
         state.end.is_some() || state.transcript.next_index() > from
     }
 
     /// Returns what came since a token.
-    pub fn since(&self, from: u32) -> FollowReply {
+    pub fn reply_from(&self, from: u32) -> FollowReply {
         let state = self.state.lock();
         match &state.end {
             Some(RunEnd::Reply(reply)) => FollowReply::Reply(reply.clone()),
@@ -138,16 +138,18 @@
             }),
             Some(RunEnd::Moved(address)) => FollowReply::Moved { address: address.clone() },
             Some(RunEnd::NotRun(_) | RunEnd::Abandoned) => FollowReply::Unknown,
-            Some(RunEnd::Whole) | None => FollowReply::More(part(&state.transcript, from)),
+            Some(RunEnd::Complete) | None => {
+                FollowReply::More(answer_part(&state.transcript, from))
+            }
         }
     }
 
     /// Returns all tokens so far.
-    pub fn whole_part(&self) -> AnswerPart {
-        part(&self.state.lock().transcript, 0)
+    pub fn full_part(&self) -> AnswerPart {
+        answer_part(&self.state.lock().transcript, 0)
     }
 
-    fn size(&self) -> usize {
+    fn size_bytes(&self) -> usize {
         let state = self.state.lock();
         let reply = match &state.end {
             Some(RunEnd::Reply(reply)) => reply.body.as_bytes().len(),
@@ -157,7 +159,7 @@
     }
 }
 
-fn part(transcript: &Transcript, from: u32) -> AnswerPart {
+fn answer_part(transcript: &Transcript, from: u32) -> AnswerPart {
     let escaped = (from..transcript.next_index()).map(|i| transcript.escaped_token(i).to_owned());
     AnswerPart {
         id: transcript.id.clone(),
@@ -171,18 +173,18 @@
 
 /// All keyed requests that run or ran here.
 #[derive(Debug, Default)]
-pub struct Runs(Mutex<Kept>);
+pub struct Runs(Mutex<RunTable>);
 
 #[derive(Debug, Default)]
-struct Kept {
+struct RunTable {
     runs: Map<ClaimKey, Arc<Run>>,
-    ended: VecDeque<Ended>,
-    bytes: usize,
+    retained: VecDeque<RetainedRun>,
+    retained_bytes: usize,
 }
 
 #[derive(Debug)]
-struct Ended {
-    at: Millis,
+struct RetainedRun {
+    ended_at: Millis,
     bytes: usize,
     run: Arc<Run>,
 }
@@ -195,44 +197,45 @@
 
     /// Adds a request, unless one with the same key is there; returns that one then.
     pub fn open(&self, run: &Arc<Run>) -> Option<Arc<Run>> {
-        let mut kept = self.0.lock();
-        if let Some(there) = kept.runs.get(&run.key) {
-            return Some(there.clone());
+        let mut table = self.0.lock();
+        if let Some(existing) = table.runs.get(&run.key) {
+            return Some(existing.clone());
         }
-        kept.runs.insert(run.key.clone(), run.clone());
+        table.runs.insert(run.key.clone(), run.clone());
         None
     }
 
     /// Keeps a request's answer for a while, or drops it at once where there is none to come for.
     pub fn close(&self, now: Millis, run: &Arc<Run>) {
-        let answered = matches!(run.ended(), Some(RunEnd::Whole | RunEnd::Reply(_)));
-        let bytes = run.size();
-        let mut kept = self.0.lock();
-        if answered {
-            kept.bytes += bytes;
-            kept.ended.push_back(Ended { at: now, bytes, run: run.clone() });
+        let is_answered = matches!(run.end(), Some(RunEnd::Complete | RunEnd::Reply(_)));
+        let bytes = run.size_bytes();
+        let mut table = self.0.lock();
+        if is_answered {
+            table.retained_bytes += bytes;
+            table.retained.push_back(RetainedRun { ended_at: now, bytes, run: run.clone() });
         } else {
-            kept.remove(run);
+            table.remove(run);
         }
-        kept.forget_old(now);
+        table.evict(now);
     }
 }
 
-impl Kept {
+impl RunTable {
     fn remove(&mut self, run: &Arc<Run>) {
-        if self.runs.get(&run.key).is_some_and(|there| Arc::ptr_eq(there, run)) {
+        if self.runs.get(&run.key).is_some_and(|existing| Arc::ptr_eq(existing, run)) {
             self.runs.remove(&run.key);
         }
     }
 
-    fn forget_old(&mut self, now: Millis) {
-        while let Some(oldest) = self.ended.front() {
-            let full = self.ended.len() > MAX_KEPT || self.bytes > MAX_KEPT_BYTES;
-            if !full && oldest.at + RETENTION > now {
+    fn evict(&mut self, now: Millis) {
+        while let Some(oldest) = self.retained.front() {
+            let is_full =
+                self.retained.len() > MAX_RETAINED || self.retained_bytes > MAX_RETAINED_BYTES;
+            if !is_full && oldest.ended_at + RETENTION > now {
                 return;
             }
-            if let Some(oldest) = self.ended.pop_front() {
-                self.bytes -= oldest.bytes;
+            if let Some(oldest) = self.retained.pop_front() {
+                self.retained_bytes -= oldest.bytes;
                 self.remove(&oldest.run);
             }
         }
--- a/daemons/entry/src/serve/signals.rs
+++ b/daemons/entry/src/serve/signals.rs
@@ -11,10 +11,10 @@
 use crate::daemon::Shared;
 
 /// How often membership is asked which endpoints are leaving.
-const LOOK: Millis = Millis(50);
+const POLL_INTERVAL: Millis = Millis(50);
 
 /// A notice that moved by less is no news.
-const NEWS: Millis = Millis(500);
+const MIN_NOTICE_CHANGE: Millis = Millis(500);
 
 /// Notices of endpoints, and the hand-off of this instance.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     /// Which life of it.
     pub incarnation: Incarnation,
     /// When it will be gone, on the entry's clock.
-    pub dies_at: Millis,
+    pub gone_at: Millis,
 }
 
 /// A request that wants to be taken over; the answer tells whether a peer has it.
@@ -39,7 +39,7 @@
     /// The request.
     pub run: HandOffRun,
     /// Where the answer goes.
-    pub taken_by: oneshot::Sender<Option<Name>>,
+    pub accepted_by: oneshot::Sender<Option<Name>>,
 }
 
 impl Signals {
@@ -58,30 +58,31 @@
     }
 
     /// Takes in which endpoints are leaving now.
-    pub fn leaving(&self, now: Millis, leaving: &[Announcement]) {
+    pub fn update_notices(&self, now: Millis, leaving: &[Announcement]) {
         let mut notices = Map::default();
         for announcement in leaving {
-            let dies_at = now + announcement.leaving.unwrap_or_default();
-            let notice = Notice { incarnation: announcement.incarnation, dies_at };
+            let gone_at = now + announcement.leaving.unwrap_or_default();
+            let notice = Notice { incarnation: announcement.incarnation, gone_at };
             notices.insert(announcement.name.clone(), notice);
         }
-        let mut before = self.notices.write();
-        let is_news = notices.iter().any(|(name, notice)| {
-            !before.get(name).is_some_and(|b| {
-                b.incarnation == notice.incarnation && b.dies_at <= notice.dies_at + NEWS
+        let mut previous = self.notices.write();
+        let is_changed = notices.iter().any(|(name, notice)| {
+            !previous.get(name).is_some_and(|p| {
+                p.incarnation == notice.incarnation
+                    && p.gone_at <= notice.gone_at + MIN_NOTICE_CHANGE
             })
         });
         // An endpoint's own time left counts down, so that the earliest time heard is kept.
         for (name, notice) in &mut notices {
-            if let Some(known) = before.get(name)
-                && known.incarnation == notice.incarnation
+            if let Some(earlier) = previous.get(name)
+                && earlier.incarnation == notice.incarnation
             {
-                notice.dies_at = notice.dies_at.min(known.dies_at);
+                notice.gone_at = notice.gone_at.min(earlier.gone_at);
             }
         }
-        *before = notices;
-        drop(before);
-        if is_news {
+        *previous = notices;
+        drop(previous);
+        if is_changed {
             self.changes.send_modify(|n| *n += 1);
         }
     }
@@ -120,7 +121,7 @@
 /// Passes on which endpoints are leaving, until the process ends.
 pub async fn watch(app: Arc<Shared>) {
     loop {
-        tokio::time::sleep(LOOK.into()).await;
-        app.signals.leaving(app.clock.now(), &app.members.leaving());
+        tokio::time::sleep(POLL_INTERVAL.into()).await;
+        app.signals.update_notices(app.clock.now(), &app.members.leaving());
     }
 }
--- a/daemons/entry/src/serve/upstream.rs
+++ b/daemons/entry/src/serve/upstream.rs
@@ -20,11 +20,11 @@
 use super::headers::passed_headers;
 
 /// The largest answer of a plain service, in bytes.
-const MAX_REPLY: usize = 16 << 20;
+const MAX_REPLY_BYTES: usize = 16 << 20;
 
 /// What an endpoint is sent.
 #[derive(Debug, Clone)]
-pub struct Outgoing {
+pub struct UpstreamRequest {
     /// The method.
     pub method: Method,
     /// Path and query.
@@ -41,15 +41,15 @@
 
 /// What an attempt brings.
 #[derive(Debug)]
-pub enum Came {
+pub enum UpstreamEvent {
     /// No connection was made, so that no byte left.
-    NotConnected(String),
+    ConnectFailure(String),
     /// The answer began, with the status for success.
-    Began,
+    Head,
     /// A part of it.
     Part(Bytes),
     /// A whole answer: of a plain service, or an endpoint's error.
-    Whole(WholeReply),
+    Reply(WholeReply),
     /// It ended, or failed, before it was whole.
     Cut(String),
 }
@@ -62,24 +62,24 @@
 }
 
 type Sending = Pin<Box<dyn Future<Output = Result<ClientResponse, ClientError>>>>;
-type Collecting = Pin<Box<dyn Future<Output = Came>>>;
+type Collecting = Pin<Box<dyn Future<Output = UpstreamEvent>>>;
 
 enum State {
-    Sending { sending: Sending, streams: bool },
+    Sending { sending: Sending, is_model: bool },
     Streaming(Payload),
     Collecting(Collecting),
-    Over,
+    Done,
 }
 
-impl Outgoing {
+impl UpstreamRequest {
     /// Makes the body that asks an endpoint for a stream with usage counts.
-    pub fn streamed_body(mut body: Value) -> Bytes {
+    pub fn stream_body(mut body: Value) -> Bytes {
         body["stream"] = json!(true);
         body["stream_options"] = json!({ "include_usage": true });
         body.to_string().into()
     }
 
-    fn resumed_body(&self, at: &ResumePoint, transcript: &Transcript) -> Bytes {
+    fn resume_body(&self, at: &ResumePoint, transcript: &Transcript) -> Bytes {
         let Ok(mut body) = serde_json::from_slice::<Value>(&self.body) else {
             return self.body.clone();
         };
@@ -99,12 +99,12 @@
     /// Sends the request.
     pub fn send(
         client: &Client,
-        outgoing: &Outgoing,
+        outgoing: &UpstreamRequest,
         epoch: Epoch,
         place: &Placement,
         resume: Option<&ResumePoint>,
         transcript: &Transcript,
-        streams: bool,
+        is_model: bool,
     ) -> Self {
         let url = format!("http://{}{}", place.address, outgoing.path);
         let mut req = client
@@ -118,48 +118,50 @@
             req = req.set_header(header.name.as_str(), header.value.as_str());
         }
         let body = match resume {
-            Some(at) => outgoing.resumed_body(at, transcript),
+            Some(at) => outgoing.resume_body(at, transcript),
             None => outgoing.body.clone(),
         };
         let sending: Sending = Box::pin(async move { req.send_body(body).await });
-        Self { epoch, state: State::Sending { sending, streams } }
+        Self { epoch, state: State::Sending { sending, is_model } }
     }
 
     /// Waits for what comes next; may be dropped while it waits.
-    pub async fn next(&mut self) -> Came {
+    pub async fn next_event(&mut self) -> UpstreamEvent {
         loop {
             match &mut self.state {
-                State::Sending { sending, streams } => {
-                    let streams = *streams;
+                State::Sending { sending, is_model } => {
+                    let is_model = *is_model;
                     match sending.await {
-                        Ok(res) if streams && res.status().is_success() => {
+                        Ok(res) if is_model && res.status().is_success() => {
                             self.state = State::Streaming(res.take_payload());
-                            return Came::Began;
+                            return UpstreamEvent::Head;
                         }
                         Ok(res) => self.state = State::Collecting(Box::pin(collect(res))),
                         Err(err) => {
-                            self.state = State::Over;
-                            return failed(&err);
+                            self.state = State::Done;
+                            return classify_error(&err);
                         }
                     }
                 }
                 State::Streaming(payload) => match payload.next().await {
-                    Some(Ok(part)) => return Came::Part(part),
+                    Some(Ok(part)) => return UpstreamEvent::Part(part),
                     Some(Err(err)) => {
-                        self.state = State::Over;
-                        return Came::Cut(err.to_string());
+                        self.state = State::Done;
+                        return UpstreamEvent::Cut(err.to_string());
                     }
                     None => {
-                        self.state = State::Over;
-                        return Came::Cut("the stream ended without its end marker".to_owned());
+                        self.state = State::Done;
+                        return UpstreamEvent::Cut(
+                            "the stream ended without its end marker".to_owned(),
+                        );
                     }
                 },
                 State::Collecting(collecting) => {
-                    let came = collecting.await;
-                    self.state = State::Over;
-                    return came;
+                    let event = collecting.await;
+                    self.state = State::Done;
+                    return event;
                 }
-                State::Over => std::future::pending().await,
+                State::Done => std::future::pending().await,
             }
         }
     }
@@ -170,29 +172,31 @@
 /// Only errors of the connector count: the client reports a connection that ended before the
 /// answer's head as `Disconnected(None)`, though the whole request has left by then. Were that
 /// taken for "not connected", a caller would be told not-run of a request that ran.
-fn failed(err: &ClientError) -> Came {
+fn classify_error(err: &ClientError) -> UpstreamEvent {
     match err {
         ClientError::Connect(ConnectError::Disconnected(Some(_)) | ConnectError::Resolver(_)) => {
-            Came::NotConnected(err.to_string())
+            UpstreamEvent::ConnectFailure(err.to_string())
         }
-        _ => Came::Cut(err.to_string()),
+        _ => UpstreamEvent::Cut(err.to_string()),
     }
 }
 
-async fn collect(res: ClientResponse) -> Came {
+async fn collect(res: ClientResponse) -> UpstreamEvent {
     let status = res.status().as_u16();
     let headers = passed_headers(res.headers());
-    match res.body().limit(MAX_REPLY).await {
-        Ok(body) => Came::Whole(WholeReply { status, headers, body: ReplyBody::new(&body) }),
+    match res.body().limit(MAX_REPLY_BYTES).await {
+        Ok(body) => {
+            UpstreamEvent::Reply(WholeReply { status, headers, body: ReplyBody::new(&body) })
+        }
         // Sent again it would be as large; the caller has to know, and at once.
-        Err(PayloadError::Overflow) => Came::Whole(too_large()),
-        Err(err) => Came::Cut(err.to_string()),
+        Err(PayloadError::Overflow) => UpstreamEvent::Reply(too_large_reply()),
+        Err(err) => UpstreamEvent::Cut(err.to_string()),
     }
 }
 
-fn too_large() -> WholeReply {
+fn too_large_reply() -> WholeReply {
     const STATUS: u16 = 500;
-    let message = format!("the answer is larger than {MAX_REPLY} bytes");
+    let message = format!("the answer is larger than {MAX_REPLY_BYTES} bytes");
     let error = json!({ "code": "upstream_failed", "message": message, "not_run": false });
     WholeReply::json(STATUS, json!({ "error": error }).to_string())
 }
--- a/daemons/entry/src/stop.rs
+++ b/daemons/entry/src/stop.rs
@@ -10,23 +10,23 @@
 use crate::handoff;
 
 /// Time between two looks at what is in flight during a stop.
-const DRAIN_POLL: Millis = Millis(20);
+const DRAIN_POLL_INTERVAL: Millis = Millis(20);
 
 impl Entry {
     /// Stops as planned: not ready first, then the listener closes, then all in flight finish.
     pub async fn stop(self) {
-        self.stop_unless(Millis::ZERO, std::future::pending()).await;
+        self.stop_unless_forced(Millis::ZERO, std::future::pending()).await;
     }
 
     /// Stops as planned, for a signal that came `late` ago, but ends at once when `again` comes first.
     /// Returns what was cut off.
-    pub async fn stop_unless<F>(self, late: Millis, again: F) -> u64
+    pub async fn stop_unless_forced<F>(self, signal_age: Millis, second_signal: F) -> u64
     where
         F: Future<Output = ()>,
     {
         let shared = &self.shared;
         // Whoever sent the signal counts from there until it kills the process.
-        let limit = shared.cfg.drain_limit - late;
+        let limit = shared.cfg.drain_limit - signal_age;
         let cfg = DrainCfg {
             close_delay: shared.cfg.drain_notice,
             timeout: limit,
@@ -35,15 +35,15 @@
         let mut drain = Drain::new(cfg);
         let mut actions = Vec::new();
         let mut event = DrainEvent::Stop;
-        let mut again = std::pin::pin!(again);
-        event!(Info, "stop_begun", name = shared.cfg.name, late_ms = late);
+        let mut second_signal = std::pin::pin!(second_signal);
+        event!(Info, "stop_begun", name = shared.cfg.name, late_ms = signal_age);
         loop {
             drain.step(shared.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
                 match action {
                     DrainAction::MarkNotReady => {
                         shared.stopping.store(true, Ordering::Relaxed);
-                        handoff::before_limit(shared, limit);
+                        handoff::schedule_before_limit(shared, limit);
                     }
                     DrainAction::CloseListener => {
                         shared.closing.store(true, Ordering::Relaxed);
@@ -57,14 +57,14 @@
                             cut = cut,
                             forced = forced
                         );
-                        self.end(!forced).await;
+                        self.shutdown(!forced).await;
                         return cut;
                     }
                 }
             }
             event = tokio::select! {
-                () = &mut again => DrainEvent::Stop,
-                () = tokio::time::sleep(DRAIN_POLL.into()) => {
+                () = &mut second_signal => DrainEvent::Stop,
+                () = tokio::time::sleep(DRAIN_POLL_INTERVAL.into()) => {
                     let in_flight = shared.metrics.in_flight.get().max(0) as u64;
                     DrainEvent::Tick { in_flight }
                 }
@@ -72,7 +72,7 @@
         }
     }
 
-    async fn end(self, gracefully: bool) {
+    async fn shutdown(self, gracefully: bool) {
         self.server.stop(gracefully).await;
         self.peers.stop();
         // Dropping it would block, which a caller inside another runtime may not do.
--- a/daemons/entry/tests/kit/mod.rs
+++ b/daemons/entry/tests/kit/mod.rs
@@ -23,13 +23,13 @@
 pub const CLUSTER_KEY: &str = "test-cluster-key";
 const JOIN_TOKEN: &str = "test-join-token";
 const CALLER_KEY: &str = "test-caller-key";
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A control instance that serves one settings document and the claims' log.
 pub struct FakeControl {
     pub address: SocketAddr,
     /// Whether a quorum is reached.
-    pub quorum: Arc<AtomicBool>,
+    pub has_quorum: Arc<AtomicBool>,
     /// Whether verdicts are lost on their way back.
     pub loses_verdicts: Arc<AtomicBool>,
     /// Batches of releases alone that are still lost on their way.
@@ -44,17 +44,17 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Script {
     /// Takes the whole request and closes the connection.
-    Vanish,
+    CloseWithoutReply,
     /// Promises a longer body than it sends.
-    CutBody,
+    TruncatedBody,
     /// Ends a stream properly, but without its end marker.
-    NoMarker,
+    NoEndMarker,
     /// Streams tokens of many bytes for as long as they are read.
-    Endless,
+    EndlessStream,
 }
 
 /// An endpoint on a bare socket.
-pub struct Scripted {
+pub struct ScriptedEndpoint {
     pub address: SocketAddr,
     /// Whole requests that came.
     pub requests: Arc<AtomicU32>,
@@ -74,7 +74,7 @@
     pub fn start() -> Self {
         let mut runtime = tokio::runtime::Builder::new_multi_thread();
         let runtime = runtime.worker_threads(1).enable_all().build().expect("a runtime");
-        let quorum = Arc::new(AtomicBool::new(true));
+        let has_quorum = Arc::new(AtomicBool::new(true));
         let loses_verdicts = Arc::new(AtomicBool::new(false));
         let late_outcomes = Arc::new(AtomicU32::new(0));
         let lost_releases = Arc::new(AtomicU32::new(0));
@@ -87,23 +87,23 @@
             }
             Ok(FeedReply::Changes { changes: vec![settings()] })
         });
-        let (reached, loses) = (quorum.clone(), loses_verdicts.clone());
-        let (late, lost) = (late_outcomes.clone(), lost_releases.clone());
+        let (quorum, loses) = (has_quorum.clone(), loses_verdicts.clone());
+        let (outcomes_left, releases_left) = (late_outcomes.clone(), lost_releases.clone());
         server.answer(move |batch: ClaimBatch| {
-            let releases = |ask: &ClaimAsk| matches!(ask, ClaimAsk::Release { .. });
+            let is_release = |ask: &ClaimAsk| matches!(ask, ClaimAsk::Release { .. });
             // As in the log, a batch is carried out whole or not at all.
-            let is_lost = batch.asks.iter().all(releases) && count_down(&lost);
+            let is_lost = batch.asks.iter().all(is_release) && count_down(&releases_left);
             let mut verdicts: Vec<ClaimVerdict> = batch
                 .asks
                 .iter()
-                .map(|ask| match reached.load(Ordering::Relaxed) && !is_lost {
+                .map(|ask| match quorum.load(Ordering::Relaxed) && !is_lost {
                     true => table.lock().apply(Millis::wall(), ask),
                     false => ClaimVerdict::Unavailable,
                 })
                 .collect();
             for verdict in &mut verdicts {
                 let ClaimVerdict::Taken { outcome, .. } = verdict else { continue };
-                if count_down(&late) {
+                if count_down(&outcomes_left) {
                     *outcome = None;
                 }
             }
@@ -120,7 +120,7 @@
         let address = server.address();
         Self {
             address,
-            quorum,
+            has_quorum,
             loses_verdicts,
             lost_releases,
             late_outcomes,
@@ -132,8 +132,8 @@
 
 /// Counts down to zero, and returns whether it was above.
 fn count_down(left: &AtomicU32) -> bool {
-    let less = |left: u32| left.checked_sub(1);
-    left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).is_ok()
+    let decrement = |left: u32| left.checked_sub(1);
+    left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement).is_ok()
 }
 
 fn settings() -> Change {
@@ -152,7 +152,7 @@
 }
 
 /// Starts entry instances of one failure domain that know each other.
-pub fn entries(control: &FakeControl, count: usize) -> Vec<Entry> {
+pub fn start_entries(control: &FakeControl, count: usize) -> Vec<Entry> {
     if std::env::var_os("SILL_TEST_LOG").is_some() {
         // Another test of the process may have started it.
         let _ = sill_setup::logs::start(LevelFilter::Info);
@@ -183,7 +183,7 @@
     started
 }
 
-impl Scripted {
+impl ScriptedEndpoint {
     pub fn start(script: Script) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("its address");
@@ -233,10 +233,12 @@
     }
     requests.fetch_add(1, Ordering::Relaxed);
     let answer = match script {
-        Script::Vanish => return,
-        Script::CutBody => "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf an ans".to_owned(),
-        Script::NoMarker => format!("{STREAM_HEAD}{}0\r\n\r\n", token(0, "a")),
-        Script::Endless => return stream_endless(&mut stream, tokens),
+        Script::CloseWithoutReply => return,
+        Script::TruncatedBody => {
+            "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf an ans".to_owned()
+        }
+        Script::NoEndMarker => format!("{STREAM_HEAD}{}0\r\n\r\n", token(0, "a")),
+        Script::EndlessStream => return send_endless_stream(&mut stream, tokens),
     };
     let _ = stream.write_all(answer.as_bytes());
 }
@@ -251,7 +253,7 @@
     format!("{:x}\r\n{event}\r\n", event.len())
 }
 
-fn stream_endless(stream: &mut TcpStream, tokens: &AtomicU32) {
+fn send_endless_stream(stream: &mut TcpStream, tokens: &AtomicU32) {
     let content = "a".repeat(16 << 10);
     let mut is_read = stream.write_all(STREAM_HEAD.as_bytes()).is_ok();
     while is_read {
@@ -282,7 +284,7 @@
 where
     F: FnMut() -> bool,
 {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "never came true: {what}");
         thread::sleep(Duration::from_millis(10));
@@ -298,15 +300,15 @@
 }
 
 /// Sends a caller's request until the entry knows the endpoint and sends it there.
-pub fn call_routed(to: SocketAddr, path: &str, headers: &[&str], body: &str) -> Answer {
+pub fn call_until_routed(to: SocketAddr, path: &str, headers: &[&str], body: &str) -> Answer {
     let mut answer = None;
     wait_until("the request is routed", || {
-        let this = call(to, path, headers, body);
-        let id = this.head.lines().find_map(|line| line.strip_prefix("sill-request-id: "));
+        let reply = call(to, path, headers, body);
+        let id = reply.head.lines().find_map(|line| line.strip_prefix("sill-request-id: "));
         let explain = format!("/explain/{}", id.expect("a request id"));
         let token = format!("authorization: Bearer {JOIN_TOKEN}");
         let record = http(to, "GET", &explain, &[&token], "").expect("an answer");
-        answer = Some(this);
+        answer = Some(reply);
         record.body.contains("sent to ")
     });
     answer.expect("an answer")
@@ -321,7 +323,7 @@
 
 fn http(to: SocketAddr, method: &str, path: &str, headers: &[&str], body: &str) -> Option<Answer> {
     let mut stream = TcpStream::connect(to).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     let headers: String = headers.iter().map(|h| format!("{h}\r\n")).collect();
     let request = format!(
         "{method} {path} HTTP/1.1\r\nhost: {to}\r\nconnection: close\r\n{headers}\
--- a/daemons/entry/tests/serving.rs
+++ b/daemons/entry/tests/serving.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use kit::{
-    Answer, CLUSTER_KEY, FakeControl, Script, Scripted, announce, call, call_routed, entries,
-    metric, wait_until,
+    Answer, CLUSTER_KEY, FakeControl, Script, ScriptedEndpoint, announce, call, call_until_routed,
+    metric, start_entries, wait_until,
 };
 use serde_json::{Value, json};
 use sill_base::{Millis, Name, Secret};
@@ -114,7 +114,7 @@
         },
         Case {
             name: "vanished",
-            script: Some(Script::Vanish),
+            script: Some(Script::CloseWithoutReply),
             path: SEND,
             headers: &[],
             status: 409,
@@ -123,7 +123,7 @@
         },
         Case {
             name: "vanished chat",
-            script: Some(Script::Vanish),
+            script: Some(Script::CloseWithoutReply),
             path: CHAT,
             headers: ONCE,
             status: 409,
@@ -132,7 +132,7 @@
         },
         Case {
             name: "odd path",
-            script: Some(Script::Vanish),
+            script: Some(Script::CloseWithoutReply),
             path: "/s/notices/list/../send",
             headers: &[],
             status: 409,
@@ -141,7 +141,7 @@
         },
         Case {
             name: "escaped path",
-            script: Some(Script::Vanish),
+            script: Some(Script::CloseWithoutReply),
             path: "/s/notices/%73end",
             headers: &[],
             status: 409,
@@ -150,7 +150,7 @@
         },
         Case {
             name: "cut body",
-            script: Some(Script::CutBody),
+            script: Some(Script::TruncatedBody),
             path: SEND,
             headers: &[],
             status: 409,
@@ -159,7 +159,7 @@
         },
         Case {
             name: "keyed",
-            script: Some(Script::CutBody),
+            script: Some(Script::TruncatedBody),
             path: SEND,
             headers: &["idempotency-key: k"],
             status: 409,
@@ -168,7 +168,7 @@
         },
         Case {
             name: "no marker",
-            script: Some(Script::NoMarker),
+            script: Some(Script::NoEndMarker),
             path: CHAT,
             headers: ONCE,
             status: 409,
@@ -178,9 +178,9 @@
     ];
     for case in cases {
         let control = FakeControl::start();
-        let entries = entries(&control, 1);
+        let entries = start_entries(&control, 1);
         let entry = entries[0].address;
-        let scripted = case.script.map(Scripted::start);
+        let scripted = case.script.map(ScriptedEndpoint::start);
         match &scripted {
             Some(scripted) => scripted.announce(entry, "scripted"),
             None => {
@@ -190,7 +190,7 @@
                 announce(entry, "closed", &address);
             }
         }
-        let answer = call_routed(entry, case.path, case.headers, &body(3, false));
+        let answer = call_until_routed(entry, case.path, case.headers, &body(3, false));
         assert_eq!(answer.status, case.status, "{}: {answer:?}", case.name);
         assert_eq!(is_not_run(&answer), case.not_run, "{}: {answer:?}", case.name);
         assert!(answer.head.contains("retry-after: "), "{}: {answer:?}", case.name);
@@ -206,11 +206,11 @@
 #[test]
 fn an_answer_without_its_end_marker_goes_on_elsewhere() {
     let control = FakeControl::start();
-    let entries = entries(&control, 1);
+    let entries = start_entries(&control, 1);
     let entry = entries[0].address;
-    let scripted = Scripted::start(Script::NoMarker);
+    let scripted = ScriptedEndpoint::start(Script::NoEndMarker);
     scripted.announce(entry, "a-scripted");
-    let asked = thread::spawn(move || call_routed(entry, CHAT, &[], &body(3, true)));
+    let asked = thread::spawn(move || call_until_routed(entry, CHAT, &[], &body(3, true)));
     wait_until("it was sent", || scripted.requests.load(Ordering::Relaxed) > 0);
     let endpoint = endpoint(vec![entry], vec![model()], 1);
     let answer = asked.join().expect("no panic");
@@ -225,7 +225,7 @@
 #[test]
 fn a_keyed_notice_runs_once_however_often_it_is_sent() {
     let control = FakeControl::start();
-    let entries = entries(&control, 2);
+    let entries = start_entries(&control, 2);
     let addresses: Vec<SocketAddr> = entries.iter().map(|e| e.address).collect();
     let endpoint = service(addresses[0], 50);
     wait_until("both serve it", || call(addresses[1], "/s/notices/warm", &[], "").status == 200);
@@ -259,7 +259,7 @@
 fn a_resend_in_another_domain_waits_for_the_outcome_to_be_noted() {
     let control = FakeControl::start();
     // Two instances that don't know each other.
-    let (first, second) = (entries(&control, 1), entries(&control, 1));
+    let (first, second) = (start_entries(&control, 1), start_entries(&control, 1));
     let (here, there) = (first[0].address, second[0].address);
     let endpoint = service(here, 1);
     let key = ["idempotency-key: notice-3"];
@@ -276,11 +276,11 @@
 #[test]
 fn without_a_quorum_only_what_needs_a_claim_is_refused() {
     let control = FakeControl::start();
-    let entries = entries(&control, 1);
+    let entries = start_entries(&control, 1);
     let entry = entries[0].address;
     let endpoint = service(entry, 1);
     let key = ["idempotency-key: notice-2"];
-    for fault in [&control.quorum, &control.loses_verdicts] {
+    for fault in [&control.has_quorum, &control.loses_verdicts] {
         fault.fetch_xor(true, Ordering::Relaxed);
         let refused = call(entry, SEND, &key, "to the widow");
         assert_eq!(refused.status, 503, "{refused:?}");
@@ -301,7 +301,7 @@
 fn a_refused_notice_is_sent_when_it_comes_again_before_its_claim_is_released() {
     for through_peer in [false, true] {
         let control = FakeControl::start();
-        let entries = entries(&control, 2);
+        let entries = start_entries(&control, 2);
         let (first, second) = (entries[0].address, entries[usize::from(through_peer)].address);
         let endpoint = service(first, 1);
         wait_until("both serve it", || call(second, "/s/notices/warm", &[], "").status == 200);
@@ -328,13 +328,13 @@
 #[test]
 fn a_notice_whose_entry_is_gone_is_not_sent_again() {
     let control = FakeControl::start();
-    let first = entries(&control, 1);
+    let first = start_entries(&control, 1);
     let entry = first[0].address;
     let endpoint = service(entry, 4_000);
     let key = ["idempotency-key: notice-3"];
     thread::spawn(move || call(entry, SEND, &key, "to the widow"));
     wait_until("it was sent", || sends(&endpoint) == 1);
-    let second = entries(&control, 1);
+    let second = start_entries(&control, 1);
     let answer = call(second[0].address, SEND, &key, "to the widow");
     assert_eq!(answer.status, 409, "{answer:?}");
     assert!(answer.body.contains("outcome_unknown") && !is_not_run(&answer), "{answer:?}");
@@ -345,7 +345,7 @@
 #[test]
 fn a_caller_that_goes_away_cancels_its_request() {
     let control = FakeControl::start();
-    let entries = entries(&control, 1);
+    let entries = start_entries(&control, 1);
     let entry = entries[0].address;
     let endpoint = endpoint(vec![entry], vec![model()], 10);
     wait_until("it is served", || call(entry, CHAT, &[], &body(1, false)).status == 200);
@@ -375,9 +375,9 @@
 #[test]
 fn a_slow_caller_that_goes_away_holds_up_nobody() {
     let control = FakeControl::start();
-    let entries = entries(&control, 1);
+    let entries = start_entries(&control, 1);
     let entry = entries[0].address;
-    let scripted = Scripted::start(Script::Endless);
+    let scripted = ScriptedEndpoint::start(Script::EndlessStream);
     scripted.announce(entry, "a-scripted");
     let body = body(1000, true);
     let request = format!(
@@ -410,7 +410,7 @@
 #[test]
 fn a_wave_of_reclaims_leaves_every_answer_whole() {
     let control = FakeControl::start();
-    let entries = entries(&control, 2);
+    let entries = start_entries(&control, 2);
     let addresses: Vec<SocketAddr> = entries.iter().map(|e| e.address).collect();
     let endpoints: Vec<Endpoint> = (0..4)
         .map(|i| named_endpoint(&format!("m{i}"), addresses.clone(), vec![model()], 5))
@@ -466,10 +466,10 @@
 }
 
 /// As many as go in one call.
-const HANDED: usize = 256;
+const HAND_OFF_RUNS: usize = 256;
 
 /// Tokens that each caller has.
-const HANDED_TOKENS: u32 = 3;
+const TOKENS_PER_RUN: u32 = 3;
 
 /// An entry instance that is reclaimed hands its requests over and, once the peer has answered, cuts
 /// its callers off. They come back through the peer at once. One that is there before the peer's
@@ -478,28 +478,28 @@
 #[test]
 fn a_handed_request_is_found_as_soon_as_it_is_taken() {
     let control = FakeControl::start();
-    let entry = &entries(&control, 1)[0];
+    let entry = &start_entries(&control, 1)[0];
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("a runtime");
-    let runs: Vec<HandOffRun> = (0..HANDED).map(handed).collect();
-    let last = runs[HANDED - 1].key.clone();
-    let (taken, found) = runtime.block_on(async {
+    let runs: Vec<HandOffRun> = (0..HAND_OFF_RUNS).map(hand_off_run).collect();
+    let last = runs[HAND_OFF_RUNS - 1].key.clone();
+    let (accepted, reply) = runtime.block_on(async {
         let peer = PeerClient::new(entry.peer_address, &Secret::new(CLUSTER_KEY), Millis(5_000));
-        let taken = peer.call(&HandOff { from: "e9".into(), runs }).await.expect("an answer");
+        let reply = peer.call(&HandOff { from: "e9".into(), runs }).await.expect("an answer");
         let follow = FollowRun { key: last, from: 0, wait: Millis(0) };
-        (taken.accepted, peer.call(&follow).await.expect("an answer"))
+        (reply.accepted, peer.call(&follow).await.expect("an answer"))
     });
-    assert_eq!(taken.len(), HANDED);
-    let FollowReply::More(part) = found else {
-        panic!("it is not known: {found:?}");
+    assert_eq!(accepted.len(), HAND_OFF_RUNS);
+    let FollowReply::More(part) = reply else {
+        panic!("it is not known: {reply:?}");
     };
-    assert_eq!(part.escaped.len() as u32, HANDED_TOKENS);
+    assert_eq!(part.escaped.len() as u32, TOKENS_PER_RUN);
 }
 
-fn handed(number: usize) -> HandOffRun {
+fn hand_off_run(number: usize) -> HandOffRun {
     let (account, request): (Name, Name) = ("clerks".into(), format!("e9-1-{number}").into());
     let mut transcript = Transcript::default();
-    (0..HANDED_TOKENS).for_each(|index| transcript.push(index, "word "));
+    (0..TOKENS_PER_RUN).for_each(|index| transcript.push(index, "word "));
     HandOffRun {
         spec: RequestSpec {
             request: request.clone(),
