--- a/daemons/entry/src/api.rs
+++ b/daemons/entry/src/api.rs
@@ -1,4 +1,4 @@
-//! The callers' API.
+//! The HTTP routes of callers, endpoints and operators.
 
 use std::sync::Arc;
 
@@ -13,12 +13,12 @@
 use crate::daemon::Shared;
 use crate::{announce, explain, handoff, request, serve};
 
-/// The shared state, as handlers get it.
+/// Extractor of the shared state in handlers.
 pub type AppState = web::types::State<Arc<Shared>>;
 
 type ClientState = web::types::State<Client>;
 
-/// Adds the routes.
+/// Registers all routes.
 pub fn routes(cfg: &mut ServiceConfig) {
     cfg.service((
         web::resource("/livez").route(web::get().to(livez)),
@@ -92,7 +92,7 @@
     }
 }
 
-/// The path of a plain service's call.
+/// Path parameters of a call of a plain service; `path` is percent-decoded.
 #[derive(Debug, serde::Deserialize)]
 struct PlainPath {
     service: Name,
--- a/daemons/entry/src/body.rs
+++ b/daemons/entry/src/body.rs
@@ -14,11 +14,11 @@
 
 use crate::daemon::Shared;
 
-/// The whole body of a request.
+/// The complete body of a request.
 #[derive(Debug, Clone)]
 pub struct Body(pub Bytes);
 
-/// Why a body was not taken.
+/// Why a body was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
     /// It is larger than the limit.
@@ -36,7 +36,7 @@
     async fn from_request(req: &HttpRequest, payload: &mut Payload) -> Result<Self, BodyError> {
         let limit = req.app_state::<Arc<Shared>>().map_or(0, |app| app.cfg.max_body);
         let content_length = req.headers().get(CONTENT_LENGTH).and_then(|v| v.to_str().ok());
-        // Who announces too much is told before any of it is held.
+        // A too large `Content-Length` is refused before any of the body is read.
         if content_length.and_then(|n| n.parse::<u64>().ok()).is_some_and(|n| n > limit as u64) {
             return Err(BodyError::TooLarge { limit });
         }
@@ -76,7 +76,7 @@
             Self::Unreadable => ErrorCode::BadRequest,
         };
         let id = req.app_state::<Arc<Shared>>().map_or(Name::default(), |app| app.request_id());
-        // The handler has not begun, so no byte can have left for an endpoint.
+        // The handler has not run, so no byte can have been sent to an endpoint.
         Failure { not_run: true, ..Failure::new(code, self.to_string()) }.response(&id)
     }
 }
--- a/daemons/entry/src/claims.rs
+++ b/daemons/entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Asks the claims' log, in batches on a short tick.
+//! Client of the claim log, which sends commands in batches.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -14,40 +14,42 @@
 use crate::daemon::Shared;
 use crate::peers;
 
-/// How long asks are gathered.
+/// How long commands are collected for a batch.
 const BATCH_INTERVAL: Millis = Millis(2);
 
-/// Asks in one batch at most.
+/// Maximum number of commands in a batch, apart from the releases sent ahead of the last one.
 const MAX_BATCH: usize = 512;
 
-/// How long one control instance has to answer.
+/// Timeout of a call to one control instance.
 const CALL_TIMEOUT: Millis = Millis(700);
 
-/// Pause before the log is told again what it has to know.
+/// Delay before a command that must reach the log is sent again.
 const RETRY_DELAY: Millis = Millis(500);
 
-/// How often the log is told before it is given up; the claim expires by itself then.
+/// How often such a command is retried. After that the claim is left to expire.
 const MAX_SETTLE_ATTEMPTS: u32 = 120;
 
-/// Pause before the log is asked again for the outcome of a key that another one holds.
+/// Poll interval while the outcome of a key held by another request, or a release, is pending.
 const OUTCOME_POLL_INTERVAL: Millis = Millis(100);
 
-/// How often it is asked again.
+/// Maximum number of polls for an outcome.
 const MAX_OUTCOME_POLLS: u32 = 10;
 
-/// The claims' log, as requests see it.
+/// Interface of the claim log for requests.
 pub trait Claims: Debug + Send + Sync {
-    /// Asks; a verdict that never comes reads as a closed channel.
+    /// Submits a command. The channel is closed without a verdict if none can be obtained.
     fn submit(&self, ask: ClaimAsk) -> oneshot::Receiver<ClaimVerdict>;
 
-    /// Tells, and tells again until it was heard.
+    /// Submits a command that nobody waits for, and retries until the log has decided it or the
+    /// implementation gives up.
     fn settle(&self, ask: ClaimAsk);
 
-    /// Returns whether a claim on the key was given up here, and the log may not know yet.
+    /// Returns whether this instance released a claim on the key and the log may not have applied
+    /// that yet.
     fn is_releasing(&self, key: &ClaimKey) -> bool;
 }
 
-/// The claims' log of the control instances.
+/// The claim log of the control instances.
 #[derive(Debug)]
 pub struct ControlClaims {
     asks: mpsc::UnboundedSender<PendingAsk>,
@@ -60,22 +62,22 @@
     recipient: Recipient,
 }
 
-/// Who has to learn the verdict on an ask.
+/// Who receives the verdict on a command.
 #[derive(Debug)]
 enum Recipient {
-    /// A request that waits for it.
+    /// A request that waits for the verdict.
     Request(oneshot::Sender<ClaimVerdict>),
-    /// Nobody, but the log has to be told until it has heard.
+    /// Nobody, but the command is retried until the log has decided it.
     Settle { attempts: u32 },
-    /// Nobody; what it repeats is told by another ask.
+    /// Nobody; the command duplicates one that is retried on its own.
     None,
 }
 
-/// Releases that the log may not have heard yet.
+/// Releases that the log may not have applied yet.
 ///
-/// A refused caller may be back before that. Its claim would find the key held by the refused
-/// request, and the caller would be told that the outcome of a request is unknown that was never
-/// sent. So a claim goes to the log behind the releases of its key, in the same batch.
+/// A refused caller may resend before they are applied. Its claim would find the key held by the
+/// refused request, and the caller would be told that the outcome is unknown of a request that was
+/// never sent. So a claim is sent after the releases of its key, in the same batch.
 #[derive(Debug, Clone, Default)]
 struct PendingReleases(Arc<Mutex<Map<ClaimKey, Vec<ClaimOwner>>>>);
 
@@ -104,7 +106,7 @@
         self.0.lock().contains_key(key)
     }
 
-    /// Returns the releases that have to reach the log before an ask.
+    /// Returns the releases that the log has to apply before a command.
     fn releases_before(&self, ask: &ClaimAsk) -> Vec<PendingAsk> {
         let ClaimAsk::Take { key, .. } = ask else {
             return Vec::new();
@@ -117,7 +119,7 @@
 }
 
 impl ControlClaims {
-    /// Starts the task that sends batches; must be called inside a tokio runtime.
+    /// Starts the task that sends batches. Must be called inside a tokio runtime.
     pub fn start(cfg: &EntryCfg) -> Self {
         let clients: Vec<PeerClient> = cfg
             .control
@@ -150,11 +152,11 @@
     }
 }
 
-/// Asks, and asks again for up to a second while the key is held without an outcome by an entry
-/// instance that can't be asked itself.
+/// Submits a claim, and polls for up to a second while the key is held without an outcome by an
+/// entry instance that can't be queried directly.
 ///
-/// An owner answers its caller before the log has the outcome. A caller that sends the request again
-/// at once, through another failure domain, would be told that its outcome is unknown.
+/// An owner answers its caller before the log has the outcome. A caller that resends the request at
+/// once through another failure domain would otherwise be told that its outcome is unknown.
 pub fn submit(app: &Arc<Shared>, ask: ClaimAsk) -> oneshot::Receiver<ClaimVerdict> {
     let (tx, rx) = oneshot::channel();
     let shared = app.clone();
@@ -175,9 +177,10 @@
     rx
 }
 
-/// Waits until the log has heard that a claim on a key was given up here.
+/// Waits up to `wait` until the log has applied this instance's releases of a key.
 ///
-/// A peer whose caller came with the same key takes the refused request for a running one until then.
+/// Until then, a peer that received a request with the same key treats the refused request as
+/// running.
 pub async fn wait_for_release(app: &Arc<Shared>, key: &ClaimKey, wait: Millis) {
     let end = app.clock.now() + wait;
     while app.claims.is_releasing(key) && app.clock.now() < end {
@@ -185,7 +188,7 @@
     }
 }
 
-/// What is needed to ask the claims' log.
+/// State of the task that sends batches to the claim log.
 #[derive(Debug, Clone)]
 struct LogClient {
     clients: Arc<[PeerClient]>,
@@ -212,7 +215,7 @@
 }
 
 impl LogClient {
-    /// Asks one control instance after the other until every ask has its verdict.
+    /// Sends a batch to one control instance after another until every command has its verdict.
     async fn send_batch(self, turn: usize, mut batch: Vec<PendingAsk>) {
         for offset in 0..self.clients.len() {
             if batch.is_empty() {
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Hands verdicts out, and returns the asks that this instance could not decide.
+    /// Delivers verdicts, and returns the commands that this control instance could not decide.
     fn deliver(&self, batch: Vec<PendingAsk>, verdicts: Vec<ClaimVerdict>) -> Vec<PendingAsk> {
         let mut undecided = Vec::new();
         for (ask, verdict) in batch.into_iter().zip(verdicts) {
@@ -277,7 +280,7 @@
     }
 }
 
-/// Claims held in memory, for tests and for trials with a single entry instance.
+/// A claim log in memory, for tests and trials with a single entry instance.
 #[derive(Debug, Default)]
 pub struct MemoryClaims(Mutex<ClaimTable>);
 
--- a/daemons/entry/src/close_on_stop.rs
+++ b/daemons/entry/src/close_on_stop.rs
@@ -1,4 +1,4 @@
-//! Sends callers of an instance that stops elsewhere.
+//! Closes callers' connections during a stop, so that they reconnect to another instance.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,14 +10,14 @@
 
 use crate::daemon::Shared;
 
-/// Ends connections with the answer that is given during a stop.
+/// Middleware that closes connections with each answer during a stop.
 ///
-/// On a connection that is kept, the caller would send its next request to this instance too, be refused
-/// there, or have it cross the end of the process and not know whether it has run.
+/// On a kept-alive connection the caller would send its next request to this instance too. It would
+/// be refused, or arrive as the process ends, and the caller would not know whether it has run.
 #[derive(Debug, Clone)]
 pub struct CloseOnStop(pub Arc<Shared>);
 
-/// The service around another one.
+/// The service that [`CloseOnStop`] wraps around another one.
 #[derive(Debug)]
 pub struct CloseOnStopService<S> {
     inner: S,
--- a/daemons/entry/src/errors.rs
+++ b/daemons/entry/src/errors.rs
@@ -1,7 +1,7 @@
-//! Gives errors of the HTTP library the one shape of all error answers.
+//! Converts errors of the HTTP library to the JSON format of all other error answers.
 //!
 //! Callers read `error.code`. An unknown path, a wrong method or a body over the limit is refused
-//! by the library in its own words, before any handler of ours runs.
+//! by the library with a body of its own, before any handler of this crate runs.
 
 use ntex::SharedCfg;
 use ntex::http::body::Body;
@@ -11,14 +11,15 @@
 use sill_base::Name;
 use sill_wire::{ErrorBody, ErrorCode, ErrorDetail, header};
 
-/// Paths that balancers read; they look at the status alone.
+/// Paths that load balancers probe. Their answers stay as they are, since only the status is read.
 const PROBES: [&str; 2] = ["/livez", "/readyz"];
 
-/// Reshapes errors that carry no request name, because every answer of our handlers has one.
+/// Middleware that converts errors without a request id. Every answer of this crate's handlers has
+/// one, so the others come from the library.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ErrorFormat;
 
-/// The service around another one.
+/// The service that [`ErrorFormat`] wraps around another one.
 #[derive(Debug)]
 pub struct ErrorFormatService<S> {
     inner: S,
@@ -80,7 +81,7 @@
         code,
         message: message.to_owned(),
         request_id: Name::default(),
-        // The library refuses with 4xx before any handler runs and could send something.
+        // The library refuses with 4xx before any handler runs, so nothing was sent to an endpoint.
         not_run: status < 500,
         findings: Vec::new(),
     };
--- a/daemons/entry/src/explain.rs
+++ b/daemons/entry/src/explain.rs
@@ -1,4 +1,4 @@
-//! `GET /explain/ID`: what became of a request, and why.
+//! `GET /explain/ID`: returns the journal of a request, which shows how it ended and why.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::daemon::Shared;
 use crate::request;
 
-/// Answers the request's own client account, and who has the join token.
+/// Returns the journal to the request's client account and to holders of the join token.
 pub async fn explain(
     app: web::types::State<Arc<Shared>>,
     req: HttpRequest,
--- a/daemons/entry/src/handoff.rs
+++ b/daemons/entry/src/handoff.rs
@@ -1,5 +1,5 @@
-//! The end of this instance, by a reclaim or at the limit of a planned stop: every model request in flight
-//! goes to a peer of the domain.
+//! Hand-off: when this instance is reclaimed or reaches the limit of a planned stop, every model
+//! request in flight is handed over to a peer of the failure domain.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,22 +20,22 @@
 use crate::serve::IncomingRun;
 use crate::serve::signals::Offer;
 
-/// Time that a hand-off is given at least; with less left it begins at once.
+/// Minimum time reserved for a hand-off; with less time left it begins at once.
 const MIN_HAND_OFF_TIME: Millis = Millis(1_500);
 
-/// How long offers are gathered into one call.
+/// How long offers are collected for one call.
 const BATCH_INTERVAL: Millis = Millis(5);
 
-/// Requests in one call at most.
+/// Maximum number of requests in one call.
 const MAX_RUNS: usize = 256;
 
-/// How long a peer has to take requests over before another one is asked.
+/// Timeout of a hand-off call to a peer, after which the next peer is asked.
 const PEER_TIMEOUT: Millis = Millis(500);
 
-/// Threads that requests can be handed to.
+/// Channels to the worker threads that resume requests handed over by peers.
 pub type WorkerSenders = parking_lot::Mutex<Vec<mpsc::UnboundedSender<IncomingRun>>>;
 
-/// `POST /reclaim`.
+/// Handles `POST /reclaim`, authorized by the join token.
 pub async fn reclaim(
     app: web::types::State<Arc<Shared>>,
     req: HttpRequest,
@@ -50,7 +50,7 @@
     http::json(200, &json!({ "accepted": true }))
 }
 
-/// Begins to leave.
+/// Marks this instance as leaving and schedules the hand-off of its requests.
 pub fn begin_reclaim(app: &Arc<Shared>, time_left: Millis) {
     event!(Info, "reclaim_notice", name = app.cfg.name, in_ms = time_left);
     app.stopping.store(true, Ordering::Relaxed);
@@ -59,28 +59,30 @@
     }
     let leaving = app.clone();
     app.runtime.spawn(async move {
-        // Answers that come to their end meanwhile need not be moved.
+        // Requests that finish during this delay need no hand-off.
         tokio::time::sleep(hand_off_delay(time_left).into()).await;
         hand_off(&leaving).await;
     });
 }
 
-/// Hands over what a planned stop would cut at its limit, shortly before that.
+/// Schedules the hand-off of requests that a planned stop would cut off, shortly before its limit.
 ///
-/// A caller whose answer is cut has half of it, and whoever comes back has the prompt computed again; one
-/// that was handed over finds its answer at a peer.
+/// A cut leaves the caller with half of the answer, and a retry computes the prompt again. After a
+/// hand-off the caller finds its answer at a peer.
 pub fn schedule_before_limit(app: &Arc<Shared>, limit: Millis) {
     let leaving = app.clone();
     app.runtime.spawn(async move {
         tokio::time::sleep(limit.since(MIN_HAND_OFF_TIME).into()).await;
-        // What comes from now on would have to be handed over at once.
+        // Marking the instance as reclaimed refuses new requests, which would have to be handed
+        // over at once.
         if !leaving.reclaimed.swap(true, Ordering::Relaxed) {
             hand_off(&leaving).await;
         }
     });
 }
 
-/// Returns how long to let requests run on here.
+/// Returns how long requests keep running here before the hand-off: the time left minus a third of
+/// it, but minus at least `MIN_HAND_OFF_TIME`.
 fn hand_off_delay(time_left: Millis) -> Millis {
     time_left.since(MIN_HAND_OFF_TIME.max(Millis(time_left.0 / 3)))
 }
@@ -101,7 +103,7 @@
     }
 }
 
-/// Offers requests to one peer after the other.
+/// Offers a batch to one peer after another, starting with those that failed least often.
 async fn offer_to_peers(
     app: &Arc<Shared>,
     mut batch: Vec<Offer>,
@@ -124,8 +126,9 @@
             Ok(Err(_)) | Err(_) => {
                 event!(Warn, "hand_off_failed", to = peer, requests = batch.len());
                 *failures.entry(peer).or_default() += 1;
-                // Whether the peer has them is unknown. A second peer may run the others again, but
-                // these could then be moved twice.
+                // Whether the peer accepted the batch is unknown. Idempotent requests are offered
+                // to the next peer, which may run them again; non-idempotent ones are not, since
+                // they could be handed over twice.
                 batch.retain(|offer| offer.run.spec.is_idempotent);
             }
         }
@@ -144,11 +147,11 @@
     remaining
 }
 
-/// Takes requests over from a peer.
+/// Accepts requests that a peer hands over, and distributes them over the worker threads.
 ///
 /// # Errors
 ///
-/// Refuses when this instance is leaving itself.
+/// Refuses if this instance is stopping as well.
 pub async fn accept(app: Arc<Shared>, call: HandOff) -> Result<HandOffReply, PeerError> {
     if app.stopping.load(Ordering::Relaxed) {
         return Err(PeerError::Refused("leaving as well".to_owned()));
--- a/daemons/entry/src/request.rs
+++ b/daemons/entry/src/request.rs
@@ -1,4 +1,4 @@
-//! Checks callers' requests and reads what the system has to know of them.
+//! Checks callers' requests and parses the headers and body fields that the system uses.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -21,60 +21,60 @@
 /// The longest idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// A checked request for a model's answer.
+/// A checked request to a model.
 #[derive(Debug, Clone)]
 pub struct ChatRequest {
-    /// What holds for every request.
+    /// Fields that every request has.
     pub meta: RequestMeta,
-    /// What the system needs to know of the body.
+    /// The fields of the body that the system uses.
     pub summary: ChatSummary,
     /// The path that was called.
     pub path: String,
     /// The body as the caller sent it.
     pub body: Value,
-    /// The first token that a caller who came back has not got.
+    /// Index of the first token that a re-attaching caller has not received; 0 for a new request.
     pub start_index: u32,
 }
 
 /// A checked call of a plain service.
 #[derive(Debug, Clone)]
 pub struct PlainRequest {
-    /// What holds for every request.
+    /// Fields that every request has.
     pub meta: RequestMeta,
-    /// The method.
+    /// The HTTP method.
     pub method: ntex::http::Method,
-    /// The service.
+    /// Name of the plain service.
     pub service: Name,
     /// Path and query below the service, starting with `/`.
     pub path: String,
-    /// The caller's headers that are passed on.
+    /// The caller's headers that are forwarded.
     pub headers: Vec<PassedHeader>,
-    /// The body.
+    /// The body, forwarded unchanged.
     pub body: ntex::util::Bytes,
 }
 
-/// What holds for every request.
+/// Fields that every request has.
 #[derive(Debug, Clone)]
 pub struct RequestMeta {
-    /// The client account.
+    /// The client account that the `Authorization` header names.
     pub account: Arc<EffectiveAccount>,
-    /// The caller's key, which names the request over resends.
+    /// The caller's idempotency key, the same in every resend of the request.
     pub key: Option<Name>,
     /// Whether the request may be run more than once.
     pub is_idempotent: bool,
-    /// Its priority, no higher than its account may ask for.
+    /// The priority, limited to the maximum of the client account.
     pub priority: Priority,
-    /// Time in which the whole answer is wanted.
+    /// Time within which the complete answer has to be sent.
     pub deadline: Option<Millis>,
     /// Hash of method, path and body.
     pub content_hash: BodyHash,
 }
 
-/// Checks a request for a model's answer.
+/// Checks a request to a model.
 ///
 /// # Errors
 ///
-/// Returns the refusal; nothing was sent anywhere then.
+/// Returns the refusal; nothing was sent to an endpoint.
 pub fn chat(app: &Shared, req: &HttpRequest, body: &[u8]) -> Result<ChatRequest, Failure> {
     check_running(app)?;
     let settings = app.settings.current();
@@ -103,7 +103,7 @@
 ///
 /// # Errors
 ///
-/// Returns the refusal; nothing was sent anywhere then.
+/// Returns the refusal; nothing was sent to an endpoint.
 pub fn plain(
     app: &Shared,
     req: &HttpRequest,
@@ -115,7 +115,7 @@
     let settings = app.settings.current();
     let account = find_account(&settings, req.headers())?;
     let mut path = path_below_service(req.uri().path());
-    // Two calls that differ in their query only are two calls.
+    // The query is part of the content: calls that differ only in it are different calls.
     let target = req.uri().path_and_query().map_or(req.path(), |target| target.as_str());
     let content_hash = content_hash(req.method().as_str(), target, &body);
     let mut findings = Findings::new();
@@ -139,16 +139,16 @@
     Ok(PlainRequest { meta, method, service: name.clone(), path, headers, body })
 }
 
-/// Returns the path below `/s/SERVICE` as the caller wrote it.
+/// Returns the path below `/s/SERVICE` without decoding it.
 fn path_below_service(path: &str) -> String {
     let rest = path.trim_start_matches('/').splitn(3, '/').nth(2).unwrap_or_default();
     format!("/{}", rest.trim_start_matches('/'))
 }
 
-/// Returns whether a call may not be repeated.
+/// Returns whether a call is non-idempotent by the service's rules.
 ///
-/// A service may take `/x/../send`, `//send` or `/%73end` for `/send`. Were such a call not marked,
-/// a lost answer would send the notice again; so what is written in an odd way counts as marked.
+/// A service may treat `/x/../send`, `//send` or `/%73end` as `/send`. If such a call did not match
+/// the rule, a lost answer would repeat it; so an ambiguous path matches every rule for its method.
 fn is_non_idempotent(rules: &[CallRule], method: &str, path: &str, decoded: &str) -> bool {
     let decoded = format!("/{}", decoded.trim_start_matches('/'));
     let is_ambiguous = ["//", "/./", "/../"].iter().any(|part| decoded.contains(part))
@@ -162,7 +162,7 @@
     rules.iter().any(matches)
 }
 
-/// Finds the client account by the key in the `Authorization` header.
+/// Looks up the client account by the key in the `Authorization` header.
 ///
 /// # Errors
 ///
@@ -180,7 +180,8 @@
 }
 
 fn check_running(app: &Shared) -> Result<(), Failure> {
-    // During the notice of a planned stop the balancer still sends requests, and they are served.
+    // `stopping` is not checked: during the notice of a planned stop the load balancer still sends
+    // requests, and they are served.
     if app.closing.load(Ordering::Relaxed) || app.reclaimed.load(Ordering::Relaxed) {
         return Err(Failure {
             retry_after: Some(1),
--- a/daemons/entry/src/routing.rs
+++ b/daemons/entry/src/routing.rs
@@ -1,4 +1,5 @@
-//! Routers of the entry instance, a shard for each model or service under its own lock.
+//! Routers of the entry instance. Models and services are distributed over shards by name, each
+//! with its own lock.
 
 use std::hash::{Hash, Hasher};
 use std::io;
@@ -18,7 +19,7 @@
 
 const SHARDS: usize = 8;
 
-/// Routers by target.
+/// The router shards, selected by target.
 #[derive(Debug)]
 pub struct Routing {
     shards: Vec<Mutex<RecordedRouter>>,
@@ -26,11 +27,11 @@
 }
 
 impl Routing {
-    /// Makes routers that know no endpoint.
+    /// Creates routers without endpoints.
     ///
     /// # Errors
     ///
-    /// Fails when a record is asked for and can't be written.
+    /// Fails if recording is configured and a trace file can't be created.
     pub fn new(cfg: &EntryCfg) -> io::Result<Self> {
         let router = |shard| {
             let file = cfg.record.as_deref().map(|file| shard_file(file, shard));
@@ -43,13 +44,14 @@
         })
     }
 
-    /// Lets requests be sent until then. Membership moves it on; a process that was frozen finds it
-    /// in the past, and sends nothing before it has heard which endpoints are leaving.
+    /// Sets the time until which requests may be routed. Membership extends it regularly. A process
+    /// that was frozen finds it in the past, and routes nothing until it has received which
+    /// endpoints are leaving.
     pub fn set_valid_until(&self, until: Millis) {
         self.valid_until.store(until.0, Ordering::Relaxed);
     }
 
-    /// Chooses an endpoint and counts the request as sent there, under one lock, so that two
+    /// Chooses an endpoint and counts the request as sent there, under one lock so that two
     /// requests can't both take the last slot.
     pub fn choose(&self, now: Millis, request: &RouteRequest) -> Choice {
         if now.0 > self.valid_until.load(Ordering::Relaxed) {
@@ -74,12 +76,13 @@
         choice
     }
 
-    /// Passes on what concerns one target.
+    /// Applies an event to the shard of one target.
     pub fn apply_for_target(&self, now: Millis, target: &Target, event: Event) {
         self.shard(target).lock().step(now, event);
     }
 
-    /// Passes on what concerns an endpoint with all that it serves.
+    /// Applies an endpoint's event: an announcement to the shards of the targets that it serves,
+    /// any other event to all shards.
     pub fn apply(&self, now: Millis, event: Event) {
         let Event::Announced { announcement, .. } = &event else {
             for shard in &self.shards {
@@ -121,14 +124,16 @@
     );
 }
 
-/// Each shard is a core of its own and has its own trace: `FILE.0`, `FILE.1` and so on.
+/// Returns the trace file of a shard: `FILE.0`, `FILE.1` and so on, since each shard is a state
+/// machine of its own.
 fn shard_file(file: &Path, shard: usize) -> PathBuf {
     let mut name = file.as_os_str().to_owned();
     name.push(format!(".{shard}"));
     name.into()
 }
 
-/// Differs between entry instances, so that their jittered answers don't fall together.
+/// Seed of a shard's jitter. Differs between entry instances, so that the retries that they ask for
+/// do not coincide.
 fn seed(cfg: &EntryCfg, shard: usize) -> u64 {
     let mut hasher = FxHasher::default();
     cfg.name.hash(&mut hasher);
--- a/daemons/entry/src/serve.rs
+++ b/daemons/entry/src/serve.rs
@@ -1,4 +1,4 @@
-//! Sees callers' requests through.
+//! Serves callers' requests: admits them, then runs them or follows a run that exists already.
 
 pub mod attach;
 pub mod caller;
@@ -36,17 +36,17 @@
 use crate::daemon::Shared;
 use crate::request::{ChatRequest, PlainRequest, RequestMeta};
 
-/// The deadline of requests that name none, and the longest there is. A claim has to be kept for
-/// longer than any request can run.
+/// The deadline of requests without one, and the upper limit for all others. A claim must be
+/// retained for longer than any request can run, so deadlines are bounded.
 const MAX_DEADLINE: Millis = Millis(600_000);
 
-/// How long a claim is kept: the longest deadline, and as long again for resends.
+/// How long a claim is retained: the maximum deadline, and as long again for resends.
 const CLAIM_RETENTION: Millis = Millis(1_200_000);
 
-/// When to come back after a refusal for want of room.
+/// `Retry-After` of a refusal because of `max_in_flight`.
 const RETRY_AFTER: Millis = Millis(1_000);
 
-/// Sees a model request through.
+/// Serves a request to a model.
 pub async fn chat(
     app: &Arc<Shared>,
     client: &Client,
@@ -75,7 +75,7 @@
     serve(app, client, job, start_index).await
 }
 
-/// Sees a call of a plain service through.
+/// Serves a call of a plain service.
 pub async fn plain(
     app: &Arc<Shared>,
     client: &Client,
@@ -127,7 +127,8 @@
     }
 }
 
-/// An unkeyed request goes by its own name, so that its caller can come back after a hand-off.
+/// Uses the request's name as key if the caller sent none, so that the caller can re-attach after a
+/// hand-off.
 fn new_run(meta: &RequestMeta, spec: RequestSpec, path: String, target: Name) -> Arc<Run> {
     let key = meta.key.clone().unwrap_or_else(|| spec.request.clone());
     let key = ClaimKey { account: meta.account.name.clone(), key };
@@ -165,8 +166,9 @@
     caller::respond(&id, source).await
 }
 
-/// Counts a request as in flight, from its arrival until its caller has the last word; one that only
-/// follows an answer from elsewhere counts too, else a planned stop would cut it off.
+/// Counts a request as in flight from its arrival until its caller has received the end of the
+/// answer. Requests that only follow a run elsewhere count too, otherwise a planned stop would cut
+/// them off.
 #[derive(Debug)]
 struct InFlightGuard(Arc<Shared>);
 
@@ -188,8 +190,7 @@
     Drive { is_home_lost: bool },
 }
 
-/// How often a request may change between following and running before its caller is told to come
-/// back.
+/// How often a request may switch between following and driving before its caller is told to retry.
 const MAX_TASK_SWITCHES: u32 = 4;
 
 fn open_record(app: &Shared, run: &Run) {
@@ -197,7 +198,8 @@
     app.journal.lock().open(now, run.request(), &run.key.account, &run.target);
 }
 
-/// Checks room and the account's limit; coming back for an answer costs nothing.
+/// Checks `max_in_flight` and the client account's rate limit. Requests that follow an existing run
+/// are free.
 fn admit(
     app: &Shared,
     run: &Run,
@@ -227,7 +229,8 @@
     spawn_forget(app, run);
 }
 
-/// Lets the key's home know that nothing runs, off the caller's path.
+/// Tells the key's home in the background that the request does not run here. The caller does not
+/// wait for it.
 pub(crate) fn spawn_forget(app: &Arc<Shared>, run: &Arc<Run>) {
     if run.spec.is_keyed {
         let (app, run) = (app.clone(), run.clone());
@@ -235,7 +238,7 @@
     }
 }
 
-/// Refuses a request of which nothing has left.
+/// Refuses a request of which no byte was sent to an endpoint.
 pub fn refuse(app: &Shared, refusal: NotRunRefusal) -> HttpResponse {
     app.metrics.refused.inc();
     let id = refusal.request().clone();
@@ -244,10 +247,10 @@
     caller::full_response(&id, ResponseEnd::NotRun(refusal))
 }
 
-/// Refuses a request that could not even be read.
+/// Refuses a request that failed its checks before it was admitted.
 pub fn refuse_with_failure(app: &Shared, id: &Name, failure: Failure) -> HttpResponse {
     app.metrics.refused.inc();
-    // Reading a request sends nothing, so the certificate is due here as well.
+    // Nothing was sent to an endpoint yet, so this refusal is certified as not run as well.
     let Failure { code, message, findings, retry_after, .. } = failure;
     let retry = retry_after.map(|secs| Millis::from_secs(u64::from(secs)));
     let refusal = Lifecycle::new(id.clone()).refuse(code, message, retry);
@@ -278,12 +281,12 @@
             }
         }
     }
-    // A request that nobody runs must not stay where the next caller of its key would wait for it.
+    // Without this, the next caller of the same key would follow a request that nobody runs.
     abandon(&app, &job.run);
     follower.send_lost_failure().await;
 }
 
-/// Runs the request here; returns where its answer is followed, if another request has the key.
+/// Drives the request here. Returns the source of the answer if another request holds the key.
 async fn drive(
     app: &Arc<Shared>,
     client: &Client,
@@ -294,7 +297,8 @@
     let run = &job.run;
     let next_index = transcript.next_index();
     let cfg = RequestCfg::default();
-    // A request that may be run once only is not gone on with: the claims' log knows its owner.
+    // A non-idempotent request is not resumed: it is admitted again, and the claim log decides by
+    // the owner of its claim.
     let (flight, first) = if next_index > 0 && run.spec.is_idempotent {
         let flight =
             InFlightRequest::from_hand_off(cfg, run.spec.clone(), next_index, jitter_seed(run));
@@ -307,8 +311,8 @@
     Driver::new(app.clone(), client.clone(), job, flight).run(first).await
 }
 
-/// Takes over an answer whose instance was lost while it was followed, unless another caller of the
-/// same key was faster.
+/// Takes over a run whose instance was lost while it was followed, unless another caller of the
+/// same key has already done so here.
 async fn take_over_run(app: &Arc<Shared>, job: &mut Job, transcript: Transcript) -> Task {
     let lost_run = &job.run;
     let run = Arc::new(Run::new(
@@ -327,23 +331,24 @@
     Task::Drive { is_home_lost: true }
 }
 
-/// A request that another entry instance handed over, on its way to a thread that goes on with it.
+/// A request handed over by another entry instance, queued for the worker thread that resumes it.
 #[derive(Debug)]
 pub struct IncomingRun {
     in_flight: InFlightGuard,
     run: Arc<Run>,
     body: String,
     from: Option<Placement>,
-    /// Whether its caller was back before it came, and has begun it anew.
+    /// Whether the caller re-attached before the hand-off arrived and so started the request again.
     is_restarted: bool,
 }
 
 impl IncomingRun {
-    /// Lets a caller who comes back find the request from now on.
+    /// Registers the request, so that its caller can re-attach to it.
     ///
-    /// The instance that leaves cuts its callers off once it has our answer. One that is back before
-    /// the request can be found would begin it anew: the tokens so far would be thrown away, and the
-    /// prompt computed a second time. So this is done before the answer, not by the busy thread.
+    /// The leaving instance disconnects its callers as soon as it has our reply. A caller that
+    /// re-attaches before the request is registered would start it again: the tokens so far would
+    /// be discarded and the prompt computed a second time. So this happens before the reply and not
+    /// on the worker thread, which may be busy.
     pub fn register(app: &Arc<Shared>, hand_off: HandOffRun) -> Self {
         let in_flight = InFlightGuard::begin(app);
         let mut hand_off = hand_off.with_absolute_deadline(app.clock.now());
@@ -361,7 +366,7 @@
         Self { in_flight, run, body: hand_off.body, from: hand_off.placement, is_restarted }
     }
 
-    /// Forgets the request again, since no thread is there to go on with it.
+    /// Removes the request again when no worker thread can resume it.
     pub fn unregister(self) {
         let app = &self.in_flight.0;
         self.run.set_end(run::RunEnd::Abandoned);
@@ -369,7 +374,7 @@
     }
 }
 
-/// Goes on with a request that another entry instance handed over; its caller comes back later.
+/// Resumes a request handed over by another entry instance; its caller re-attaches later.
 pub async fn resume_run(app: Arc<Shared>, client: Client, incoming: IncomingRun) {
     let IncomingRun { in_flight: _in_flight, run, body, from, is_restarted } = incoming;
     if is_restarted {
@@ -405,7 +410,8 @@
     driver.run(Event::TakenOver { from }).await;
 }
 
-/// Differs from request to request, so that pauses do.
+/// Seed of the request's backoff jitter; differs between requests, so that their retries do not
+/// coincide.
 fn jitter_seed(run: &Run) -> u64 {
     let hash = blake3::hash(run.request().as_bytes());
     let mut seed = [0; 8];
--- a/daemons/entry/src/serve/attach.rs
+++ b/daemons/entry/src/serve/attach.rs
@@ -1,4 +1,4 @@
-//! Finds a keyed request that runs or ran already, and gives its answer to a caller who came back.
+//! Re-attaches callers: finds the run of a key that exists already and forwards its answer.
 
 use std::sync::Arc;
 
@@ -23,26 +23,26 @@
 use crate::daemon::Shared;
 use crate::peers::{self, Home};
 
-/// How long one question for more waits at a peer.
+/// Long-poll timeout of one request for more tokens, here or at a peer.
 const FOLLOW_WAIT: Millis = Millis(5_000);
 
-/// How often an answer may move while it is followed.
+/// How often a run may be handed over while it is followed.
 const MAX_HOPS: u32 = 5;
 
-/// How long the home of a key has to answer.
+/// Timeout of calls to the home of a key.
 const HOME_TIMEOUT: Millis = Millis(400);
 
-/// When to come back for an answer that is not there yet.
+/// `Retry-After` of answers that are not available yet or whose outcome is unknown.
 const RETRY_AFTER: Millis = Millis(2_000);
 
-/// Where a keyed request was found.
+/// Where a run with the request's key was found.
 #[derive(Debug)]
 pub enum LookupResult {
-    /// Nowhere; it is to be run here.
+    /// Nowhere, so the request runs here.
     New,
-    /// Its home could not be asked.
+    /// Unknown: the home of the key did not answer, so the request runs here.
     HomeUnreachable,
-    /// Here.
+    /// At this instance.
     Local(Arc<Run>),
     /// At a peer.
     Remote(RunAt),
@@ -50,7 +50,7 @@
     BodyMismatch,
 }
 
-/// Looks for a request with the same key: here, then at the key's home.
+/// Looks up a run with the same key: at this instance, then at the key's home.
 pub async fn find(app: &Arc<Shared>, run: &Arc<Run>) -> LookupResult {
     if let Some(existing) = app.runs.open(run) {
         let is_same = existing.body_hash == run.body_hash;
@@ -69,7 +69,7 @@
     };
     match location {
         Ok(Location::New) => LookupResult::New,
-        // This very instance, in an earlier life or with a run that is over.
+        // The entry refers to this instance: to an earlier incarnation or to a run that has ended.
         Ok(Location::At(at)) if at.address == asker.address => {
             report_run(app, run).await;
             LookupResult::New
@@ -97,7 +97,7 @@
     called.unwrap_or_else(|_| Err(PeerError::Unreachable("no answer in time".to_owned())))
 }
 
-/// Ends a request that is not run here, for those who came for it in the meantime.
+/// Ends a run that was opened here but runs elsewhere, for callers that attached to it meanwhile.
 fn close_run(app: &Shared, run: &Arc<Run>, end: RunEnd) {
     run.set_end(end);
     app.runs.close(app.clock.now(), run);
@@ -112,7 +112,7 @@
     }
 }
 
-/// Answers as the home of a key.
+/// Looks up or records a run, as the home of its key.
 pub fn locate(app: &Shared, call: &LocateRun) -> Location {
     let now = app.clock.now();
     let mut directory = app.directory.lock();
@@ -123,7 +123,7 @@
     directory.locate(now, &call.key, &call.body, call.asker.clone())
 }
 
-/// Tells the home of a key that its request runs here.
+/// Reports to the home of the key that the request runs here.
 pub async fn report_run(app: &Arc<Shared>, run: &Run) {
     let asker = RunAt { address: app.peer_address.clone(), request: run.request().clone() };
     let (key, body) = (run.key.clone(), run.body_hash.clone());
@@ -134,7 +134,7 @@
     }
 }
 
-/// Tells the home of a key that its request was refused, so that it can be sent again.
+/// Tells the home of a key that its request has no answer here, so that it can be sent again.
 pub async fn forget_run(app: &Arc<Shared>, key: &ClaimKey, request: &Name) {
     let run = RunAt { address: app.peer_address.clone(), request: request.clone() };
     match peers::home(app, key) {
@@ -146,33 +146,33 @@
     }
 }
 
-/// Where an answer is followed.
+/// Where the answer of a run is read from.
 #[derive(Debug, Clone)]
 pub enum AnswerSource {
-    /// It runs here.
+    /// A run at this instance.
     Local(Arc<Run>),
-    /// It runs at a peer.
+    /// A run at a peer, given by the peer's address.
     Remote(Name),
 }
 
-/// A caller who came back.
+/// A caller that receives the answer of an existing run.
 pub struct Follower {
-    /// The request, as the caller sent it again.
+    /// The request as this caller sent it.
     pub run: Arc<Run>,
-    /// How it wants its answer.
+    /// Whether the caller gets a stream or one complete answer.
     pub mode: ResponseMode,
-    /// The first token that it has not got.
+    /// Index of the first token that the caller has not received.
     pub start_index: u32,
-    /// Where the answer goes.
+    /// The channel to the caller's response.
     pub sender: ResponseSender,
 }
 
-/// How following ended.
+/// How following a run ended.
 #[derive(Debug)]
 pub enum FollowOutcome {
-    /// The caller has its last word, or went away.
+    /// The caller received the end of the answer, or disconnected.
     Done,
-    /// The answer was lost on the way, or never known there.
+    /// The source became unreachable or does not know the run; holds the tokens received so far.
     SourceLost(Transcript),
 }
 
@@ -194,7 +194,7 @@
 }
 
 impl Follower {
-    /// Sends the answer on as it comes.
+    /// Forwards the answer as it arrives, until it ends or its source is lost.
     pub async fn follow(&self, app: &Arc<Shared>, mut source: AnswerSource) -> FollowOutcome {
         let mut transcript = Transcript::default();
         let mut hops = 0;
@@ -290,7 +290,7 @@
         self.sender.closed().await;
     }
 
-    /// Gives a whole answer, as a stream where the caller wants one.
+    /// Sends an answer that is complete already, as a stream if the caller asked for one.
     async fn replay(&self, reply: WholeReply) {
         let whole: Option<Value> = serde_json::from_slice(reply.body.as_bytes()).ok();
         let text = whole.as_ref().and_then(answer_text);
@@ -312,7 +312,7 @@
         self.send_end(ResponseEnd::Complete).await;
     }
 
-    /// Ends a request whose answer can't be found.
+    /// Ends a request whose answer could not be located within `MAX_TASK_SWITCHES`.
     pub async fn send_lost_failure(&self) {
         let failed = if self.run.spec.is_idempotent {
             FailedRun {
@@ -327,7 +327,8 @@
     }
 }
 
-/// Returns where a request ended whose claim another one holds.
+/// Returns the end of a request whose key is claimed by another request: the recorded outcome, or
+/// the owner to follow.
 pub fn owner_run_end(
     app: &Shared,
     request: &Name,
@@ -362,7 +363,7 @@
     choice.pointer("/message/content").or_else(|| choice.get("text"))?.as_str()
 }
 
-/// Makes a JSON answer.
+/// Wraps a JSON value in a reply with status 200.
 pub fn json_reply(value: &Value) -> WholeReply {
     WholeReply::json(200, value.to_string())
 }
--- a/daemons/entry/src/serve/caller.rs
+++ b/daemons/entry/src/serve/caller.rs
@@ -1,4 +1,5 @@
-//! The caller's side of a request: what it is sent, and whether it is still there.
+//! The caller's side of a request: the response, and the channel that feeds it and closes when the
+//! caller disconnects.
 
 use std::io;
 
@@ -12,40 +13,41 @@
 use sill_wire::{ErrorBody, ErrorCode, ErrorDetail, header};
 use tokio::sync::mpsc;
 
-/// Parts that wait for a slow caller; beyond, the endpoint's answer is not read on.
+/// Response items queued for a slow caller. With a full channel the endpoint's answer is read no
+/// further than the driver's send buffer allows.
 const CHANNEL_CAPACITY: usize = 16;
 
-/// What a caller is sent.
+/// An item of a response.
 #[derive(Debug)]
 pub enum ResponseItem {
     /// A part of a streamed answer.
     Data(Bytes),
-    /// The last word.
+    /// The end of the answer; nothing follows.
     End(ResponseEnd),
 }
 
-/// How an answer ends for its caller.
+/// How a response ends.
 #[derive(Debug, Clone)]
 pub enum ResponseEnd {
-    /// All of it was sent.
+    /// The stream was sent completely.
     Complete,
-    /// A whole HTTP answer.
+    /// A complete HTTP answer.
     Reply(WholeReply),
     /// A refusal, certified as not run.
     NotRun(NotRunRefusal),
-    /// It was given up.
+    /// The request failed and is not certified as not run.
     Failed(FailedRun),
-    /// Another entry instance goes on; the caller has to come back with its key.
+    /// Another entry instance runs the request; the caller re-attaches with its key.
     Moved,
 }
 
-/// The sending side.
+/// The driver's or follower's side of the channel.
 pub type ResponseSender = mpsc::Sender<ResponseItem>;
 
-/// The receiving side.
+/// The response's side of the channel; dropped when the caller disconnects.
 pub type ResponseReceiver = mpsc::Receiver<ResponseItem>;
 
-/// Makes both sides.
+/// Creates the channel between a request and its response.
 pub fn channel() -> (ResponseSender, ResponseReceiver) {
     mpsc::channel(CHANNEL_CAPACITY)
 }
@@ -57,7 +59,7 @@
     }
 }
 
-/// Waits for the first word, so that a refusal still gets its status code.
+/// Waits for the first item before it sends the head, so that a refusal still gets its status code.
 pub async fn respond(request: &Name, mut receiver: ResponseReceiver) -> HttpResponse {
     match receiver.recv().await {
         Some(ResponseItem::Data(first)) => stream_response(request, first, receiver),
@@ -101,8 +103,8 @@
         if let Some(first) = self.first.take() {
             return Some(Ok(first));
         }
-        // A stream that just ended would pass for a whole answer; the broken-off chunked encoding
-        // tells every client that it is not.
+        // A stream that ends cleanly would pass for a complete answer. Aborting the chunked
+        // encoding shows every HTTP client that it is truncated.
         if self.is_aborted {
             return Some(Err(io::ErrorKind::ConnectionAborted.into()));
         }
@@ -121,7 +123,8 @@
     }
 }
 
-/// Tells in a stream that has begun why it breaks off.
+/// Returns the last event of a stream that is aborted: the error, or a reconnect delay after a
+/// hand-off.
 fn abort_event(request: &Name, end: ResponseEnd) -> Bytes {
     if matches!(end, ResponseEnd::Moved) {
         return Bytes::from_static(b"retry: 100\n\n");
@@ -138,7 +141,7 @@
     format!("data: {data}\n\n").into()
 }
 
-/// Makes an answer that has not begun.
+/// Builds the response to a request of which nothing was streamed yet.
 pub fn full_response(request: &Name, end: ResponseEnd) -> HttpResponse {
     match end {
         ResponseEnd::Reply(reply) => {
@@ -155,7 +158,7 @@
     }
 }
 
-/// Makes the error answer of an end.
+/// Returns the error answer of an end. One without an error of its own asks for a resend.
 pub(super) fn failure(end: ResponseEnd) -> Failure {
     let seconds = |after: Millis| after.0.div_ceil(1000).max(1) as u32;
     match end {
--- a/daemons/entry/src/serve/calls.rs
+++ b/daemons/entry/src/serve/calls.rs
@@ -1,4 +1,4 @@
-//! What peers may ask about requests.
+//! Calls that peers make about requests: hand-off, lookup, removal and following.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::daemon::Shared;
 use crate::handoff;
 
-/// Registers the calls.
+/// Registers the handlers of these calls at the peer server.
 pub fn register(peers: &mut PeerServerBuilder, shared: &Arc<Shared>) {
     let app = shared.clone();
     peers.answer(move |call: HandOff| handoff::accept(app.clone(), call));
--- a/daemons/entry/src/serve/chunk.rs
+++ b/daemons/entry/src/serve/chunk.rs
@@ -1,17 +1,17 @@
-//! The JSON of answers: streamed pieces, whole answers, and what endpoints' pieces say.
+//! The JSON of answers: builds chunks and complete answers, and reads endpoints' chunks.
 
 use ntex::util::Bytes;
 use serde_json::{Value, json};
 use sill_flight::Transcript;
 use sill_wire::handoff::AnswerPart;
 
-/// The closing event of a stream.
+/// The event that ends a stream in the OpenAI API.
 pub const DONE: &[u8] = b"data: [DONE]\n\n";
 
-/// What the closing pieces of an endpoint's stream say.
+/// Content of a chunk that carries no token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClosingChunk {
-    /// Why the answer ended.
+    /// The finish reason.
     Finish(String),
     /// Token counts.
     Usage {
@@ -20,13 +20,13 @@
         /// Tokens of the answer.
         completion: u32,
     },
-    /// The endpoint failed in the middle of its answer.
+    /// The endpoint reported an error in the middle of its answer.
     Error,
-    /// Nothing that has to be known.
+    /// Anything else, such as the role chunk; ignored.
     Other,
 }
 
-/// Reads a piece that carries no token.
+/// Parses the data of a chunk that carries no token.
 pub fn parse_closing(data: &str) -> ClosingChunk {
     let Ok(data) = serde_json::from_str::<Value>(data) else {
         return ClosingChunk::Other;
@@ -44,12 +44,12 @@
     }
 }
 
-/// Reads id, time and text of a piece with a token, by a parser.
+/// Parses the data of a chunk with a token, when the fast path over its bytes does not apply.
 pub fn parse(data: &str) -> Option<Value> {
     serde_json::from_str(data).ok()
 }
 
-/// Returns the text of a parsed piece as in JSON between the quotes.
+/// Returns the text of a parsed chunk, escaped as in JSON but without the quotes.
 pub fn escaped_text(data: &Value) -> String {
     let chat = data.pointer("/choices/0/delta/content").and_then(Value::as_str);
     let text = chat.or_else(|| data.pointer("/choices/0/text").and_then(Value::as_str));
@@ -57,7 +57,7 @@
     quoted[1..quoted.len() - 1].to_owned()
 }
 
-/// Notes the id and time that the caller sees.
+/// Stores the completion id and time that the caller sees, from the first chunk that has them.
 pub fn set_head(transcript: &mut Transcript, data: &Value) {
     if transcript.id.is_none() {
         transcript.id = data.get("id").and_then(Value::as_str).map(str::to_owned);
@@ -65,44 +65,45 @@
     }
 }
 
-/// Makes a later attempt's piece look like the first attempt's, so that the caller sees one answer.
+/// Gives a later attempt's chunk the id and time of the first attempt, so that the caller sees one
+/// answer.
 pub fn rewrite_chunk(transcript: &Transcript, index: u32, mut data: Value) -> Bytes {
     data["id"] = json!(transcript.id);
     data["created"] = json!(transcript.created);
     format!("id: {index}\ndata: {data}\n\n").into()
 }
 
-/// How answers of one path look.
+/// The API format of an answer, which depends on the path that was called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerFormat {
     /// Chat completions.
     Chat,
-    /// Plain completions.
+    /// Text completions.
     Completion,
 }
 
-/// What every piece of an answer repeats.
+/// Fields that are the same in every chunk of an answer.
 #[derive(Debug, Clone, Copy)]
 pub struct ChunkTemplate<'a> {
-    /// How it looks.
+    /// Chat or text completion.
     pub format: AnswerFormat,
-    /// The model.
+    /// The model's name as the caller sent it.
     pub model: &'a str,
-    /// The completion's id.
+    /// The completion's id that the caller sees.
     pub id: &'a str,
-    /// The completion's time.
+    /// Creation time of the completion, in Unix seconds.
     pub created: u64,
 }
 
 impl AnswerFormat {
-    /// Returns the shape of a path's answers.
+    /// Returns the format of the answers of a path.
     pub fn of(path: &str) -> Self {
         if path.ends_with("/chat/completions") { Self::Chat } else { Self::Completion }
     }
 }
 
 impl ChunkTemplate<'_> {
-    /// Makes the event of a token from its text as in JSON between the quotes.
+    /// Builds the event of a token from its text, escaped as in JSON but without the quotes.
     pub fn token_event(&self, index: u32, escaped: &str) -> Bytes {
         let Self { model, id, created, .. } = self;
         let (text, object) = match self.format {
@@ -119,7 +120,7 @@
         .into()
     }
 
-    /// Makes the closing events of a stream.
+    /// Builds the events that close a stream: finish reason, usage if asked for, and `[DONE]`.
     pub fn closing_events(&self, part: &AnswerPart, tokens: u32, include_usage: bool) -> Bytes {
         let finish = part.finish.as_deref().unwrap_or("stop");
         let mut chunk = self.base_object();
@@ -147,7 +148,7 @@
         json!({ "id": self.id, "object": object, "created": self.created, "model": self.model })
     }
 
-    /// Makes a whole answer.
+    /// Builds the answer to a request that did not ask for a stream.
     pub fn full_answer(&self, part: &AnswerPart, text: &str, tokens: u32) -> Value {
         let finish = part.finish.as_deref().unwrap_or("stop");
         let mut answer = self.base_object();
--- a/daemons/entry/src/serve/driver.rs
+++ b/daemons/entry/src/serve/driver.rs
@@ -1,4 +1,5 @@
-//! Does what a request's machine asks for: claims, routes, sends, reads, and tells the caller.
+//! Performs the actions of a request's state machine: claims, routes, sends, reads the answer and
+//! forwards it to the caller.
 
 use std::collections::VecDeque;
 use std::pin::Pin;
@@ -23,38 +24,39 @@
 use crate::claims;
 use crate::daemon::Shared;
 
-/// Bytes that wait for a slow caller before the endpoint's answer is read on.
+/// Bytes buffered for a slow caller; the endpoint's answer is not read while the buffer holds more.
 const MAX_SEND_BUFFER: usize = 64 << 10;
 
-/// The longest that a timer is set for.
+/// Upper limit of one sleep of the timer.
 const MAX_SLEEP: Millis = Millis(3_600_000);
 
-/// How a streamed answer is told.
+/// How the caller receives the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseMode {
-    /// Every token as it comes.
+    /// Every token as it arrives, as server-sent events.
     Stream {
-        /// Whether it closes with usage counts.
+        /// Whether the stream closes with usage counts.
         include_usage: bool,
     },
-    /// At the end, in one piece.
+    /// One complete answer at the end.
     Full,
 }
 
-/// What the driver needs beside the machine.
+/// Input of the driver besides the state machine.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// The request, as others see it.
+    /// The request's state that other threads and peers can read.
     pub run: Arc<Run>,
-    /// What an endpoint is sent.
+    /// The request that is sent to endpoints.
     pub upstream_request: UpstreamRequest,
-    /// Chained hashes of the prompt's blocks.
+    /// Chained hashes of the prompt's blocks, for prefix-cache routing; empty for plain services
+    /// and for requests that were handed over.
     pub blocks: Arc<[u64]>,
-    /// The priority.
+    /// Priority of the first attempt; later attempts run with high priority.
     pub priority: Priority,
-    /// How the answer is told.
+    /// How the caller receives the answer.
     pub mode: ResponseMode,
-    /// Where the answer goes.
+    /// The channel to the caller's response; `None` when no caller is connected.
     pub sender: Option<ResponseSender>,
 }
 
@@ -83,8 +85,8 @@
     pub(super) is_attached: bool,
 }
 
-/// The closing pieces of an attempt, held until its end marker has come: were they sent at once, an
-/// attempt cut right then would make the caller see them twice.
+/// Contents of an attempt's closing chunks, held back until its end marker arrives. If they were
+/// forwarded at once and the attempt was cut right then, the caller would see them twice.
 #[derive(Debug, Default)]
 pub(super) struct ClosingChunks {
     pub(super) finish_reason: Option<String>,
@@ -92,7 +94,8 @@
     pub(super) completion_tokens: Option<u32>,
 }
 
-/// A timer that is set again only when it went off too early, since most deadlines move on.
+/// A timer that is reset only for an earlier deadline. Most deadlines are postponed, so it may fire
+/// too early; it is then set again.
 struct Timer {
     deadline: Millis,
     sleep: Pin<Box<tokio::time::Sleep>>,
@@ -109,7 +112,7 @@
 }
 
 impl Driver {
-    /// Makes the driver of a request.
+    /// Creates a driver whose state machine has not been stepped yet.
     pub fn new(app: Arc<Shared>, client: Client, job: Job, flight: InFlightRequest) -> Self {
         let signals = app.signals.subscribe();
         Self {
@@ -137,8 +140,8 @@
         }
     }
 
-    /// Runs the request to its end; returns where its answer is followed, if another
-    /// request has the same key.
+    /// Drives the request to its end. Returns the source of the answer if another request holds the
+    /// key.
     pub async fn run(mut self, first: Event) -> Option<AnswerSource> {
         self.events.push_back(first);
         loop {
@@ -205,7 +208,7 @@
         }
     }
 
-    /// Steps a token, and returns whether it has to be forwarded.
+    /// Steps the state machine with a token and returns whether the token has to be forwarded.
     pub(super) fn accept_token(&mut self, epoch: Epoch, index: u32) -> bool {
         let mut actions = std::mem::take(&mut self.actions);
         self.flight.step(self.app.clock.now(), Event::Token { epoch, index }, &mut actions);
@@ -292,7 +295,7 @@
             blocks: self.job.blocks.clone(),
             prompt_tokens,
             max_tokens,
-            // What was accepted has to be seen through, so it goes before all that is new.
+            // An accepted request must be completed, so its retries go before new requests.
             priority: if self.is_accepted { Priority::High } else { self.job.priority },
             deadline: self.job.run.spec.deadline,
             exclude,
@@ -340,7 +343,7 @@
                 is_model,
             )
         }));
-        // It may have been given notice since the router heard of it last.
+        // The endpoint may have received a reclaim notice that the router has not seen yet.
         self.check_notice();
     }
 
@@ -385,7 +388,8 @@
         }
     }
 
-    /// Sends what waits, as far as the caller takes it.
+    /// Sends the buffer if the caller's channel has capacity; discards it if no caller is
+    /// connected.
     fn flush(&mut self) {
         if self.send_buffer.is_empty() {
             return;
@@ -402,7 +406,7 @@
 
 impl Drop for Driver {
     fn drop(&mut self) {
-        // Also after a panic: whoever follows the request would wait for its end forever.
+        // Needed after a panic too: followers of the request would wait for its end forever.
         if self.job.run.end().is_none() {
             self.job.run.set_end(RunEnd::Abandoned);
             self.app.runs.close(self.now(), &self.job.run);
@@ -445,10 +449,11 @@
     }
 }
 
-/// Waits until the caller takes more. One that is gone never does, and [`caller_disconnect`] tells of it.
+/// Waits until the caller's channel has capacity. Never completes for a disconnected caller, which
+/// [`caller_disconnect`] reports.
 ///
-/// To call that room as well would hang the worker thread: what waits can't be sent, so the driver
-/// would find room again at once, without ever letting the thread's other requests go on.
+/// Reporting capacity for a closed channel would hang the worker thread: the buffer can't be sent,
+/// so the driver would be woken again at once and never yield to the other requests of the thread.
 async fn send_capacity(sender: &Option<ResponseSender>) {
     let Some(sender) = sender else {
         return std::future::pending().await;
--- a/daemons/entry/src/serve/finish.rs
+++ b/daemons/entry/src/serve/finish.rs
@@ -1,4 +1,4 @@
-//! How a driver hands its request over, and how it ends it.
+//! How a driver hands over its request, and how it ends it.
 
 use ntex::util::Bytes;
 use sill_base::{Millis, Name, event};
@@ -19,8 +19,8 @@
 impl Driver {
     pub(super) fn on_signal(&mut self) {
         self.check_notice();
-        let model = self.job.run.spec.kind == ServiceKind::Model;
-        if !model || self.offer_reply.is_some() || !self.flight.may_have_sent() {
+        let is_model = self.job.run.spec.kind == ServiceKind::Model;
+        if !is_model || self.offer_reply.is_some() || !self.flight.may_have_sent() {
             return;
         }
         let Some(offers) = self.app.signals.offers() else {
@@ -73,17 +73,17 @@
         }
     }
 
-    /// Tells everyone how it ended.
+    /// Publishes the end to the claim log, followers and the caller.
     pub(super) async fn finish(mut self) -> Option<AnswerSource> {
         let end = self.end.take().unwrap_or(RunEnd::Abandoned);
-        // What was found under another's claim is counted and settled there.
+        // If another request holds the claim, its driver counts and settles the request.
         if !self.is_attached {
             self.record_end(&end);
             self.settle_claim(&end);
         }
         self.job.run.set_end(end.clone());
         self.app.runs.close(self.now(), &self.job.run);
-        // A key whose request has no answer may be sent again, and must not lead here.
+        // A request without an answer may be sent again, and its key must not lead to this run.
         if !matches!(end, RunEnd::Complete | RunEnd::Reply(_) | RunEnd::Moved(_)) {
             super::spawn_forget(&self.app, &self.job.run);
         }
@@ -99,7 +99,8 @@
                 let _ = sender.send(ResponseItem::Data(remaining)).await;
             }
             let _ = sender.send(ResponseItem::End(self.response_end(end))).await;
-            // Until the caller has taken it, it counts as in flight, else a planned stop cuts it.
+            // The request counts as in flight until the caller has read all of it, otherwise a
+            // planned stop would cut it off.
             sender.closed().await;
         }
         None
@@ -151,7 +152,7 @@
             RunEnd::Complete => {
                 ClaimOutcome::Answered { status: 200, body: Some(self.full_answer().to_string()) }
             }
-            // The machine has told the log of every other end.
+            // The state machine reports every other end to the claim log itself.
             _ => return,
         };
         let ask = ClaimAsk::Finish { key: claim.key.clone(), owner: claim.owner.clone(), outcome };
--- a/daemons/entry/src/serve/headers.rs
+++ b/daemons/entry/src/serve/headers.rs
@@ -1,9 +1,9 @@
-//! Headers of plain services' calls and answers that are passed on.
+//! Headers that are forwarded with calls and answers of plain services.
 
 use ntex::http::HeaderMap;
 use sill_wire::handoff::PassedHeader;
 
-/// Headers that concern one connection, or that entry instances set themselves.
+/// Headers that are not forwarded: they concern one connection, or entry instances set them.
 const OWN: [&str; 17] = [
     "authorization",
     "connection",
@@ -21,11 +21,11 @@
     "trailer",
     "transfer-encoding",
     "upgrade",
-    // The client of the entry instance decodes answers itself.
+    // The HTTP client of the entry instance decodes answers itself.
     "accept-encoding",
 ];
 
-/// Returns the headers that are passed on; those of the system are made anew for each hop.
+/// Returns the headers that are forwarded. `sill-` headers are set anew for each hop.
 pub fn passed_headers(headers: &HeaderMap) -> Vec<PassedHeader> {
     let passed = headers.iter().filter_map(|(name, value)| {
         let name = name.as_str().to_ascii_lowercase();
--- a/daemons/entry/src/serve/run.rs
+++ b/daemons/entry/src/serve/run.rs
@@ -1,4 +1,4 @@
-//! Requests that run or ran here, for those who come back for their answers.
+//! Runs: requests that run or ran at this instance, and their answers for callers that re-attach.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,27 +11,27 @@
 use sill_wire::handoff::{AnswerPart, FailedRun, FollowReply, WholeReply};
 use tokio::sync::Notify;
 
-/// How long an answer is kept for a caller that comes back.
+/// How long a complete answer is retained for a caller that re-attaches.
 const RETENTION: Millis = Millis(120_000);
 
-/// Answers kept at most; the oldest go first.
+/// Maximum number of retained answers; the oldest are evicted first.
 const MAX_RETAINED: usize = 10_000;
 
-/// Bytes of all kept answers.
+/// Maximum size of all retained answers in bytes; the oldest are evicted first.
 const MAX_RETAINED_BYTES: usize = 64 << 20;
 
-/// One request as all threads may see it.
+/// State of one request that all threads share.
 #[derive(Debug)]
 pub struct Run {
-    /// What was asked for.
+    /// The request's parameters for the state machine.
     pub spec: RequestSpec,
-    /// The name by which its caller can come back for it.
+    /// The key by which the caller can re-attach to it.
     pub key: ClaimKey,
-    /// The content.
+    /// Hash of method, path and body, to detect a key reused with another request.
     pub body_hash: BodyHash,
-    /// The path that was called.
+    /// The path at the endpoint; it determines the format of the answer.
     pub path: String,
-    /// The model or plain service.
+    /// Name of the model or plain service.
     pub target: Name,
     state: Mutex<State>,
     changed: Notify,
@@ -47,22 +47,23 @@
 /// How a request ended.
 #[derive(Debug, Clone)]
 pub enum RunEnd {
-    /// The model's answer is whole.
+    /// The model's answer is complete.
     Complete,
-    /// A whole HTTP answer came from the endpoint.
+    /// The endpoint sent a complete HTTP answer, successful or not.
     Reply(WholeReply),
-    /// It was given up.
+    /// It failed and is not certified as not run.
     Failed(RequestFailure),
     /// It was refused, certified as not run.
     NotRun(NotRunRefusal),
-    /// A peer runs it now.
+    /// The peer at this address runs it.
     Moved(Name),
-    /// Nobody waits for it.
+    /// It ended without an answer: no caller waits for it, it was refused before it started, or its
+    /// driver panicked.
     Abandoned,
 }
 
 impl Run {
-    /// Begins one.
+    /// Creates a run that has not ended; `transcript` holds the tokens of an earlier owner.
     pub fn new(
         spec: RequestSpec,
         key: ClaimKey,
@@ -80,7 +81,7 @@
         &self.spec.request
     }
 
-    /// Works on what was sent so far.
+    /// Calls `work` with the tokens received so far, under the run's lock.
     pub fn with_transcript<T, F>(&self, work: F) -> T
     where
         F: FnOnce(&mut Transcript) -> T,
@@ -88,25 +89,25 @@
         work(&mut self.state.lock().transcript)
     }
 
-    /// Wakes those who follow it.
+    /// Wakes the followers to read new tokens.
     pub fn notify_followers(&self) {
         if self.state.lock().followers > 0 {
             self.changed.notify_waiters();
         }
     }
 
-    /// Notes how it ended; the first end stands.
+    /// Sets the end and wakes the followers; has no effect on a run that has ended already.
     pub fn set_end(&self, end: RunEnd) {
         self.state.lock().end.get_or_insert(end);
         self.changed.notify_waiters();
     }
 
-    /// Returns how it ended.
+    /// Returns the end, or `None` while the request runs.
     pub fn end(&self) -> Option<RunEnd> {
         self.state.lock().end.clone()
     }
 
-    /// Returns what came since a token, and waits for more where nothing came.
+    /// Returns the tokens from index `from` or the end; waits up to `wait` if there is neither.
     pub async fn follow(&self, from: u32, wait: Millis) -> FollowReply {
         self.state.lock().followers += 1;
         let changed = self.changed.notified();
@@ -126,7 +127,7 @@
         state.end.is_some() || state.transcript.next_index() > from
     }
 
-    /// Returns what came since a token.
+    /// Returns the tokens from index `from` or the end, without waiting.
     pub fn reply_from(&self, from: u32) -> FollowReply {
         let state = self.state.lock();
         match &state.end {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Returns all tokens so far.
+    /// Returns all tokens received so far.
     pub fn full_part(&self) -> AnswerPart {
         answer_part(&self.state.lock().transcript, 0)
     }
@@ -171,7 +172,7 @@
     }
 }
 
-/// All keyed requests that run or ran here.
+/// Table of the runs at this instance by key.
 #[derive(Debug, Default)]
 pub struct Runs(Mutex<RunTable>);
 
@@ -190,12 +191,12 @@
 }
 
 impl Runs {
-    /// Returns the request with a key.
+    /// Returns the run of a key.
     pub fn get(&self, key: &ClaimKey) -> Option<Arc<Run>> {
         self.0.lock().runs.get(key).cloned()
     }
 
-    /// Adds a request, unless one with the same key is there; returns that one then.
+    /// Adds a run, unless there is one with the same key, which is returned.
     pub fn open(&self, run: &Arc<Run>) -> Option<Arc<Run>> {
         let mut table = self.0.lock();
         if let Some(existing) = table.runs.get(&run.key) {
@@ -205,7 +206,7 @@
         None
     }
 
-    /// Keeps a request's answer for a while, or drops it at once where there is none to come for.
+    /// Retains the answer of a run that has ended, or removes the run at once if it has no answer.
     pub fn close(&self, now: Millis, run: &Arc<Run>) {
         let is_answered = matches!(run.end(), Some(RunEnd::Complete | RunEnd::Reply(_)));
         let bytes = run.size_bytes();
--- a/daemons/entry/src/serve/signals.rs
+++ b/daemons/entry/src/serve/signals.rs
@@ -1,4 +1,5 @@
-//! What concerns requests in flight all at once: endpoints that are leaving, this instance's end.
+//! Signals to all requests in flight: reclaim notices of endpoints, and the hand-off of this
+//! instance.
 
 use std::sync::Arc;
 
@@ -10,13 +11,13 @@
 
 use crate::daemon::Shared;
 
-/// How often membership is asked which endpoints are leaving.
+/// How often the leaving endpoints are read from membership.
 const POLL_INTERVAL: Millis = Millis(50);
 
-/// A notice that moved by less is no news.
+/// A notice whose time moved forward by no more than this wakes no request.
 const MIN_NOTICE_CHANGE: Millis = Millis(500);
 
-/// Notices of endpoints, and the hand-off of this instance.
+/// Reclaim notices of endpoints, and the hand-off of this instance.
 #[derive(Debug)]
 pub struct Signals {
     notices: RwLock<Map<Name, Notice>>,
@@ -24,26 +25,26 @@
     changes: watch::Sender<u64>,
 }
 
-/// The notice of one endpoint.
+/// The reclaim notice of one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Notice {
-    /// Which life of it.
+    /// The endpoint's incarnation that received the notice.
     pub incarnation: Incarnation,
-    /// When it will be gone, on the entry's clock.
+    /// When the endpoint will be gone, on the entry instance's clock.
     pub gone_at: Millis,
 }
 
-/// A request that wants to be taken over; the answer tells whether a peer has it.
+/// A request offered to peers for take-over.
 #[derive(Debug)]
 pub struct Offer {
-    /// The request.
+    /// The request with its state so far.
     pub run: HandOffRun,
-    /// Where the answer goes.
+    /// Receives the address of the peer that accepted the request; dropped if none did.
     pub accepted_by: oneshot::Sender<Option<Name>>,
 }
 
 impl Signals {
-    /// Starts with no notice.
+    /// Creates signals without notices and without a hand-off.
     pub fn new() -> Self {
         Self {
             notices: RwLock::default(),
@@ -57,7 +58,7 @@
         self.changes.subscribe()
     }
 
-    /// Takes in which endpoints are leaving now.
+    /// Replaces the notices by those of the endpoints that are leaving now.
     pub fn update_notices(&self, now: Millis, leaving: &[Announcement]) {
         let mut notices = Map::default();
         for announcement in leaving {
@@ -72,7 +73,8 @@
                     && p.gone_at <= notice.gone_at + MIN_NOTICE_CHANGE
             })
         });
-        // An endpoint's own time left counts down, so that the earliest time heard is kept.
+        // An endpoint announces its remaining time, which counts down. A late announcement gives a
+        // later end, so the earliest one received is kept.
         for (name, notice) in &mut notices {
             if let Some(earlier) = previous.get(name)
                 && earlier.incarnation == notice.incarnation
@@ -87,13 +89,13 @@
         }
     }
 
-    /// Returns the notice of a life of an endpoint.
+    /// Returns the notice of an endpoint, if it was for this incarnation.
     pub fn notice(&self, endpoint: &str, incarnation: Incarnation) -> Option<Notice> {
         let notices = self.notices.read();
         notices.get(endpoint).copied().filter(|n| n.incarnation == incarnation)
     }
 
-    /// Asks every request in flight to offer itself to a peer.
+    /// Asks every request in flight to offer itself on the returned channel.
     pub fn begin_hand_off(&self) -> mpsc::UnboundedReceiver<Offer> {
         let (tx, rx) = mpsc::unbounded_channel();
         *self.hand_off.write() = Some(tx);
@@ -101,12 +103,12 @@
         rx
     }
 
-    /// Returns where to offer requests, once this instance is leaving.
+    /// Returns the channel for offers during a hand-off.
     pub fn offers(&self) -> Option<mpsc::UnboundedSender<Offer>> {
         self.hand_off.read().clone()
     }
 
-    /// Stops taking offers; requests in flight end here.
+    /// Stops accepting offers; the remaining requests in flight end at this instance.
     pub fn end_hand_off(&self) {
         *self.hand_off.write() = None;
     }
@@ -118,7 +120,7 @@
     }
 }
 
-/// Passes on which endpoints are leaving, until the process ends.
+/// Updates the notices from membership until the process ends.
 pub async fn watch(app: Arc<Shared>) {
     loop {
         tokio::time::sleep(POLL_INTERVAL.into()).await;
--- a/daemons/entry/src/serve/tokens.rs
+++ b/daemons/entry/src/serve/tokens.rs
@@ -1,4 +1,4 @@
-//! Takes an endpoint's stream apart and passes it on.
+//! Parses an endpoint's stream and forwards its tokens.
 
 use ntex::util::Bytes;
 use serde_json::Value;
@@ -11,7 +11,7 @@
 use super::driver::{Driver, ResponseMode};
 
 impl Driver {
-    /// Takes in a part of the stream of an attempt.
+    /// Processes a part of an attempt's stream.
     pub(super) fn on_part(&mut self, epoch: Epoch, part: &Bytes) {
         let mut splitter = std::mem::take(&mut self.splitter);
         let pushed = splitter.push(part, |event| self.on_stream_event(epoch, event));
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Passes a token on as it came; only later attempts are rewritten, and only the first piece
-    /// and pieces of an unusual shape are parsed.
+    /// Forwards a token's event unchanged where possible: only chunks of later attempts are
+    /// rewritten, and only those, the first chunk and chunks of an unusual form are parsed.
     fn forward_token(&mut self, epoch: Epoch, index: u32, escaped: Option<&str>, event: &[u8]) {
         let is_raw = self.head_epoch == Some(epoch);
         let parsed = (!is_raw || escaped.is_none())
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Notes the end of the answer, and closes the caller's stream.
+    /// Marks the answer as complete and closes the caller's stream.
     pub(super) fn close_answer(&mut self) {
         let closing = std::mem::take(&mut self.closing);
         let run = self.job.run.clone();
@@ -105,7 +105,7 @@
         self.send_buffer.extend_from_slice(&template.closing_events(&part, tokens, include_usage));
     }
 
-    /// Returns the whole answer in one piece.
+    /// Returns the answer for a caller that did not ask for a stream.
     pub(super) fn full_answer(&self) -> Value {
         let run = &self.job.run;
         let part = run.full_part();
@@ -121,7 +121,7 @@
     }
 }
 
-/// Returns the id of an answer whose endpoint gave none.
+/// Returns the completion id for an answer whose endpoint sent none.
 pub fn completion_id(request: &Name) -> String {
     format!("chatcmpl-{request}")
 }
--- a/daemons/entry/src/serve/upstream.rs
+++ b/daemons/entry/src/serve/upstream.rs
@@ -1,4 +1,4 @@
-//! One attempt at an endpoint: the request on its way, then its answer.
+//! One attempt at an endpoint: sends the request and reads its answer.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -19,44 +19,44 @@
 
 use super::headers::passed_headers;
 
-/// The largest answer of a plain service, in bytes.
+/// Maximum size in bytes of a complete answer: of a plain service, or an endpoint's error.
 const MAX_REPLY_BYTES: usize = 16 << 20;
 
-/// What an endpoint is sent.
+/// The request that is sent to endpoints, the same for all attempts.
 #[derive(Debug, Clone)]
 pub struct UpstreamRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query at the endpoint.
     pub path: String,
-    /// The request's name.
+    /// The request's id, sent as a header.
     pub request: Name,
-    /// The caller's key.
+    /// The caller's idempotency key, sent as a header.
     pub key: Option<Name>,
-    /// Headers to pass on.
+    /// Headers that are forwarded.
     pub headers: Vec<PassedHeader>,
-    /// The body; a model's is JSON that asks for a stream with usage counts.
+    /// The body; for a model, JSON that asks for a stream with usage counts.
     pub body: Bytes,
 }
 
-/// What an attempt brings.
+/// An event of an attempt.
 #[derive(Debug)]
 pub enum UpstreamEvent {
-    /// No connection was made, so that no byte left.
+    /// No connection was made, so no byte of the request was sent.
     ConnectFailure(String),
-    /// The answer began, with the status for success.
+    /// The head of a streamed answer arrived, with a success status.
     Head,
-    /// A part of it.
+    /// A part of the streamed answer.
     Part(Bytes),
-    /// A whole answer: of a plain service, or an endpoint's error.
+    /// A complete answer: of a plain service, or an endpoint's error.
     Reply(WholeReply),
-    /// It ended, or failed, before it was whole.
+    /// The answer ended or failed before it was complete.
     Cut(String),
 }
 
-/// An attempt.
+/// An attempt in progress; dropping it cancels the request at the endpoint.
 pub struct Upstream {
-    /// Its number.
+    /// The number of the attempt.
     pub epoch: Epoch,
     state: State,
 }
@@ -72,7 +72,7 @@
 }
 
 impl UpstreamRequest {
-    /// Makes the body that asks an endpoint for a stream with usage counts.
+    /// Returns the body with a stream and usage counts asked for, whatever the caller asked for.
     pub fn stream_body(mut body: Value) -> Bytes {
         body["stream"] = json!(true);
         body["stream_options"] = json!({ "include_usage": true });
@@ -96,7 +96,7 @@
 }
 
 impl Upstream {
-    /// Sends the request.
+    /// Starts an attempt; `resume` is set if the transcript's tokens must not be generated again.
     pub fn send(
         client: &Client,
         outgoing: &UpstreamRequest,
@@ -125,7 +125,7 @@
         Self { epoch, state: State::Sending { sending, is_model } }
     }
 
-    /// Waits for what comes next; may be dropped while it waits.
+    /// Waits for the next event. Cancel safe.
     pub async fn next_event(&mut self) -> UpstreamEvent {
         loop {
             match &mut self.state {
@@ -167,11 +167,11 @@
     }
 }
 
-/// Tells a connection that was never made from one that was lost.
+/// Distinguishes a connection that was never made from one that was lost.
 ///
-/// Only errors of the connector count: the client reports a connection that ended before the
-/// answer's head as `Disconnected(None)`, though the whole request has left by then. Were that
-/// taken for "not connected", a caller would be told not-run of a request that ran.
+/// Only errors of the connector are connect failures: the client reports a connection that ended
+/// before the answer's head as `Disconnected(None)`, although the whole request was sent by then.
+/// Treating that as a connect failure would certify a request as not run that has run.
 fn classify_error(err: &ClientError) -> UpstreamEvent {
     match err {
         ClientError::Connect(ConnectError::Disconnected(Some(_)) | ConnectError::Resolver(_)) => {
@@ -188,7 +188,7 @@
         Ok(body) => {
             UpstreamEvent::Reply(WholeReply { status, headers, body: ReplyBody::new(&body) })
         }
-        // Sent again it would be as large; the caller has to know, and at once.
+        // A retry would get an answer of the same size, so the caller is told at once.
         Err(PayloadError::Overflow) => UpstreamEvent::Reply(too_large_reply()),
         Err(err) => UpstreamEvent::Cut(err.to_string()),
     }
--- a/daemons/entry/src/stop.rs
+++ b/daemons/entry/src/stop.rs
@@ -9,23 +9,24 @@
 use crate::daemon::Entry;
 use crate::handoff;
 
-/// Time between two looks at what is in flight during a stop.
+/// How often the number of requests in flight is checked during a stop.
 const DRAIN_POLL_INTERVAL: Millis = Millis(20);
 
 impl Entry {
-    /// Stops as planned: not ready first, then the listener closes, then all in flight finish.
+    /// Stops as planned: marks the instance as not ready, closes the listener, then waits for the
+    /// requests in flight.
     pub async fn stop(self) {
         self.stop_unless_forced(Millis::ZERO, std::future::pending()).await;
     }
 
-    /// Stops as planned, for a signal that came `late` ago, but ends at once when `again` comes first.
-    /// Returns what was cut off.
+    /// Stops as planned for a signal received `signal_age` ago, but ends at once if `second_signal`
+    /// completes first. Returns the number of requests that were cut off.
     pub async fn stop_unless_forced<F>(self, signal_age: Millis, second_signal: F) -> u64
     where
         F: Future<Output = ()>,
     {
         let shared = &self.shared;
-        // Whoever sent the signal counts from there until it kills the process.
+        // The sender of the signal measures its kill timeout from when it sent the signal.
         let limit = shared.cfg.drain_limit - signal_age;
         let cfg = DrainCfg {
             close_delay: shared.cfg.drain_notice,
@@ -75,7 +76,7 @@
     async fn shutdown(self, gracefully: bool) {
         self.server.stop(gracefully).await;
         self.peers.stop();
-        // Dropping it would block, which a caller inside another runtime may not do.
+        // Dropping the runtime would block, which is not allowed inside another runtime.
         self.runtime.shutdown_background();
     }
 }
--- a/daemons/entry/tests/kit/mod.rs
+++ b/daemons/entry/tests/kit/mod.rs
@@ -1,4 +1,4 @@
-//! Entries inside the test's process, with a claims' log and endpoints that fail as they are told.
+//! Entry instances inside the test process, with a claims' log and endpoints that fail by script.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -32,9 +32,9 @@
     pub has_quorum: Arc<AtomicBool>,
     /// Whether verdicts are lost on their way back.
     pub loses_verdicts: Arc<AtomicBool>,
-    /// Batches of releases alone that are still lost on their way.
+    /// How many more batches that contain only releases are lost.
     pub lost_releases: Arc<AtomicU32>,
-    /// Verdicts that still leave an outcome out, as before the log has it.
+    /// How many more verdicts omit the outcome, as if the log did not have it yet.
     pub late_outcomes: Arc<AtomicU32>,
     _server: PeerServer,
     _runtime: tokio::runtime::Runtime,
@@ -43,26 +43,26 @@
 /// What a scripted endpoint does with each request.
 #[derive(Debug, Clone, Copy)]
 pub enum Script {
-    /// Takes the whole request and closes the connection.
+    /// Reads the complete request and closes the connection.
     CloseWithoutReply,
-    /// Promises a longer body than it sends.
+    /// Announces a longer body than it sends.
     TruncatedBody,
-    /// Ends a stream properly, but without its end marker.
+    /// Sends one token and ends the chunked encoding correctly, but without the end marker.
     NoEndMarker,
-    /// Streams tokens of many bytes for as long as they are read.
+    /// Streams tokens of many bytes as long as they are read.
     EndlessStream,
 }
 
 /// An endpoint on a bare socket.
 pub struct ScriptedEndpoint {
     pub address: SocketAddr,
-    /// Whole requests that came.
+    /// Number of complete requests received.
     pub requests: Arc<AtomicU32>,
-    /// Tokens of endless streams that were sent.
+    /// Number of tokens sent in endless streams.
     pub tokens: Arc<AtomicU32>,
 }
 
-/// A whole answer.
+/// A complete HTTP answer; the head is in lower case.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -73,7 +73,7 @@
 impl FakeControl {
     pub fn start() -> Self {
         let mut runtime = tokio::runtime::Builder::new_multi_thread();
-        let runtime = runtime.worker_threads(1).enable_all().build().expect("a runtime");
+        let runtime = runtime.worker_threads(1).enable_all().build().expect("build a runtime");
         let has_quorum = Arc::new(AtomicBool::new(true));
         let loses_verdicts = Arc::new(AtomicBool::new(false));
         let late_outcomes = Arc::new(AtomicU32::new(0));
@@ -91,7 +91,7 @@
         let (outcomes_left, releases_left) = (late_outcomes.clone(), lost_releases.clone());
         server.answer(move |batch: ClaimBatch| {
             let is_release = |ask: &ClaimAsk| matches!(ask, ClaimAsk::Release { .. });
-            // As in the log, a batch is carried out whole or not at all.
+            // As in the log, a batch is applied completely or not at all.
             let is_lost = batch.asks.iter().all(is_release) && count_down(&releases_left);
             let mut verdicts: Vec<ClaimVerdict> = batch
                 .asks
@@ -112,10 +112,10 @@
             }
             async move { Ok(ClaimReply { verdicts }) }
         });
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
         let server = {
             let _guard = runtime.enter();
-            server.start(listener).expect("it listens")
+            server.start(listener).expect("start the control server")
         };
         let address = server.address();
         Self {
@@ -130,7 +130,7 @@
     }
 }
 
-/// Counts down to zero, and returns whether it was above.
+/// Decrements the counter unless it is zero; returns whether it was decremented.
 fn count_down(left: &AtomicU32) -> bool {
     let decrement = |left: u32| left.checked_sub(1);
     left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement).is_ok()
@@ -151,13 +151,13 @@
     Change { revision: Revision(1), path, author, document: Some(document) }
 }
 
-/// Starts entry instances of one failure domain that know each other.
+/// Starts entry instances of one failure domain as peers of each other.
 pub fn start_entries(control: &FakeControl, count: usize) -> Vec<Entry> {
     if std::env::var_os("SILL_TEST_LOG").is_some() {
         // Another test of the process may have started it.
         let _ = sill_setup::logs::start(LevelFilter::Info);
     }
-    let peers = free_addresses(count).expect("free ports");
+    let peers = free_addresses(count).expect("reserve free ports");
     let started = (0..count).map(|i| {
         Entry::start(EntryCfg {
             name: format!("e{i}").into(),
@@ -176,17 +176,17 @@
             drain_notice: Millis(100),
             drain_limit: Millis(10_000),
         })
-        .expect("an entry instance")
+        .expect("entry instance should start")
     });
     let started: Vec<Entry> = started.collect();
-    wait_until("entries are ready", || started.iter().all(Entry::is_ready));
+    wait_until("all entry instances are ready", || started.iter().all(Entry::is_ready));
     started
 }
 
 impl ScriptedEndpoint {
     pub fn start(script: Script) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+        let address = listener.local_addr().expect("address of the bound listener");
         let (requests, tokens) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
         let counts = (requests.clone(), tokens.clone());
         thread::spawn(move || {
@@ -198,13 +198,13 @@
         Self { address, requests, tokens }
     }
 
-    /// Announces itself to an entry instance for a model and a plain service.
+    /// Announces this endpoint to an entry instance for a model and a plain service.
     pub fn announce(&self, entry: SocketAddr, name: &str) {
         announce(entry, name, &self.address.to_string());
     }
 }
 
-/// Announces an endpoint again and again until the entry instance is gone.
+/// Announces an endpoint periodically until the entry instance is gone.
 pub fn announce(entry: SocketAddr, name: &str, address: &str) {
     let (name, address) = (name.to_owned(), address.to_owned());
     thread::spawn(move || {
@@ -246,7 +246,7 @@
 const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
                            transfer-encoding: chunked\r\n\r\n";
 
-/// Returns a chunk with one token.
+/// Returns an HTTP chunk with the event of one token.
 fn token(index: u32, content: &str) -> String {
     let data = json!({ "id": "x", "choices": [{ "delta": { "content": content } }] });
     let event = format!("id: {index}\ndata: {data}\n\n");
@@ -286,7 +286,7 @@
 {
     let end = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "never came true: {what}");
+        assert!(Instant::now() < end, "timed out after {TIMEOUT:?} waiting until {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -296,27 +296,29 @@
     let authorization = format!("authorization: Bearer {CALLER_KEY}");
     let mut all = vec![authorization.as_str(), "content-type: application/json"];
     all.extend(headers);
-    http(to, "POST", path, &all, body).expect("an answer")
+    http(to, "POST", path, &all, body).expect("the entry instance should answer")
 }
 
-/// Sends a caller's request until the entry knows the endpoint and sends it there.
+/// Repeats a caller's request until the entry instance has sent it to an endpoint.
 pub fn call_until_routed(to: SocketAddr, path: &str, headers: &[&str], body: &str) -> Answer {
     let mut answer = None;
     wait_until("the request is routed", || {
         let reply = call(to, path, headers, body);
         let id = reply.head.lines().find_map(|line| line.strip_prefix("sill-request-id: "));
-        let explain = format!("/explain/{}", id.expect("a request id"));
+        let explain = format!("/explain/{}", id.expect("the answer has a request id"));
         let token = format!("authorization: Bearer {JOIN_TOKEN}");
-        let record = http(to, "GET", &explain, &[&token], "").expect("an answer");
+        let record =
+            http(to, "GET", &explain, &[&token], "").expect("the entry instance should answer");
         answer = Some(reply);
         record.body.contains("sent to ")
     });
-    answer.expect("an answer")
+    answer.expect("the entry instance should answer")
 }
 
-/// Reads a counter of an entry instance.
+/// Reads a metric of an entry instance; 0 if it is missing.
 pub fn metric(entry: SocketAddr, name: &str) -> u64 {
-    let text = http(entry, "GET", "/metrics", &[], "").expect("an answer").body;
+    let text =
+        http(entry, "GET", "/metrics", &[], "").expect("the entry instance should answer").body;
     let line = text.lines().find_map(|line| line.strip_prefix(name));
     line.and_then(|value| value.trim().parse().ok()).unwrap_or_default()
 }
@@ -332,7 +334,8 @@
     );
     stream.write_all(request.as_bytes()).ok()?;
     let mut answer = String::new();
-    // A stream that is broken off on purpose ends with an error; what came before counts.
+    // A stream that is aborted on purpose ends with a read error; the bytes before it are the
+    // answer.
     let _ = stream.read_to_string(&mut answer);
     let (head, body) = answer.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
--- a/daemons/entry/tests/serving.rs
+++ b/daemons/entry/tests/serving.rs
@@ -1,4 +1,5 @@
-//! Requests through the entry's own I/O: what counts as sent, as whole, and as run once.
+//! Requests through the HTTP and peer connections of entry instances: which count as not run, as
+//! complete, and as run once.
 
 mod kit;
 
@@ -56,7 +57,7 @@
         decode: Millis(decode),
         ..EndpointCfg::default()
     };
-    Endpoint::start(cfg).expect("an endpoint")
+    Endpoint::start(cfg).expect("endpoint should start")
 }
 
 fn model() -> Served {
@@ -66,7 +67,9 @@
 fn service(entry: SocketAddr, decode: u64) -> Endpoint {
     let served = Served::Service { service: "notices".into() };
     let endpoint = endpoint(vec![entry], vec![served], decode);
-    wait_until("it is served", || call(entry, "/s/notices/warm", &[], "").status == 200);
+    wait_until("the entry instance serves the target", || {
+        call(entry, "/s/notices/warm", &[], "").status == 200
+    });
     endpoint
 }
 
@@ -88,10 +91,10 @@
     requests: u32,
 }
 
-/// The only endpoint fails in every way there is. A caller who is told not-run sends again; where
-/// the request has left, that is a second notice to the same widow.
+/// The only endpoint fails in different ways. A caller that is told "not run" sends its request
+/// again; if the endpoint had received the request, a non-idempotent call would run twice.
 #[test]
-fn not_run_is_said_only_where_no_byte_has_left() {
+fn requests_that_reached_an_endpoint_are_not_certified_as_not_run() {
     const ONCE: &[&str] = &["sill-idempotent: false"];
     let cases = [
         Case {
@@ -184,8 +187,9 @@
         match &scripted {
             Some(scripted) => scripted.announce(entry, "scripted"),
             None => {
-                let closed = TcpListener::bind("127.0.0.1:0").expect("a free port");
-                let address = closed.local_addr().expect("its address").to_string();
+                let closed = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+                let address =
+                    closed.local_addr().expect("address of the bound listener").to_string();
                 drop(closed);
                 announce(entry, "closed", &address);
             }
@@ -201,42 +205,47 @@
     }
 }
 
-/// An endpoint ends its stream without the end marker. Passed off as whole, the clerk would file
-/// half a report; so it is resumed elsewhere.
+/// An endpoint ends its stream without the end marker. If that counted as a complete answer, the
+/// caller would use a truncated one; so it has to be resumed at another endpoint.
 #[test]
-fn an_answer_without_its_end_marker_goes_on_elsewhere() {
+fn an_answer_without_end_marker_is_resumed_elsewhere() {
     let control = FakeControl::start();
     let entries = start_entries(&control, 1);
     let entry = entries[0].address;
     let scripted = ScriptedEndpoint::start(Script::NoEndMarker);
     scripted.announce(entry, "a-scripted");
-    let asked = thread::spawn(move || call_until_routed(entry, CHAT, &[], &body(3, true)));
-    wait_until("it was sent", || scripted.requests.load(Ordering::Relaxed) > 0);
+    let caller = thread::spawn(move || call_until_routed(entry, CHAT, &[], &body(3, true)));
+    wait_until("the request reaches the endpoint", || {
+        scripted.requests.load(Ordering::Relaxed) > 0
+    });
     let endpoint = endpoint(vec![entry], vec![model()], 1);
-    let answer = asked.join().expect("no panic");
+    let answer = caller.join().expect("caller thread panicked");
     assert!(answer.body.contains("[DONE]"), "{answer:?}");
     let runs = endpoint.ledger();
     assert_eq!(runs.len(), 1, "{runs:?}");
     assert_eq!((runs[0].resumed_at, runs[0].end), (1, RunEnd::Finished));
 }
 
-/// A clerk's connection drops while a notice is being sent, and the application sends it again, at
-/// once, later, ten times at once, through another entry instance. It must run once.
+/// A caller's connection drops and the application resends its request: ten times concurrently,
+/// later, and through another entry instance. The request must run once.
 #[test]
-fn a_keyed_notice_runs_once_however_often_it_is_sent() {
+fn resends_with_the_same_key_run_once() {
     let control = FakeControl::start();
     let entries = start_entries(&control, 2);
     let addresses: Vec<SocketAddr> = entries.iter().map(|e| e.address).collect();
     let endpoint = service(addresses[0], 50);
-    wait_until("both serve it", || call(addresses[1], "/s/notices/warm", &[], "").status == 200);
+    wait_until("both entry instances serve the target", || {
+        call(addresses[1], "/s/notices/warm", &[], "").status == 200
+    });
     let key = ["idempotency-key: notice-1"];
-    let asked: Vec<_> = (0..10)
+    let callers: Vec<_> = (0..10)
         .map(|i| {
             let entry = addresses[i % 2];
             thread::spawn(move || call(entry, SEND, &key, "to the widow"))
         })
         .collect();
-    let answers: Vec<Answer> = asked.into_iter().map(|a| a.join().expect("no panic")).collect();
+    let answers: Vec<Answer> =
+        callers.into_iter().map(|a| a.join().expect("caller thread panicked")).collect();
     for answer in &answers {
         assert_eq!(answer.status, 200, "{answer:?}");
         assert_eq!(answer.body, answers[0].body);
@@ -253,12 +262,12 @@
     assert_eq!(sends(&endpoint), 1);
 }
 
-/// A notice is answered, and sent again at once through another failure domain, before the claims' log
-/// has its outcome. The clerk has the answer already and would now be told that it is unknown.
+/// A request is answered and resent at once through another failure domain, before the claims' log
+/// has its outcome. The caller would be told that the outcome of an answered request is unknown.
 #[test]
-fn a_resend_in_another_domain_waits_for_the_outcome_to_be_noted() {
+fn a_resend_in_another_domain_waits_until_the_outcome_is_recorded() {
     let control = FakeControl::start();
-    // Two instances that don't know each other.
+    // Two instances that are not peers of each other.
     let (first, second) = (start_entries(&control, 1), start_entries(&control, 1));
     let (here, there) = (first[0].address, second[0].address);
     let endpoint = service(here, 1);
@@ -271,10 +280,11 @@
     assert_eq!(sends(&endpoint), 1);
 }
 
-/// The failure domain is cut off from the quorum, or the verdict on a claim is lost. The notice is
-/// refused at once, certified, and everything else is served; the same key works once the cut ends.
+/// The failure domain is partitioned from the quorum, or the verdict on a claim is lost. A request
+/// that needs a claim is refused at once and certified as not run, and everything else is served.
+/// The same key works again after the fault.
 #[test]
-fn without_a_quorum_only_what_needs_a_claim_is_refused() {
+fn without_a_quorum_only_requests_with_a_claim_are_refused() {
     let control = FakeControl::start();
     let entries = start_entries(&control, 1);
     let entry = entries[0].address;
@@ -289,28 +299,34 @@
         fault.fetch_xor(true, Ordering::Relaxed);
     }
     assert_eq!(sends(&endpoint), 0);
-    wait_until("the key works again", || call(entry, SEND, &key, "to the widow").status == 200);
+    wait_until("a resend with the same key runs", || {
+        call(entry, SEND, &key, "to the widow").status == 200
+    });
     assert_eq!(sends(&endpoint), 1);
 }
 
-/// A control instance hangs: it takes the claim on a notice, but the verdict comes too late, and so
-/// does the release once the notice was refused. The clerk, told that it was not run, sends it again
-/// before the next release. A claim left by the refusal would make the second answer that nobody
-/// knows whether the notice was sent, and the widow would get no letter.
+/// A control instance hangs: it applies the claim, but its verdict arrives too late, and the
+/// release that follows the refusal is lost. The caller, told that its request was not run, resends
+/// it before the next release. With the claim still held, it would be told that the outcome is
+/// unknown, and the request would never run.
 #[test]
-fn a_refused_notice_is_sent_when_it_comes_again_before_its_claim_is_released() {
+fn a_refused_request_runs_when_resent_before_its_claim_is_released() {
     for through_peer in [false, true] {
         let control = FakeControl::start();
         let entries = start_entries(&control, 2);
         let (first, second) = (entries[0].address, entries[usize::from(through_peer)].address);
         let endpoint = service(first, 1);
-        wait_until("both serve it", || call(second, "/s/notices/warm", &[], "").status == 200);
+        wait_until("both entry instances serve the target", || {
+            call(second, "/s/notices/warm", &[], "").status == 200
+        });
         let key = ["idempotency-key: notice-4"];
         control.loses_verdicts.store(true, Ordering::Relaxed);
         control.lost_releases.store(2, Ordering::Relaxed);
         let refused = call(first, SEND, &key, "to the widow");
         assert!(refused.status == 503 && is_not_run(&refused), "{refused:?}");
-        wait_until("a release is lost", || control.lost_releases.load(Ordering::Relaxed) == 1);
+        wait_until("the control instance drops a release", || {
+            control.lost_releases.load(Ordering::Relaxed) == 1
+        });
         control.loses_verdicts.store(false, Ordering::Relaxed);
         let mut again = call(second, SEND, &key, "to the widow");
         while again.status == 503 {
@@ -323,17 +339,17 @@
     }
 }
 
-/// The entry instance is restarted between the claim and the answer, so that nobody knows what came
-/// of the notice. It must not be sent a second time.
+/// The entry instance that owns a claim is lost between the claim and the answer, so the outcome is
+/// unknown. The request must not run a second time.
 #[test]
-fn a_notice_whose_entry_is_gone_is_not_sent_again() {
+fn a_request_of_a_lost_entry_instance_is_not_run_again() {
     let control = FakeControl::start();
     let first = start_entries(&control, 1);
     let entry = first[0].address;
     let endpoint = service(entry, 4_000);
     let key = ["idempotency-key: notice-3"];
     thread::spawn(move || call(entry, SEND, &key, "to the widow"));
-    wait_until("it was sent", || sends(&endpoint) == 1);
+    wait_until("the request reaches the endpoint", || sends(&endpoint) == 1);
     let second = start_entries(&control, 1);
     let answer = call(second[0].address, SEND, &key, "to the widow");
     assert_eq!(answer.status, 409, "{answer:?}");
@@ -341,39 +357,43 @@
     assert_eq!(sends(&endpoint), 1);
 }
 
-/// A reader closes the page in the middle of an answer. The endpoint must not go on computing it.
+/// A caller disconnects in the middle of an answer. The endpoint must not continue to compute it.
 #[test]
-fn a_caller_that_goes_away_cancels_its_request() {
+fn a_disconnected_caller_cancels_its_request() {
     let control = FakeControl::start();
     let entries = start_entries(&control, 1);
     let entry = entries[0].address;
     let endpoint = endpoint(vec![entry], vec![model()], 10);
-    wait_until("it is served", || call(entry, CHAT, &[], &body(1, false)).status == 200);
+    wait_until("the entry instance serves the target", || {
+        call(entry, CHAT, &[], &body(1, false)).status == 200
+    });
     for stream in [true, false] {
         let body = body(3000, stream);
-        let mut caller = TcpStream::connect(entry).expect("a connection");
+        let mut caller = TcpStream::connect(entry).expect("connect to the entry instance");
         let request = format!(
             "POST {CHAT} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer test-caller-key\r\n\
              content-length: {}\r\n\r\n{body}",
             body.len()
         );
-        caller.write_all(request.as_bytes()).expect("it is sent");
+        caller.write_all(request.as_bytes()).expect("send the request");
         if stream {
-            caller.read_exact(&mut [0; 1000]).expect("the answer begins");
+            caller.read_exact(&mut [0; 1000]).expect("read the start of the answer");
         }
-        let last = || endpoint.ledger().pop().expect("a run");
-        wait_until("it runs", || last().sent_tokens > 0 && last().end == RunEnd::Running);
+        let last = || endpoint.ledger().pop().expect("the endpoint should have a run");
+        wait_until("the endpoint sends tokens", || {
+            last().sent_tokens > 0 && last().end == RunEnd::Running
+        });
         drop(caller);
-        wait_until("it is cancelled", || last().end == RunEnd::Cancelled);
-        wait_until("nothing is in flight", || metric(entry, "sill_requests_in_flight") == 0);
+        wait_until("the endpoint's run is cancelled", || last().end == RunEnd::Cancelled);
+        wait_until("no request is in flight", || metric(entry, "sill_requests_in_flight") == 0);
     }
 }
 
-/// A reader's connection stalls in the middle of a long answer, so that parts of it wait in the entry
-/// instance, and is then lost. The thread that serves it must notice; spinning on what waits, it would
-/// leave all its other callers without a word until the process ends.
+/// A caller's connection stalls in the middle of a long answer, so that parts of it are buffered in
+/// the entry instance, and is then lost. The worker thread must notice; if it spun on the buffer,
+/// all its other callers would hang until the process ends.
 #[test]
-fn a_slow_caller_that_goes_away_holds_up_nobody() {
+fn a_disconnected_slow_caller_does_not_block_its_worker_thread() {
     let control = FakeControl::start();
     let entries = start_entries(&control, 1);
     let entry = entries[0].address;
@@ -388,27 +408,28 @@
     let mut start = [0; 12];
     let mut caller = None;
     wait_until("the answer begins", || {
-        let mut stream = TcpStream::connect(entry).expect("a connection");
-        stream.write_all(request.as_bytes()).expect("it is sent");
-        stream.read_exact(&mut start).expect("an answer");
+        let mut stream = TcpStream::connect(entry).expect("connect to the entry instance");
+        stream.write_all(request.as_bytes()).expect("send the request");
+        stream.read_exact(&mut start).expect("read the reply");
         caller = Some(stream);
         start == *b"HTTP/1.1 200"
     });
     let mut sent = 0;
-    wait_until("nothing more is read", || {
+    wait_until("the entry instance stops reading the answer", || {
         thread::sleep(Duration::from_millis(500));
         let before = std::mem::replace(&mut sent, scripted.tokens.load(Ordering::Relaxed));
         sent == before
     });
     assert_eq!(metric(entry, "sill_requests_in_flight"), 1);
     drop(caller);
-    wait_until("nothing is in flight", || metric(entry, "sill_requests_in_flight") == 0);
+    wait_until("no request is in flight", || metric(entry, "sill_requests_in_flight") == 0);
 }
 
-/// A wave takes three of four endpoints, with notices from none to a second, while forty answers
-/// run through two entry instances. Every one of them comes whole, and the text is its own.
+/// Three of four endpoints are reclaimed, with notices from none to one second, while forty answers
+/// run through two entry instances. Every answer must be complete and have the text of its own
+/// prompt.
 #[test]
-fn a_wave_of_reclaims_leaves_every_answer_whole() {
+fn a_wave_of_reclaims_truncates_no_answer() {
     let control = FakeControl::start();
     let entries = start_entries(&control, 2);
     let addresses: Vec<SocketAddr> = entries.iter().map(|e| e.address).collect();
@@ -416,7 +437,9 @@
         .map(|i| named_endpoint(&format!("m{i}"), addresses.clone(), vec![model()], 5))
         .collect();
     for entry in &addresses {
-        wait_until("it is served", || call(*entry, CHAT, &[], &body(1, false)).status == 200);
+        wait_until("the entry instance serves the target", || {
+            call(*entry, CHAT, &[], &body(1, false)).status == 200
+        });
     }
     let prompts: Vec<String> = (0..40)
         .map(|i| {
@@ -426,7 +449,7 @@
                 .to_string()
         })
         .collect();
-    let asked: Vec<_> = prompts
+    let callers: Vec<_> = prompts
         .iter()
         .enumerate()
         .map(|(i, prompt)| {
@@ -434,24 +457,26 @@
             thread::spawn(move || call(entry, CHAT, &[], &prompt))
         })
         .collect();
-    wait_until("answers run", || {
+    wait_until("at least 20 answers have more than 20 tokens", || {
         let runs = endpoints.iter().flat_map(Endpoint::ledger);
         runs.filter(|run| run.end == RunEnd::Running && run.sent_tokens > 20).count() >= 20
     });
     for (endpoint, in_ms) in endpoints.iter().zip([0, 300, 1000]) {
         endpoint.reclaim(Millis(in_ms));
     }
-    for (prompt, asked) in prompts.iter().zip(asked) {
-        let answer = asked.join().expect("no panic");
+    for (prompt, caller) in prompts.iter().zip(callers) {
+        let answer = caller.join().expect("caller thread panicked");
         assert_eq!(answer.status, 200, "{answer:?}");
-        let request: Value = serde_json::from_str(prompt).expect("JSON");
-        let expected = Expected::to(&ChatSummary::read(&request).expect("a request")).text();
+        let request: Value = serde_json::from_str(prompt).expect("the prompt is JSON");
+        let expected =
+            Expected::to(&ChatSummary::read(&request).expect("the prompt is a chat request"))
+                .text();
         assert_eq!(text(&answer), expected, "{prompt}");
     }
     assert_eq!(addresses.iter().map(|e| metric(*e, "sill_requests_failed_total")).sum::<u64>(), 0);
 }
 
-/// Returns the text of an answer, streamed or in one piece.
+/// Returns the text of an answer, streamed or complete.
 fn text(answer: &Answer) -> String {
     let data = answer.body.lines().map(|line| line.strip_prefix("data: ").unwrap_or(line));
     let pieces = data.filter_map(|line| serde_json::from_str::<Value>(line).ok());
@@ -465,33 +490,33 @@
         .collect()
 }
 
-/// As many as go in one call.
+/// Requests of the hand-off: as many as one call may carry.
 const HAND_OFF_RUNS: usize = 256;
 
-/// Tokens that each caller has.
+/// Tokens that each caller has received before the hand-off.
 const TOKENS_PER_RUN: u32 = 3;
 
-/// An entry instance that is reclaimed hands its requests over and, once the peer has answered, cuts
-/// its callers off. They come back through the peer at once. One that is there before the peer's
-/// busy thread has begun the handed request would start it anew: the answer so far would be thrown
-/// away, and the long prompt computed a second time.
+/// A reclaimed entry instance hands over its requests and disconnects its callers once the peer has
+/// replied. They re-attach through the peer at once. If the peer's busy worker thread had yet to
+/// register the request, a caller would start it again: the answer so far would be discarded and
+/// the long prompt computed a second time.
 #[test]
-fn a_handed_request_is_found_as_soon_as_it_is_taken() {
+fn a_request_handed_over_is_found_as_soon_as_the_peer_replied() {
     let control = FakeControl::start();
     let entry = &start_entries(&control, 1)[0];
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.expect("a runtime");
+    let runtime = runtime.expect("build a runtime");
     let runs: Vec<HandOffRun> = (0..HAND_OFF_RUNS).map(hand_off_run).collect();
     let last = runs[HAND_OFF_RUNS - 1].key.clone();
     let (accepted, reply) = runtime.block_on(async {
         let peer = PeerClient::new(entry.peer_address, &Secret::new(CLUSTER_KEY), Millis(5_000));
-        let reply = peer.call(&HandOff { from: "e9".into(), runs }).await.expect("an answer");
+        let reply = peer.call(&HandOff { from: "e9".into(), runs }).await.expect("read the reply");
         let follow = FollowRun { key: last, from: 0, wait: Millis(0) };
-        (reply.accepted, peer.call(&follow).await.expect("an answer"))
+        (reply.accepted, peer.call(&follow).await.expect("read the reply"))
     });
     assert_eq!(accepted.len(), HAND_OFF_RUNS);
     let FollowReply::More(part) = reply else {
-        panic!("it is not known: {reply:?}");
+        panic!("the peer does not know the run that it accepted: {reply:?}");
     };
     assert_eq!(part.escaped.len() as u32, TOKENS_PER_RUN);
 }
