--- a/coordination/flight/tests/cases.rs
+++ b/coordination/flight/tests/cases.rs
@@ -65,7 +65,7 @@
 /// free, while the live one is full, so an accepted request is routed only to endpoints that refuse
 /// the connection. If these counted as failed attempts, the caller would get 502 within a second,
 /// although nothing ran and a slot is free soon after. On a busy host
-/// `a_wave_of_reclaims_leaves_every_answer_whole` runs into this.
+/// `a_wave_of_reclaims_truncates_no_answer` runs into this.
 #[test]
 fn an_accepted_request_survives_unreachable_endpoints() {
     let mut request = InFlightRequest::new(RequestCfg::default(), spec(true), 1);
