--- a/daemons/entry/src/claims.rs
+++ b/daemons/entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Client of the claim log, which sends commands in batches.
+//! Client of the claims' log, which sends commands in batches.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -35,9 +35,9 @@
 /// Maximum number of polls for an outcome.
 const MAX_OUTCOME_POLLS: u32 = 10;
 
-/// Interface of the claim log for requests.
+/// Interface of the claims' log for requests.
 pub trait Claims: Debug + Send + Sync {
-    /// Submits a command. The channel is closed without a verdict if none can be obtained.
+    /// Submits a command. A closed channel means that there will be no verdict.
     fn submit(&self, ask: ClaimAsk) -> oneshot::Receiver<ClaimVerdict>;
 
     /// Submits a command that nobody waits for, and retries until the log has decided it or the
@@ -49,7 +49,7 @@
     fn is_releasing(&self, key: &ClaimKey) -> bool;
 }
 
-/// The claim log of the control instances.
+/// The claims' log of the control instances.
 #[derive(Debug)]
 pub struct ControlClaims {
     asks: mpsc::UnboundedSender<PendingAsk>,
@@ -188,7 +188,7 @@
     }
 }
 
-/// State of the task that sends batches to the claim log.
+/// State of the task that sends batches to the claims' log.
 #[derive(Debug, Clone)]
 struct LogClient {
     clients: Arc<[PeerClient]>,
@@ -280,7 +280,7 @@
     }
 }
 
-/// A claim log in memory, for tests and trials with a single entry instance.
+/// A claims' log in memory, for tests and trials with a single entry instance.
 #[derive(Debug, Default)]
 pub struct MemoryClaims(Mutex<ClaimTable>);
 
--- a/daemons/entry/src/serve.rs
+++ b/daemons/entry/src/serve.rs
@@ -297,7 +297,7 @@
     let run = &job.run;
     let next_index = transcript.next_index();
     let cfg = RequestCfg::default();
-    // A non-idempotent request is not resumed: it is admitted again, and the claim log decides by
+    // A non-idempotent request is not resumed: it is admitted again, and the claims' log decides by
     // the owner of its claim.
     let (flight, first) = if next_index > 0 && run.spec.is_idempotent {
         let flight =
--- a/daemons/entry/src/serve/finish.rs
+++ b/daemons/entry/src/serve/finish.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Publishes the end to the claim log, followers and the caller.
+    /// Publishes the end to the claims' log, followers and the caller.
     pub(super) async fn finish(mut self) -> Option<AnswerSource> {
         let end = self.end.take().unwrap_or(RunEnd::Abandoned);
         // If another request holds the claim, its driver counts and settles the request.
@@ -152,7 +152,7 @@
             RunEnd::Complete => {
                 ClaimOutcome::Answered { status: 200, body: Some(self.full_answer().to_string()) }
             }
-            // The state machine reports every other end to the claim log itself.
+            // The state machine reports every other end to the claims' log itself.
             _ => return,
         };
         let ask = ClaimAsk::Finish { key: claim.key.clone(), owner: claim.owner.clone(), outcome };
