--- a/coordination/member/tests/cases.rs
+++ b/coordination/member/tests/cases.rs
@@ -4,7 +4,7 @@
 
 use sill_base::{Machine, Millis, Name};
 use sill_member::{Action, CLOCK_START, Event, MemberCfg, Members, Report, Weakening};
-use sill_wire::member::{EntryInfo, MemberReply, Relayed};
+use sill_wire::member::{EntryInfo, MemberReply, RelayedAnnouncement};
 use sill_wire::{Announcement, Incarnation};
 use sim::{Faults, Sim, announcement};
 
@@ -181,7 +181,7 @@
             settled: true,
             entries: Vec::new(),
             heartbeats: Vec::new(),
-            endpoints: vec![Relayed { announcement: m1(1, 1, None), age }],
+            endpoints: vec![RelayedAnnouncement { announcement: m1(1, 1, None), age }],
             loads: Vec::new(),
             leaving: Vec::new(),
             summaries: Vec::new(),
--- a/daemons/entry/src/serve.rs
+++ b/daemons/entry/src/serve.rs
@@ -25,7 +25,7 @@
 use sill_limit::{Cost, Verdict};
 use sill_net::http::Failure;
 use sill_wire::claim::{ClaimKey, ClaimOwner};
-use sill_wire::handoff::{PassedHeader, RunAt};
+use sill_wire::handoff::{ReplyHeader, RunLocation};
 use sill_wire::{ErrorCode, prefix};
 
 use self::attach::{AnswerSource, FollowOutcome, Follower, LookupResult};
@@ -59,17 +59,17 @@
     } else {
         ResponseMode::Full
     };
-    let prompt_tokens = prefix::tokens(&summary.prompt);
+    let prompt_tokens = prefix::token_count(&summary.prompt);
     let spec = request_spec(app, &id, &meta, ServiceKind::Model, prompt_tokens, summary.max_tokens);
     let upstream_request = UpstreamRequest {
         method: Method::POST,
         path: path.clone(),
         request: id,
         key: meta.key.clone(),
-        headers: vec![PassedHeader::new("content-type", "application/json")],
+        headers: vec![ReplyHeader::new("content-type", "application/json")],
         body: UpstreamRequest::stream_body(body),
     };
-    let blocks = prefix::blocks(&summary.model, &summary.prompt).into();
+    let blocks = prefix::block_hashes(&summary.model, &summary.prompt).into();
     let run = new_run(&meta, spec, path, summary.model);
     let job = Job { run, upstream_request, blocks, priority: meta.priority, mode, sender: None };
     serve(app, client, job, start_index).await
@@ -151,7 +151,9 @@
             return refuse(app, lifecycle.refuse(ErrorCode::KeyReused, message, None));
         }
         LookupResult::Local(existing) => Task::Follow(AnswerSource::Local(existing)),
-        LookupResult::Remote(RunAt { address, .. }) => Task::Follow(AnswerSource::Remote(address)),
+        LookupResult::Remote(RunLocation { address, .. }) => {
+            Task::Follow(AnswerSource::Remote(address))
+        }
         LookupResult::New => Task::Drive { is_home_lost: false },
         LookupResult::HomeUnreachable => Task::Drive { is_home_lost: true },
     };
@@ -387,7 +389,7 @@
         path: run.path.clone(),
         request: run.request().clone(),
         key: Some(run.key.key.clone()),
-        headers: vec![PassedHeader::new("content-type", "application/json")],
+        headers: vec![ReplyHeader::new("content-type", "application/json")],
         body: body.into(),
     };
     let blocks = Arc::from([]);
--- a/daemons/entry/src/serve/caller.rs
+++ b/daemons/entry/src/serve/caller.rs
@@ -9,7 +9,7 @@
 use sill_base::{Millis, Name};
 use sill_flight::lifecycle::{NotRunRefusal, RequestFailure};
 use sill_net::http::Failure;
-use sill_wire::handoff::{FailedRun, WholeReply};
+use sill_wire::handoff::{FailedRun, HttpReply};
 use sill_wire::{ErrorBody, ErrorCode, ErrorDetail, header};
 use tokio::sync::mpsc;
 
@@ -32,7 +32,7 @@
     /// The stream was sent completely.
     Complete,
     /// A complete HTTP answer.
-    Reply(WholeReply),
+    Reply(HttpReply),
     /// A refusal, certified as not run.
     NotRun(NotRunRefusal),
     /// The request failed and is not certified as not run.
--- a/daemons/entry/src/serve/driver.rs
+++ b/daemons/entry/src/serve/driver.rs
@@ -14,7 +14,7 @@
 use sill_route::{Choice, Outcome, RefusalReason, RouteRequest, Target};
 use sill_wire::Priority;
 use sill_wire::claim::ClaimVerdict;
-use sill_wire::handoff::WholeReply;
+use sill_wire::handoff::HttpReply;
 use tokio::sync::{oneshot, watch};
 
 use super::attach::{self, AnswerSource};
@@ -78,7 +78,7 @@
     signals: watch::Receiver<u64>,
     timer: Timer,
     pub(super) end: Option<RunEnd>,
-    reply: Option<WholeReply>,
+    reply: Option<HttpReply>,
     pub(super) received_at: Millis,
     first_token_at: Option<Millis>,
     is_accepted: bool,
--- a/daemons/entry/src/serve/run.rs
+++ b/daemons/entry/src/serve/run.rs
@@ -8,7 +8,7 @@
 use sill_flight::lifecycle::{NotRunRefusal, RequestFailure};
 use sill_flight::{RequestSpec, Transcript};
 use sill_wire::claim::{BodyHash, ClaimKey};
-use sill_wire::handoff::{AnswerPart, FailedRun, FollowReply, WholeReply};
+use sill_wire::handoff::{AnswerPart, FailedRun, FollowReply, HttpReply};
 use tokio::sync::Notify;
 
 /// How long a complete answer is retained for a caller that re-attaches.
@@ -50,7 +50,7 @@
     /// The model's answer is complete.
     Complete,
     /// The endpoint sent a complete HTTP answer, successful or not.
-    Reply(WholeReply),
+    Reply(HttpReply),
     /// It failed and is not certified as not run.
     Failed(RequestFailure),
     /// It was refused, certified as not run.
--- a/daemons/entry/src/serve/upstream.rs
+++ b/daemons/entry/src/serve/upstream.rs
@@ -14,7 +14,7 @@
 use sill_flight::flight::{Epoch, ResumePoint};
 use sill_flight::{Placement, Transcript};
 use sill_wire::endpoint::{KvSource, Resume};
-use sill_wire::handoff::{PassedHeader, ReplyBody, WholeReply};
+use sill_wire::handoff::{HttpReply, ReplyBody, ReplyHeader};
 use sill_wire::header;
 
 use super::headers::passed_headers;
@@ -34,7 +34,7 @@
     /// The caller's idempotency key, sent as a header.
     pub key: Option<Name>,
     /// Headers that are forwarded.
-    pub headers: Vec<PassedHeader>,
+    pub headers: Vec<ReplyHeader>,
     /// The body; for a model, JSON that asks for a stream with usage counts.
     pub body: Bytes,
 }
@@ -49,7 +49,7 @@
     /// A part of the streamed answer.
     Part(Bytes),
     /// A complete answer: of a plain service, or an endpoint's error.
-    Reply(WholeReply),
+    Reply(HttpReply),
     /// The answer ended or failed before it was complete.
     Cut(String),
 }
@@ -186,7 +186,7 @@
     let headers = passed_headers(res.headers());
     match res.body().limit(MAX_REPLY_BYTES).await {
         Ok(body) => {
-            UpstreamEvent::Reply(WholeReply { status, headers, body: ReplyBody::new(&body) })
+            UpstreamEvent::Reply(HttpReply { status, headers, body: ReplyBody::new(&body) })
         }
         // A retry would get an answer of the same size, so the caller is told at once.
         Err(PayloadError::Overflow) => UpstreamEvent::Reply(too_large_reply()),
@@ -194,9 +194,9 @@
     }
 }
 
-fn too_large_reply() -> WholeReply {
+fn too_large_reply() -> HttpReply {
     const STATUS: u16 = 500;
     let message = format!("the answer is larger than {MAX_REPLY_BYTES} bytes");
     let error = json!({ "code": "upstream_failed", "message": message, "not_run": false });
-    WholeReply::json(STATUS, json!({ "error": error }).to_string())
+    HttpReply::json(STATUS, json!({ "error": error }).to_string())
 }
