--- a/daemons/entry/src/request.rs
+++ b/daemons/entry/src/request.rs
@@ -16,7 +16,7 @@
 use sill_wire::{ErrorCode, Priority, header};
 
 use crate::daemon::Shared;
-use crate::serve::headers::passed_headers;
+use crate::serve::headers::forwardable_headers;
 
 /// The longest idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
@@ -134,7 +134,7 @@
         path.push('?');
         path.push_str(req.query_string());
     }
-    let headers = passed_headers(req.headers());
+    let headers = forwardable_headers(req.headers());
     let method = req.method().clone();
     Ok(PlainRequest { meta, method, service: name.clone(), path, headers, body })
 }
--- a/daemons/entry/src/serve/headers.rs
+++ b/daemons/entry/src/serve/headers.rs
@@ -26,12 +26,12 @@
 ];
 
 /// Returns the headers that are forwarded. `sill-` headers are set anew for each hop.
-pub fn passed_headers(headers: &HeaderMap) -> Vec<ReplyHeader> {
-    let passed = headers.iter().filter_map(|(name, value)| {
+pub fn forwardable_headers(headers: &HeaderMap) -> Vec<ReplyHeader> {
+    let forwardable = headers.iter().filter_map(|(name, value)| {
         let name = name.as_str().to_ascii_lowercase();
         let is_own = OWN.contains(&name.as_str()) || name.starts_with("sill-");
         let value = value.to_str().ok()?;
         (!is_own && name != "content-encoding").then(|| ReplyHeader::new(&name, value))
     });
-    passed.collect()
+    forwardable.collect()
 }
--- a/daemons/entry/src/serve/upstream.rs
+++ b/daemons/entry/src/serve/upstream.rs
@@ -17,7 +17,7 @@
 use sill_wire::handoff::{HttpReply, ReplyBody, ReplyHeader};
 use sill_wire::header;
 
-use super::headers::passed_headers;
+use super::headers::forwardable_headers;
 
 /// Maximum size in bytes of a complete answer: of a plain service, or an endpoint's error.
 const MAX_REPLY_BYTES: usize = 16 << 20;
@@ -183,7 +183,7 @@
 
 async fn collect(res: ClientResponse) -> UpstreamEvent {
     let status = res.status().as_u16();
-    let headers = passed_headers(res.headers());
+    let headers = forwardable_headers(res.headers());
     match res.body().limit(MAX_REPLY_BYTES).await {
         Ok(body) => {
             UpstreamEvent::Reply(HttpReply { status, headers, body: ReplyBody::new(&body) })
