--- a/daemons/entry/src/handoff.rs
+++ b/daemons/entry/src/handoff.rs
@@ -1,5 +1,5 @@
-//! The end of this instance, by a reclaim or at the limit of a planned stop: every model request in flight
-//! goes to a peer of the domain.
+//! Hand-off: when this instance is reclaimed or reaches the limit of a planned stop, every model
+//! request in flight is handed over to a peer of the failure domain.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,25 +17,25 @@
 
 use crate::daemon::Shared;
 use crate::peers;
-use crate::serve::TakenOver;
+use crate::serve::IncomingRun;
 use crate::serve::signals::Offer;
 
-/// Time that a hand-off is given at least; with less left it begins at once.
-const NEEDED: Millis = Millis(1_500);
+/// Minimum time reserved for a hand-off; with less time left it begins at once.
+const MIN_HAND_OFF_TIME: Millis = Millis(1_500);
 
-/// How long offers are gathered into one call.
-const GATHER: Millis = Millis(5);
+/// How long offers are collected for one call.
+const BATCH_INTERVAL: Millis = Millis(5);
 
-/// Requests in one call at most.
+/// Maximum number of requests in one call.
 const MAX_RUNS: usize = 256;
 
-/// How long a peer has to take requests over before another one is asked.
-const TIMEOUT: Millis = Millis(500);
+/// Timeout of a hand-off call to a peer, after which the next peer is asked.
+const PEER_TIMEOUT: Millis = Millis(500);
 
-/// Threads that requests can be handed to.
-pub type Takers = parking_lot::Mutex<Vec<mpsc::UnboundedSender<TakenOver>>>;
+/// Channels to the worker threads that resume requests handed over by peers.
+pub type WorkerSenders = parking_lot::Mutex<Vec<mpsc::UnboundedSender<IncomingRun>>>;
 
-/// `POST /reclaim`.
+/// Handles `POST /reclaim`, authorized by the join token.
 pub async fn reclaim(
     app: web::types::State<Arc<Shared>>,
     req: HttpRequest,
@@ -46,50 +46,52 @@
         return Failure::new(ErrorCode::Unauthorized, "wrong join token")
             .response(&Name::default());
     }
-    begin(&app, notice.in_ms);
+    begin_reclaim(&app, notice.in_ms);
     http::json(200, &json!({ "accepted": true }))
 }
 
-/// Begins to leave.
-pub fn begin(app: &Arc<Shared>, left: Millis) {
-    event!(Info, "reclaim_notice", name = app.cfg.name, in_ms = left);
+/// Marks this instance as leaving and schedules the hand-off of its requests.
+pub fn begin_reclaim(app: &Arc<Shared>, time_left: Millis) {
+    event!(Info, "reclaim_notice", name = app.cfg.name, in_ms = time_left);
     app.stopping.store(true, Ordering::Relaxed);
     if app.reclaimed.swap(true, Ordering::Relaxed) {
         return;
     }
     let leaving = app.clone();
     app.runtime.spawn(async move {
-        // Answers that come to their end meanwhile need not be moved.
-        tokio::time::sleep(wait(left).into()).await;
+        // Requests that finish during this delay need no hand-off.
+        tokio::time::sleep(hand_off_delay(time_left).into()).await;
         hand_off(&leaving).await;
     });
 }
 
-/// Hands over what a planned stop would cut at its limit, shortly before that.
+/// Schedules the hand-off of requests that a planned stop would cut off, shortly before its limit.
 ///
-/// A caller whose answer is cut has half of it, and whoever comes back has the prompt computed again; one
-/// that was handed over finds its answer at a peer.
-pub fn before_limit(app: &Arc<Shared>, limit: Millis) {
+/// A cut leaves the caller with half of the answer, and a retry computes the prompt again. After a
+/// hand-off the caller finds its answer at a peer.
+pub fn schedule_before_limit(app: &Arc<Shared>, limit: Millis) {
     let leaving = app.clone();
     app.runtime.spawn(async move {
-        tokio::time::sleep(limit.since(NEEDED).into()).await;
-        // What comes from now on would have to be handed over at once.
+        tokio::time::sleep(limit.since(MIN_HAND_OFF_TIME).into()).await;
+        // Marking the instance as reclaimed refuses new requests, which would have to be handed
+        // over at once.
         if !leaving.reclaimed.swap(true, Ordering::Relaxed) {
             hand_off(&leaving).await;
         }
     });
 }
 
-/// Returns how long to let requests run on here.
-fn wait(left: Millis) -> Millis {
-    left.since(NEEDED.max(Millis(left.0 / 3)))
+/// Returns how long requests keep running here before the hand-off: the time left minus a third of
+/// it, but minus at least `MIN_HAND_OFF_TIME`.
+fn hand_off_delay(time_left: Millis) -> Millis {
+    time_left.since(MIN_HAND_OFF_TIME.max(Millis(time_left.0 / 3)))
 }
 
 async fn hand_off(app: &Arc<Shared>) {
     let mut offers = app.signals.begin_hand_off();
-    let mut refused = BTreeMap::new();
+    let mut failures = BTreeMap::new();
     while let Some(first) = offers.recv().await {
-        tokio::time::sleep(GATHER.into()).await;
+        tokio::time::sleep(BATCH_INTERVAL.into()).await;
         let mut batch = vec![first];
         while batch.len() < MAX_RUNS {
             let Ok(next) = offers.try_recv() else {
@@ -97,70 +99,75 @@
             };
             batch.push(next);
         }
-        give(app, batch, &mut refused).await;
+        offer_to_peers(app, batch, &mut failures).await;
     }
 }
 
-/// Offers requests to one peer after the other.
-async fn give(app: &Arc<Shared>, mut batch: Vec<Offer>, refused: &mut BTreeMap<Name, u32>) {
+/// Offers a batch to one peer after another, starting with those that failed least often.
+async fn offer_to_peers(
+    app: &Arc<Shared>,
+    mut batch: Vec<Offer>,
+    failures: &mut BTreeMap<Name, u32>,
+) {
     let mut peers = peers::candidates(app);
-    peers.sort_by_key(|peer| refused.get(peer).copied().unwrap_or_default());
+    peers.sort_by_key(|peer| failures.get(peer).copied().unwrap_or_default());
     for peer in peers {
         if batch.is_empty() {
             return;
         }
         let runs = batch.iter().map(|offer| offer.run.clone()).collect();
         let call = HandOff { from: app.cfg.name.clone(), runs };
-        let called = tokio::time::timeout(TIMEOUT.into(), peers::call(app, &peer, call)).await;
+        let called = tokio::time::timeout(PEER_TIMEOUT.into(), peers::call(app, &peer, call)).await;
         match called {
             Ok(Ok(reply)) => {
                 event!(Info, "handed_off", to = peer, requests = reply.accepted.len());
-                batch = tell(batch, &reply, &peer);
+                batch = confirm_accepted(batch, &reply, &peer);
             }
             Ok(Err(_)) | Err(_) => {
                 event!(Warn, "hand_off_failed", to = peer, requests = batch.len());
-                *refused.entry(peer).or_default() += 1;
-                // Whether the peer has them is unknown. A second peer may run the others again, but
-                // these could then be moved twice.
+                *failures.entry(peer).or_default() += 1;
+                // Whether the peer accepted the batch is unknown. Idempotent requests are offered
+                // to the next peer, which may run them again; non-idempotent ones are not, since
+                // they could be handed over twice.
                 batch.retain(|offer| offer.run.spec.is_idempotent);
             }
         }
     }
 }
 
-fn tell(batch: Vec<Offer>, reply: &HandOffReply, peer: &Name) -> Vec<Offer> {
-    let mut left = Vec::new();
+fn confirm_accepted(batch: Vec<Offer>, reply: &HandOffReply, peer: &Name) -> Vec<Offer> {
+    let mut remaining = Vec::new();
     for offer in batch {
         if reply.accepted.contains(&offer.run.spec.request) {
-            let _ = offer.taken_by.send(Some(peer.clone()));
+            let _ = offer.accepted_by.send(Some(peer.clone()));
         } else {
-            left.push(offer);
+            remaining.push(offer);
         }
     }
-    left
+    remaining
 }
 
-/// Takes requests over from a peer.
+/// Accepts requests that a peer hands over, and distributes them over the worker threads.
 ///
 /// # Errors
 ///
-/// Refuses when this instance is leaving itself.
-pub async fn take(app: Arc<Shared>, call: HandOff) -> Result<HandOffReply, PeerError> {
+/// Refuses if this instance is stopping as well.
+pub async fn accept(app: Arc<Shared>, call: HandOff) -> Result<HandOffReply, PeerError> {
     if app.stopping.load(Ordering::Relaxed) {
         return Err(PeerError::Refused("leaving as well".to_owned()));
     }
-    let mut taken = Vec::new();
-    let takers = app.takers.lock();
+    let mut accepted = Vec::new();
+    let workers = app.takers.lock();
     for (number, run) in call.runs.into_iter().enumerate() {
         let request = run.spec.request.clone();
-        let Some(taker) = takers.get(number % takers.len().max(1)) else {
+        let Some(worker) = workers.get(number % workers.len().max(1)) else {
             break;
         };
-        match taker.send(TakenOver::begin(&app, run)) {
-            Ok(()) => taken.push(request),
-            Err(unsent) => unsent.0.give_back(),
+        match worker.send(IncomingRun::register(&app, run)) {
+            Ok(()) => accepted.push(request),
+            Err(unsent) => unsent.0.unregister(),
         }
     }
-    event!(Info, "taken_over", from = call.from, requests = taken.len());
-    Ok(HandOffReply { accepted: taken })
+    event!(Info, "taken_over", from = call.from, requests = accepted.len());
+    Ok(HandOffReply { accepted })
 }
--- a/daemons/entry/src/members.rs
+++ b/daemons/entry/src/members.rs
@@ -167,12 +167,12 @@
             Action::Reply(reply) => answers.reply = Some(*reply),
             Action::AnnounceReply(reply) => answers.accept = Some(reply),
             Action::UpdateEndpoint { announcement, age } => {
-                routing.hear(now, sill_route::Event::Announced { announcement, age });
+                routing.apply(now, sill_route::Event::Announced { announcement, age });
             }
             Action::RemoveEndpoint { endpoint, incarnation } => {
-                routing.hear(now, sill_route::Event::Gone { endpoint, incarnation });
+                routing.apply(now, sill_route::Event::Gone { endpoint, incarnation });
             }
-            Action::AllowRouting { until } => routing.trust(until - CLOCK_START),
+            Action::AllowRouting { until } => routing.set_valid_until(until - CLOCK_START),
             Action::Report(found) => report(&found),
         }
     }
