--- a/daemons/control/src/app/state.rs
+++ b/daemons/control/src/app/state.rs
@@ -309,7 +309,7 @@
         let outcome = match self.conflict(&ask) {
             Some(conflict) => Outcome::Refused(conflict),
             // Another change was committed between the check and this entry. The check may be
-            // outdated, for example if both changes used up all that was left of a limit.
+            // outdated, for example if each of the changes used up all that was left of a limit.
             None if against != self.revision() => return Outcome::Recheck,
             None => match (self.superseded_reply(&ask), refused) {
                 (Some(reply), _) => Outcome::Changed(reply),
--- a/daemons/control/src/log/driver.rs
+++ b/daemons/control/src/log/driver.rs
@@ -73,7 +73,7 @@
 #[derive(Debug)]
 pub(crate) struct PendingCommand {
     term: u64,
-    done: oneshot::Sender<SubmitResult>,
+    reply: oneshot::Sender<SubmitResult>,
 }
 
 impl Driver {
@@ -207,9 +207,9 @@
                     self.is_compacting &= !matches!(event, Event::Compact { .. });
                     self.step(event);
                 }
-                Input::Submit { command, done } => {
+                Input::Submit { command, reply } => {
                     commands.push(command);
-                    waiters.push(done);
+                    waiters.push(reply);
                 }
                 Input::ActiveIncarnation(incarnation) => self.begin_incarnation_after(incarnation),
                 Input::Stop => {}
@@ -270,8 +270,8 @@
             Action::Apply { index, entry } => self.apply(vec![(index, entry)]),
             Action::ProposalAppended { tag, first_index: first, term } => {
                 let waiters = self.proposals.remove(&tag).unwrap_or_default();
-                for (index, done) in (first..).zip(waiters) {
-                    self.pending.insert(index, PendingCommand { term, done });
+                for (index, reply) in (first..).zip(waiters) {
+                    self.pending.insert(index, PendingCommand { term, reply });
                 }
             }
             Action::NotLeader { tag } => self.reject_proposal(tag),
@@ -280,8 +280,8 @@
     }
 
     fn reject_proposal(&mut self, tag: u64) {
-        for done in self.proposals.remove(&tag).unwrap_or_default() {
-            let _ = done.send(SubmitResult::NotLeader);
+        for reply in self.proposals.remove(&tag).unwrap_or_default() {
+            let _ = reply.send(SubmitResult::NotLeader);
         }
     }
 
@@ -314,7 +314,7 @@
                 // Another leader's entry has this index; the submitted one will never be committed.
                 _ => SubmitResult::NotLeader,
             };
-            let _ = command.done.send(result);
+            let _ = command.reply.send(result);
         }
     }
 
@@ -373,11 +373,11 @@
             WriteError::Full => SubmitResult::NotLeader,
             WriteError::Io(_) | WriteError::Broken => SubmitResult::Unknown,
         };
-        for done in std::mem::take(&mut self.proposals).into_values().flatten() {
-            let _ = done.send(proposal_result.clone());
+        for reply in std::mem::take(&mut self.proposals).into_values().flatten() {
+            let _ = reply.send(proposal_result.clone());
         }
         for command in std::mem::take(&mut self.pending).into_values() {
-            let _ = command.done.send(SubmitResult::Unknown);
+            let _ = command.reply.send(SubmitResult::Unknown);
         }
     }
 
@@ -436,7 +436,7 @@
         if before.0 == RoleName::Leader && after.0 != RoleName::Leader {
             // It may take long until it shows whether a later leader commits these entries.
             for command in std::mem::take(&mut self.pending).into_values() {
-                let _ = command.done.send(SubmitResult::Unknown);
+                let _ = command.reply.send(SubmitResult::Unknown);
             }
         }
         self.metrics.report(&status, &self.app.read());
--- a/daemons/control/src/log/handle.rs
+++ b/daemons/control/src/log/handle.rs
@@ -21,7 +21,7 @@
         /// The command as JSON, as it is stored in the log.
         command: Arc<str>,
         /// Receives the result.
-        done: oneshot::Sender<SubmitResult>,
+        reply: oneshot::Sender<SubmitResult>,
     },
     /// The incarnation of this instance that peers have as a member. With an empty disk the
     /// instance starts a later one.
@@ -115,8 +115,8 @@
 
     /// Submits a command and waits for its result.
     pub async fn submit(&self, command: CommandText) -> SubmitResult {
-        let (done, result) = oneshot::channel();
-        let input = Input::Submit { command: command.0, done };
+        let (reply, result) = oneshot::channel();
+        let input = Input::Submit { command: command.0, reply };
         if self.input.send(input).is_err() {
             return SubmitResult::NotLeader;
         }
--- a/daemons/control/src/submit.rs
+++ b/daemons/control/src/submit.rs
@@ -90,7 +90,7 @@
 
 /// Checks an ask and writes it to the log; only the leader can.
 pub async fn submit_as_leader(shared: &Arc<Shared>, ask: &Ask) -> SubmitReply {
-    // Changes are serialised: of those checked at the same time only the first one would be
+    // Changes run one at a time: of those checked at the same time only the first one would be
     // applied, and the others would have to be checked and written again.
     let _turn = match ask {
         Ask::Change(_) => Some(shared.change_turn.lock().await),
