--- a/daemons/entry/benches/settings.rs
+++ b/daemons/entry/benches/settings.rs
@@ -14,7 +14,7 @@
 use sill_control::daemon::Control;
 use sill_entry::EntryCfg;
 use sill_entry::daemon::Shared;
-use sill_entry::peer;
+use sill_entry::peer_server;
 use sill_entry::settings::Settings;
 use sill_net::{PeerClient, PeerServer, PeerServerBuilder};
 use sill_wire::Incarnation;
@@ -32,7 +32,7 @@
 
 /// Bytes that went through a relay, both ways.
 #[derive(Default)]
-struct Counted {
+struct ByteCounts {
     up: AtomicU64,
     down: AtomicU64,
 }
@@ -48,7 +48,7 @@
         return Ok(());
     }
     let runtime = start_runtime()?;
-    overhead(&runtime)?;
+    measure_call_overhead(&runtime)?;
     let folder = std::env::temp_dir().join(format!("sill-settings-bench-{}", std::process::id()));
     let control = start_control(&folder)?;
     put(control.address, 0)?;
@@ -56,13 +56,13 @@
     let parts: Vec<String> = std::env::args().skip(1).filter(|w| !w.starts_with('-')).collect();
     let runs = |part: &str| parts.is_empty() || parts.iter().any(|p| p == part);
     for subscribers in [8, 300].into_iter().filter(|_| runs("direct")) {
-        direct(&runtime, &control, subscribers)?;
+        measure_direct(&runtime, &control, subscribers)?;
     }
     if runs("catch-up") {
-        catch_up(&runtime, &control)?;
+        measure_catch_up(&runtime, &control)?;
     }
     for (entries, domains) in [(8, 4), (90, 5)].into_iter().filter(|_| runs("tree")) {
-        tree(&control, entries, domains)?;
+        measure_tree(&control, entries, domains)?;
     }
     runtime.block_on(control.stop());
     std::fs::remove_dir_all(folder)?;
@@ -73,17 +73,17 @@
     Ok(tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build()?)
 }
 
-fn free() -> Result<SocketAddr> {
+fn free_address() -> Result<SocketAddr> {
     Ok(TcpListener::bind("127.0.0.1:0")?.local_addr()?)
 }
 
 fn start_control(folder: &std::path::Path) -> Result<Control> {
-    let listen_peer = free()?;
+    let listen_peer = free_address()?;
     let voter = Voter { name: "c1".into(), domain: "d0".into(), address: listen_peer };
     let control = Control::start(ControlCfg {
         name: "c1".into(),
         domain: "d0".into(),
-        listen: free()?,
+        listen: free_address()?,
         listen_metrics: None,
         listen_peer,
         voters: vec![voter],
@@ -135,11 +135,11 @@
 }
 
 /// Starts a relay that counts bytes.
-fn relay(runtime: &Runtime, to: SocketAddr) -> Result<(SocketAddr, Arc<Counted>)> {
-    let counted = Arc::new(Counted::default());
+fn relay(runtime: &Runtime, to: SocketAddr) -> Result<(SocketAddr, Arc<ByteCounts>)> {
+    let byte_counts = Arc::new(ByteCounts::default());
     let listener = runtime.block_on(Listener::bind("127.0.0.1:0"))?;
     let address = listener.local_addr()?;
-    let counter = counted.clone();
+    let counter = byte_counts.clone();
     runtime.spawn(async move {
         while let Ok((near, _)) = listener.accept().await {
             let counter = counter.clone();
@@ -155,13 +155,13 @@
             });
         }
     });
-    Ok((address, counted))
+    Ok((address, byte_counts))
 }
 
 async fn copy(
     from: tokio::net::tcp::OwnedReadHalf,
     to: tokio::net::tcp::OwnedWriteHalf,
-    counted: &AtomicU64,
+    byte_counts: &AtomicU64,
 ) {
     let mut buf = vec![0; 16 << 10];
     while from.readable().await.is_ok() {
@@ -171,7 +171,7 @@
             Err(err) if err.kind() == std::io::ErrorKind::WouldBlock => continue,
             Err(_) => return,
         };
-        counted.fetch_add(count as u64, Ordering::Relaxed);
+        byte_counts.fetch_add(count as u64, Ordering::Relaxed);
         let mut rest = &buf[..count];
         while !rest.is_empty() {
             if to.writable().await.is_err() {
@@ -187,7 +187,7 @@
 }
 
 /// Measures what HTTP and JSON-RPC add to a question and to its reply.
-fn overhead(runtime: &Runtime) -> Result<()> {
+fn measure_call_overhead(runtime: &Runtime) -> Result<()> {
     let info = EntryInfo {
         name: "entry-001".into(),
         incarnation: Incarnation(1),
@@ -228,8 +228,8 @@
         let _guard = runtime.enter();
         server.start(listener)?
     };
-    let (through, counted) = relay(runtime, address)?;
-    let client = PeerClient::new(through, &Secret::new(KEY), Millis(2000));
+    let (relay_address, byte_counts) = relay(runtime, address)?;
+    let client = PeerClient::new(relay_address, &Secret::new(KEY), Millis(2000));
     let calls = 200;
     runtime.block_on(async {
         for _ in 0..calls {
@@ -242,37 +242,37 @@
     };
     println!(
         "peer call: {:.0} B around a question, {:.0} B around its reply",
-        per(&counted.up, asked),
-        per(&counted.down, answered)
+        per(&byte_counts.up, asked),
+        per(&byte_counts.down, answered)
     );
     Ok(())
 }
 
 /// Subscribers that all ask the control instance, without a tree.
-fn direct(runtime: &Runtime, control: &Control, subscribers: usize) -> Result<()> {
-    let (through, counted) = relay(runtime, control.peer_address)?;
+fn measure_direct(runtime: &Runtime, control: &Control, subscribers: usize) -> Result<()> {
+    let (relay_address, byte_counts) = relay(runtime, control.peer_address)?;
     let settings: Vec<Arc<Settings>> = (0..subscribers).map(|_| Arc::default()).collect();
     let tasks: Vec<_> = settings
         .iter()
         .enumerate()
-        .map(|(n, settings)| runtime.spawn(subscribe(n, through, settings.clone())))
+        .map(|(n, settings)| runtime.spawn(subscribe(n, relay_address, settings.clone())))
         .collect();
     let newest = put(control.address, 1)?;
     wait_for(
         &settings.iter().map(|s| s.revision()).max().map(|_| settings.clone()).unwrap_or_default(),
         newest,
     );
-    let started = (total(&counted), Instant::now());
+    let started = (total(&byte_counts), Instant::now());
     std::thread::sleep(Duration::from_secs(10));
-    let idle = (total(&counted) - started.0) as f64 / started.1.elapsed().as_secs_f64();
-    let watched: Vec<_> = settings.iter().map(|s| s.watch()).collect();
-    let before = total(&counted);
+    let idle = (total(&byte_counts) - started.0) as f64 / started.1.elapsed().as_secs_f64();
+    let watched: Vec<_> = settings.iter().map(|s| s.subscribe()).collect();
+    let before = total(&byte_counts);
     let mut times = Vec::new();
     for n in 0..CHANGES {
         times.extend(one_change(runtime, control, n, &watched)?);
         std::thread::sleep(Duration::from_millis(100));
     }
-    let each = (total(&counted) - before) as f64 / (CHANGES * subscribers) as f64;
+    let each = (total(&byte_counts) - before) as f64 / (CHANGES * subscribers) as f64;
     report(&format!("{subscribers} subscribers ask one control instance"), times);
     println!(
         "    each subscriber: {:.0} B/s idle, {each:.0} B a change, in and out",
@@ -296,8 +296,8 @@
         };
         match client.call(&poll).await {
             Ok(reply) => {
-                if let Some(next) = settings.held().follow(reply).next {
-                    settings.put_in_force(next);
+                if let Some(next) = settings.state().apply(reply).next {
+                    settings.activate(next);
                 }
             }
             Err(_) => tokio::time::sleep(Duration::from_millis(100)).await,
@@ -305,8 +305,8 @@
     }
 }
 
-fn total(counted: &Counted) -> u64 {
-    counted.up.load(Ordering::Relaxed) + counted.down.load(Ordering::Relaxed)
+fn total(byte_counts: &ByteCounts) -> u64 {
+    byte_counts.up.load(Ordering::Relaxed) + byte_counts.down.load(Ordering::Relaxed)
 }
 
 fn wait_for(settings: &[Arc<Settings>], revision: Revision) {
@@ -326,12 +326,12 @@
 ) -> Result<Vec<Duration>> {
     let address = control.address;
     let before = watched.iter().map(|w| *w.borrow()).max().unwrap_or_default();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let waits = watched.iter().cloned().map(|mut revision| {
         runtime.spawn(async move {
             let newer = revision.wait_for(|revision| *revision > before);
-            let came = tokio::time::timeout(Duration::from_secs(30), newer).await;
-            matches!(came, Ok(Ok(_))).then(|| began.elapsed())
+            let result = tokio::time::timeout(Duration::from_secs(30), newer).await;
+            matches!(result, Ok(Ok(_))).then(|| started_at.elapsed())
         })
     });
     let waits: Vec<_> = waits.collect();
@@ -361,7 +361,7 @@
     );
 }
 
-fn node(n: usize, domains: usize, control: SocketAddr, seeds: &[SocketAddr]) -> EntryCfg {
+fn node_cfg(n: usize, domains: usize, control: SocketAddr, seeds: &[SocketAddr]) -> EntryCfg {
     let address = seeds[n];
     EntryCfg {
         name: format!("entry-{n:03}").into(),
@@ -383,18 +383,18 @@
 }
 
 /// Entry instances without their callers' side: membership, fan-out tree and peer calls are real.
-fn tree(control: &Control, entries: usize, domains: usize) -> Result<()> {
+fn measure_tree(control: &Control, entries: usize, domains: usize) -> Result<()> {
     // Of its own, so that nothing of one run is left to the next.
     let own = start_runtime()?;
     let runtime = &own;
-    let (through, counted) = relay(runtime, control.peer_address)?;
+    let (relay_address, byte_counts) = relay(runtime, control.peer_address)?;
     let listeners: Vec<TcpListener> =
         (0..entries).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
     let addresses: Vec<SocketAddr> =
         listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
     let mut nodes = Vec::new();
     for (n, listener) in listeners.into_iter().enumerate() {
-        let cfg = node(n, domains, through, &addresses);
+        let cfg = node_cfg(n, domains, relay_address, &addresses);
         let address = addresses[n];
         let shared = Arc::new(Shared::new(
             cfg,
@@ -404,7 +404,7 @@
             runtime.handle().clone(),
         )?);
         let _guard = runtime.enter();
-        let peers = peer::start(&shared, listener, None)?;
+        let peers = peer_server::start(&shared, listener, None)?;
         nodes.push(Node { shared, _peers: peers });
     }
     let newest = put(control.address, 2)?;
@@ -417,10 +417,10 @@
     std::thread::sleep(Duration::from_secs(15));
     let known: Vec<usize> =
         nodes.iter().map(|n| n.shared.members.peers_of_domain().len()).collect();
-    let started = (total(&counted), Instant::now());
+    let started = (total(&byte_counts), Instant::now());
     std::thread::sleep(Duration::from_secs(10));
-    let idle = (total(&counted) - started.0) as f64 / started.1.elapsed().as_secs_f64();
-    let watched: Vec<_> = nodes.iter().map(|n| n.shared.settings.watch()).collect();
+    let idle = (total(&byte_counts) - started.0) as f64 / started.1.elapsed().as_secs_f64();
+    let watched: Vec<_> = nodes.iter().map(|n| n.shared.settings.subscribe()).collect();
     let mut times = Vec::new();
     for n in 0..CHANGES {
         times.extend(one_change(runtime, control, n, &watched)?);
@@ -437,16 +437,16 @@
 }
 
 /// One that missed hundreds of changes, and one that starts with nothing.
-fn catch_up(runtime: &Runtime, control: &Control) -> Result<()> {
+fn measure_catch_up(runtime: &Runtime, control: &Control) -> Result<()> {
     let mut newest = Revision::default();
-    let began = Instant::now();
+    let started_at = Instant::now();
     for n in 0..MISSED as usize {
         newest = put(control.address, n)?;
     }
-    println!("{MISSED} changes accepted in {:.1} s", began.elapsed().as_secs_f64());
+    println!("{MISSED} changes accepted in {:.1} s", started_at.elapsed().as_secs_f64());
     for missed in [MISSED, newest.0] {
-        let (through, counted) = relay(runtime, control.peer_address)?;
-        let client = PeerClient::new(through, &Secret::new(KEY), Millis(10_000));
+        let (relay_address, byte_counts) = relay(runtime, control.peer_address)?;
+        let client = PeerClient::new(relay_address, &Secret::new(KEY), Millis(10_000));
         let poll = FeedPoll {
             entry: "late".into(),
             incarnation: Incarnation(1),
@@ -456,7 +456,7 @@
             below: Vec::new(),
             endpoints: None,
         };
-        let began = Instant::now();
+        let started_at = Instant::now();
         let reply = runtime.block_on(client.call(&poll))?;
         let kind = match &reply {
             FeedReply::Changes { changes } => format!("{} changes", changes.len()),
@@ -466,12 +466,12 @@
             other => format!("{other:?}"),
         };
         // A whole tree follows from nothing; changes follow from what was missed last.
-        let taken = sill_entry::settings::Held::default().follow(reply);
-        let revision = taken.next.map(|next| next.revision());
+        let outcome = sill_entry::settings::SettingsState::default().apply(reply);
+        let revision = outcome.next.map(|next| next.revision());
         println!(
             "catch-up over {missed} missed changes by {kind}: {:.1} ms, {} B, revision {revision:?}",
-            began.elapsed().as_secs_f64() * 1000.0,
-            total(&counted)
+            started_at.elapsed().as_secs_f64() * 1000.0,
+            total(&byte_counts)
         );
     }
     Ok(())
--- a/daemons/entry/src/announce.rs
+++ b/daemons/entry/src/announce.rs
@@ -18,11 +18,12 @@
     req: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let announcement: Announcement = match checked(&app, &req, &body) {
+    let announcement: Announcement = match parse_authorized(&app, &req, &body) {
         Ok(announcement) => announcement,
         Err(failure) => return refuse(&req, failure),
     };
-    match app.members.step(&app.routing, sill_member::Event::Announced(announcement)).accept {
+    match app.members.step(&app.routing, sill_member::Event::Announced(announcement)).announce_reply
+    {
         Some(reply) => http::json(200, &reply),
         None => Failure::new(ErrorCode::Internal, "no answer").response(&Name::default()),
     }
@@ -34,7 +35,7 @@
     req: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let events: CacheEvents = match checked(&app, &req, &body) {
+    let events: CacheEvents = match parse_authorized(&app, &req, &body) {
         Ok(events) => events,
         Err(failure) => return refuse(&req, failure),
     };
@@ -43,7 +44,7 @@
 }
 
 /// Reads a body, of one who has the join token.
-fn checked<T>(app: &Shared, req: &HttpRequest, body: &[u8]) -> Result<T, Failure>
+fn parse_authorized<T>(app: &Shared, req: &HttpRequest, body: &[u8]) -> Result<T, Failure>
 where
     T: DeserializeOwned,
 {
--- a/daemons/entry/src/ask.rs
+++ b/daemons/entry/src/ask.rs
@@ -179,7 +179,7 @@
 
 fn check_running(app: &Shared) -> Result<(), Failure> {
     // During the notice of a planned stop the balancer still sends requests, and they are served.
-    if app.closing.load(Ordering::Relaxed) || app.reclaimed.load(Ordering::Relaxed) {
+    if app.is_closing.load(Ordering::Relaxed) || app.is_reclaimed.load(Ordering::Relaxed) {
         return Err(Failure {
             retry_after: Some(1),
             ..Failure::new(ErrorCode::Stopping, "stopping")
--- a/daemons/entry/src/cli.rs
+++ b/daemons/entry/src/cli.rs
@@ -12,8 +12,8 @@
 /// # Errors
 ///
 /// Fails when a flag is wrong or the daemon can't start.
-pub fn run(words: Vec<String>) -> Result<()> {
-    let Some(mut values) = ENTRY.values_or_help(words)? else {
+pub fn run(args: Vec<String>) -> Result<()> {
+    let Some(mut values) = ENTRY.values_or_help(args)? else {
         return Ok(());
     };
     let mut stops = Stops::listen()?;
@@ -23,10 +23,10 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let entry = Entry::start(cfg)?;
     runtime.block_on(async {
-        let late = stops.next().await;
-        let cut = entry.stop_unless(late, stops.interrupted()).await;
-        if cut > 0 {
-            event!(Warn, "stop_cut", requests = cut);
+        let signal_delay = stops.next().await;
+        let aborted = entry.stop_unless(signal_delay, stops.interrupted()).await;
+        if aborted > 0 {
+            event!(Warn, "stop_cut", requests = aborted);
         }
         Ok(())
     })
--- a/daemons/entry/src/closing.rs
+++ b/daemons/entry/src/closing.rs
@@ -49,7 +49,7 @@
         cx: ServiceCtx<'_, Self>,
     ) -> Result<Self::Response, Self::Error> {
         let mut res = cx.call(&self.inner, req).await?;
-        if self.app.stopping.load(Ordering::Relaxed) {
+        if self.app.is_stopping.load(Ordering::Relaxed) {
             res.response_mut().head_mut().set_connection_type(ConnectionType::Close);
         }
         Ok(res)
--- a/daemons/entry/src/daemon.rs
+++ b/daemons/entry/src/daemon.rs
@@ -28,25 +28,25 @@
 use crate::limits::Limits;
 use crate::members::Membership;
 use crate::metrics::Metrics;
-use crate::peers::Peers;
+use crate::peers::PeerClients;
 use crate::routing::Routing;
 use crate::serve;
 use crate::serve::run::Runs;
 use crate::serve::signals::{self, Signals};
 use crate::settings::Settings;
-use crate::{api, feed, limits, peer};
+use crate::{api, feed, limits, peer_server};
 
 /// Connections that a worker holds to endpoints.
-const UPSTREAM_CONNECTIONS: usize = 16_384;
+const MAX_UPSTREAM_CONNECTIONS: usize = 16_384;
 
 /// Keys that this instance is home to at most.
-const KEYS: usize = 100_000;
+const MAX_DIRECTORY_KEYS: usize = 100_000;
 
 /// How long the home of a key remembers where its request ran.
 const KEY_RETENTION: Millis = Millis(600_000);
 
 /// Requests whose records are kept.
-const RECORDS: usize = 20_000;
+const MAX_JOURNAL_RECORDS: usize = 20_000;
 
 /// What the parts of an entry instance share.
 #[derive(Debug)]
@@ -80,19 +80,19 @@
     /// What concerns all requests in flight.
     pub signals: Signals,
     /// Clients of peers.
-    pub peers: Peers,
+    pub peer_clients: PeerClients,
     /// Threads that can take requests over from peers.
-    pub takers: Takers,
+    pub handoff_workers: Takers,
     /// Where calls to peers run.
     pub runtime: Handle,
     /// Where peers reach this instance, `IP:PORT`.
     pub peer_address: Name,
     /// Whether a planned stop or a reclaim has begun.
-    pub stopping: AtomicBool,
+    pub is_stopping: AtomicBool,
     /// Whether the notice of a planned stop is over, so that requests are refused.
-    pub closing: AtomicBool,
+    pub is_closing: AtomicBool,
     /// Whether this instance was given notice.
-    pub reclaimed: AtomicBool,
+    pub is_reclaimed: AtomicBool,
     next_request: AtomicU64,
 }
 
@@ -105,7 +105,7 @@
     pub peer_address: SocketAddr,
     pub(crate) shared: Arc<Shared>,
     pub(crate) server: ntex::server::Server,
-    pub(crate) peers: PeerServer,
+    pub(crate) peer_server: PeerServer,
     pub(crate) runtime: Runtime,
 }
 
@@ -139,16 +139,16 @@
             metrics: Metrics::new(),
             claims,
             runs: Runs::default(),
-            directory: Mutex::new(RunDirectory::new(KEYS, KEY_RETENTION)),
-            journal: Mutex::new(Journal::new(RECORDS)),
+            directory: Mutex::new(RunDirectory::new(MAX_DIRECTORY_KEYS, KEY_RETENTION)),
+            journal: Mutex::new(Journal::new(MAX_JOURNAL_RECORDS)),
             signals: Signals::new(),
-            peers: Peers::default(),
-            takers: Takers::default(),
+            peer_clients: PeerClients::default(),
+            handoff_workers: Takers::default(),
             runtime,
             peer_address: peer_address.to_string().into(),
-            stopping: AtomicBool::new(false),
-            closing: AtomicBool::new(false),
-            reclaimed: AtomicBool::new(false),
+            is_stopping: AtomicBool::new(false),
+            is_closing: AtomicBool::new(false),
+            is_reclaimed: AtomicBool::new(false),
             next_request: AtomicU64::new(1),
             cfg,
         })
@@ -162,7 +162,7 @@
 
     /// Returns whether a request would be served.
     pub fn is_ready(&self) -> bool {
-        !self.stopping.load(Ordering::Relaxed) && self.settings.revision().0 > 0
+        !self.is_stopping.load(Ordering::Relaxed) && self.settings.revision().0 > 0
     }
 }
 
@@ -184,9 +184,9 @@
         let handle = runtime.handle().clone();
         let shared = Arc::new(Shared::new(cfg, settings, address, peer_address, handle)?);
 
-        let peers = {
+        let peer_server = {
             let _guard = runtime.enter();
-            peer::start(&shared, peer_listener, copy)?
+            peer_server::start(&shared, peer_listener, copy)?
         };
         runtime.spawn(limits::run(shared.clone()));
         runtime.spawn(signals::watch(shared.clone()));
@@ -199,7 +199,7 @@
             address = address,
             peer_address = peer_address
         );
-        Ok(Self { address, peer_address, shared, server, peers, runtime })
+        Ok(Self { address, peer_address, shared, server, peer_server, runtime })
     }
 
     /// Returns whether a request would be served.
@@ -209,13 +209,13 @@
 }
 
 /// Lets a worker thread take requests over from peers.
-fn take_over_here(shared: &Arc<Shared>, client: &Client) {
+fn accept_handoffs(shared: &Arc<Shared>, client: &Client) {
     let (tx, mut rx) = mpsc::unbounded_channel();
-    shared.takers.lock().push(tx);
+    shared.handoff_workers.lock().push(tx);
     let (shared, client) = (shared.clone(), client.clone());
     ntex::rt::spawn(async move {
-        while let Some(taken) = rx.recv().await {
-            ntex::rt::spawn(serve::go_on(shared.clone(), client.clone(), taken));
+        while let Some(run) = rx.recv().await {
+            ntex::rt::spawn(serve::go_on(shared.clone(), client.clone(), run));
         }
     });
 }
@@ -230,9 +230,9 @@
         let workers = shared.cfg.workers;
         let max_body = shared.cfg.max_body;
         let server = HttpServer::new(async move || {
-            let upstream = client::streaming(UPSTREAM_CONNECTIONS).await;
+            let upstream = client::streaming(MAX_UPSTREAM_CONNECTIONS).await;
             let upstream = upstream.expect("a client without TLS can be made");
-            take_over_here(&shared, &upstream);
+            accept_handoffs(&shared, &upstream);
             App::new()
                 .middleware(OneShape)
                 .middleware(CloseOnStop(shared.clone()))
--- a/daemons/entry/src/feed.rs
+++ b/daemons/entry/src/feed.rs
@@ -15,88 +15,89 @@
 
 use crate::copy::SettingsCopy;
 use crate::daemon::Shared;
-use crate::parents::{Outcome, Parent, Parents};
-use crate::settings::{Held, Refused, Settings, Taken};
+use crate::parents::{Outcome, Parent, ParentSelector};
+use crate::settings::{ApplyError, ApplyOutcome, Settings, SettingsState};
 
 /// How long a poll waits for something newer. A parent that is cut off without a word is noticed
 /// after this time, which has to leave room for another try inside the six seconds promised.
-const WAIT: Millis = Millis(2000);
+const POLL_WAIT: Millis = Millis(2000);
 
 /// How much longer than its wait a poll may take.
-const GRACE: Millis = Millis(500);
+const POLL_GRACE: Millis = Millis(500);
 
 /// Pauses after a failure: the first, and the longest after many in a row.
-const RETRY: Millis = Millis(100);
-const RETRY_MAX: Millis = Millis(2000);
+const MIN_BACKOFF: Millis = Millis(100);
+const MAX_BACKOFF: Millis = Millis(2000);
 
 /// How long one that was fed itself tells those below that nothing is newer.
-const ATTACHED_FOR: Millis = Millis(4000);
+const CONNECTED_TIMEOUT: Millis = Millis(4000);
 
 /// Time between two reports of the domain's endpoints.
-const REPORT_EVERY: Millis = Millis(5000);
+const REPORT_INTERVAL: Millis = Millis(5000);
 
 /// How long news from below are gathered before they are passed on.
-const GATHER: Millis = Millis(100);
+const REPORT_BATCH_DELAY: Millis = Millis(100);
 
 /// How long one that asked counts as fed from here.
-const BELOW_FOR: Millis = Millis(10_000);
+const DESCENDANT_TIMEOUT: Millis = Millis(10_000);
 
 /// What the feed of one entry instance keeps besides the settings.
 #[derive(Debug, Default)]
 pub struct Feed {
     /// When a parent that is itself in touch last answered.
-    fed_at: Mutex<Option<Millis>>,
-    below: Mutex<Map<Name, Below>>,
-    news: Notify,
+    last_contact: Mutex<Option<Millis>>,
+    descendants: Mutex<Map<Name, Descendant>>,
+    descendant_changed: Notify,
 }
 
 /// What one below runs, and when it said so.
 #[derive(Debug)]
-struct Below {
+struct Descendant {
     running: RunningRevision,
-    said_at: Millis,
+    reported_at: Millis,
 }
 
 impl Feed {
     /// Returns how long ago a parent that is itself in touch answered.
-    pub fn fed_ago(&self, now: Millis) -> Option<Millis> {
-        self.fed_at.lock().map(|at| now - at)
+    pub fn time_since_contact(&self, now: Millis) -> Option<Millis> {
+        self.last_contact.lock().map(|at| now - at)
     }
 
-    fn is_attached(&self, now: Millis) -> bool {
-        self.fed_ago(now).is_some_and(|span| span <= ATTACHED_FOR)
+    fn is_connected(&self, now: Millis) -> bool {
+        self.time_since_contact(now).is_some_and(|span| span <= CONNECTED_TIMEOUT)
     }
 
-    fn note_below(&self, now: Millis, poll: &FeedPoll) {
+    fn record_descendants(&self, now: Millis, poll: &FeedPoll) {
         let own = RunningRevision {
             entry: poll.entry.clone(),
             domain: poll.domain.clone(),
             revision: poll.have,
             age: Millis::ZERO,
         };
-        let mut below = self.below.lock();
-        let mut is_news = false;
+        let mut descendants = self.descendants.lock();
+        let mut has_changed = false;
         for running in poll.below.iter().chain([&own]) {
-            let said_at = now - running.age;
-            let known = below.get(&running.entry);
-            if known.is_some_and(|k| k.said_at > said_at) {
+            let reported_at = now - running.age;
+            let previous = descendants.get(&running.entry);
+            if previous.is_some_and(|p| p.reported_at > reported_at) {
                 continue;
             }
-            is_news |= known.is_none_or(|k| k.running.revision != running.revision);
-            let noted = Below { running: running.clone(), said_at };
-            below.insert(running.entry.clone(), noted);
+            has_changed |= previous.is_none_or(|p| p.running.revision != running.revision);
+            let descendant = Descendant { running: running.clone(), reported_at };
+            descendants.insert(running.entry.clone(), descendant);
         }
-        if is_news {
-            self.news.notify_one();
+        if has_changed {
+            self.descendant_changed.notify_one();
         }
     }
 
     /// Returns what those run that were fed from here lately.
-    fn below(&self, now: Millis) -> Vec<RunningRevision> {
-        let mut below = self.below.lock();
-        below.retain(|_, b| now - b.said_at <= BELOW_FOR);
-        let aged = |b: &Below| RunningRevision { age: now - b.said_at, ..b.running.clone() };
-        let mut running: Vec<RunningRevision> = below.values().map(aged).collect();
+    fn descendants(&self, now: Millis) -> Vec<RunningRevision> {
+        let mut descendants = self.descendants.lock();
+        descendants.retain(|_, d| now - d.reported_at <= DESCENDANT_TIMEOUT);
+        let report =
+            |d: &Descendant| RunningRevision { age: now - d.reported_at, ..d.running.clone() };
+        let mut running: Vec<RunningRevision> = descendants.values().map(report).collect();
         running.sort_by(|a, b| a.entry.cmp(&b.entry));
         running
     }
@@ -105,27 +106,27 @@
     ///
     /// An operator who waits until a change is in force would otherwise wait for the end of the
     /// polls of each level.
-    async fn news_from_below(&self) {
-        self.news.notified().await;
-        tokio::time::sleep(GATHER.into()).await;
+    async fn descendant_change(&self) {
+        self.descendant_changed.notified().await;
+        tokio::time::sleep(REPORT_BATCH_DELAY.into()).await;
     }
 }
 
 /// Reads the own copy, if there is one that can be read.
-pub fn read_copy(copy: Option<&SettingsCopy>) -> Held {
-    let Some(copy) = copy else { return Held::default() };
+pub fn read_copy(copy: Option<&SettingsCopy>) -> SettingsState {
+    let Some(copy) = copy else { return SettingsState::default() };
     match copy.read() {
-        Ok(None) => Held::default(),
+        Ok(None) => SettingsState::default(),
         Ok(Some(snapshot)) => {
-            let Taken { next, refused } = Held::default().follow(snapshot);
-            if let Some(refused) = refused {
-                event!(Error, "settings_copy_refused", reason = refused);
+            let ApplyOutcome { next, error } = SettingsState::default().apply(snapshot);
+            if let Some(error) = error {
+                event!(Error, "settings_copy_refused", reason = error);
             }
             next.unwrap_or_default()
         }
         Err(err) => {
             event!(Error, "settings_copy_unreadable", error = err);
-            Held::default()
+            SettingsState::default()
         }
     }
 }
@@ -133,43 +134,44 @@
 /// Asks for settings until the process ends.
 pub async fn run(shared: Arc<Shared>, copy: Option<SettingsCopy>) {
     let cfg = &shared.cfg;
-    let mut parents = Parents::new(cfg.control.len(), shared.incarnation.0);
+    let mut parents = ParentSelector::new(cfg.control.len(), shared.incarnation.0);
     let mut clients: FxHashMap<SocketAddr, PeerClient> = FxHashMap::default();
-    let mut pause = RETRY;
-    let mut was_cut = false;
+    let mut backoff = MIN_BACKOFF;
+    let mut was_interrupted = false;
     let mut reported_at = None;
     loop {
         let Some(address) = next_address(&shared, &mut parents) else {
-            parents.note(shared.clock.now(), Outcome::Failed);
-            tokio::time::sleep(RETRY.into()).await;
+            parents.record(shared.clock.now(), Outcome::Failed);
+            tokio::time::sleep(MIN_BACKOFF.into()).await;
             continue;
         };
         let client = clients
             .entry(address)
-            .or_insert_with(|| PeerClient::new(address, &cfg.cluster_key, WAIT + GRACE));
-        let poll = FeedPoll { endpoints: report_due(&shared, &mut reported_at), ..poll(&shared) };
+            .or_insert_with(|| PeerClient::new(address, &cfg.cluster_key, POLL_WAIT + POLL_GRACE));
+        let poll =
+            FeedPoll { endpoints: due_report(&shared, &mut reported_at), ..build_poll(&shared) };
         // Two in a row are not cut short, or steady news from below would keep changes out.
         let result = tokio::select! {
             result = client.call(&poll) => result,
-            () = shared.feed.news_from_below(), if !was_cut => {
-                was_cut = true;
+            () = shared.feed.descendant_change(), if !was_interrupted => {
+                was_interrupted = true;
                 continue;
             }
         };
-        was_cut = false;
-        let outcome = taken(&shared, copy.as_ref(), address, result).await;
-        parents.note(shared.clock.now(), outcome);
+        was_interrupted = false;
+        let outcome = apply_reply(&shared, copy.as_ref(), address, result).await;
+        parents.record(shared.clock.now(), outcome);
         if outcome == Outcome::Fed {
-            *shared.feed.fed_at.lock() = Some(shared.clock.now());
-            pause = RETRY;
+            *shared.feed.last_contact.lock() = Some(shared.clock.now());
+            backoff = MIN_BACKOFF;
         } else {
-            tokio::time::sleep(pause.into()).await;
-            pause = (pause * 2).min(RETRY_MAX);
+            tokio::time::sleep(backoff.into()).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 }
 
-fn next_address(shared: &Shared, parents: &mut Parents) -> Option<SocketAddr> {
+fn next_address(shared: &Shared, parents: &mut ParentSelector) -> Option<SocketAddr> {
     let (ranked, place) = shared.members.feed_tree();
     match parents.next(shared.clock.now(), &ranked, place)? {
         Parent::Peer(address) => address.parse().ok(),
@@ -177,23 +179,23 @@
     }
 }
 
-fn poll(shared: &Shared) -> FeedPoll {
+fn build_poll(shared: &Shared) -> FeedPoll {
     FeedPoll {
         entry: shared.cfg.name.clone(),
         incarnation: shared.incarnation,
         domain: shared.cfg.domain.clone(),
         have: shared.settings.revision(),
-        wait: WAIT,
-        below: shared.feed.below(shared.clock.now()),
+        wait: POLL_WAIT,
+        below: shared.feed.descendants(shared.clock.now()),
         endpoints: None,
     }
 }
 
 /// Returns the endpoints of the domain, where this instance is the first in the tree and has not
 /// reported them for a while.
-fn report_due(shared: &Shared, reported_at: &mut Option<Millis>) -> Option<DomainEndpoints> {
+fn due_report(shared: &Shared, reported_at: &mut Option<Millis>) -> Option<DomainEndpoints> {
     let now = shared.clock.now();
-    let is_due = reported_at.is_none_or(|at| now - at >= REPORT_EVERY);
+    let is_due = reported_at.is_none_or(|at| now - at >= REPORT_INTERVAL);
     let (_, place) = shared.members.feed_tree();
     if !is_due || place != 0 {
         return None;
@@ -213,7 +215,7 @@
     Some(DomainEndpoints { domain, age, endpoints: endpoints.collect() })
 }
 
-async fn taken(
+async fn apply_reply(
     shared: &Shared,
     copy: Option<&SettingsCopy>,
     from: SocketAddr,
@@ -227,14 +229,14 @@
             return Outcome::Failed;
         }
     };
-    let Taken { next, refused } = shared.settings.held().follow(reply);
+    let ApplyOutcome { next, error } = shared.settings.state().apply(reply);
     if let Some(next) = next {
-        put_in_force(&shared.settings, copy, next).await;
+        persist_and_activate(&shared.settings, copy, next).await;
     }
-    match refused {
+    match error {
         None => Outcome::Fed,
-        Some(refused) => {
-            report(from, &refused);
+        Some(error) => {
+            log_apply_error(from, &error);
             Outcome::Failed
         }
     }
@@ -242,7 +244,11 @@
 
 /// Puts settings in force, once the own copy holds them: one that ran a revision must not run an
 /// older one after a restart in a domain that is cut off.
-async fn put_in_force(settings: &Settings, copy: Option<&SettingsCopy>, next: Held) {
+async fn persist_and_activate(
+    settings: &Settings,
+    copy: Option<&SettingsCopy>,
+    next: SettingsState,
+) {
     let revision = next.revision();
     if let Some(copy) = copy.cloned() {
         let snapshot = next.snapshot();
@@ -252,17 +258,17 @@
             event!(Error, "settings_copy_not_written", revision = revision.0, error = err);
         }
     }
-    settings.put_in_force(next);
+    settings.activate(next);
     event!(Info, "settings_in_force", revision = revision.0);
 }
 
-fn report(from: SocketAddr, refused: &Refused) {
-    match refused {
-        Refused::Older { .. } => {
-            event!(Warn, "settings_refused", from = from, reason = refused);
+fn log_apply_error(from: SocketAddr, error: &ApplyError) {
+    match error {
+        ApplyError::OlderSnapshot { .. } => {
+            event!(Warn, "settings_refused", from = from, reason = error);
         }
-        Refused::Gap { .. } | Refused::Unreadable { .. } => {
-            event!(Error, "settings_refused", from = from, reason = refused);
+        ApplyError::Gap { .. } | ApplyError::Unreadable { .. } => {
+            event!(Error, "settings_refused", from = from, reason = error);
         }
     }
 }
@@ -274,21 +280,21 @@
 ///
 /// Never fails; the type is what peer calls ask for.
 pub async fn answer(shared: Arc<Shared>, poll: FeedPoll) -> Result<FeedReply, PeerError> {
-    shared.feed.note_below(shared.clock.now(), &poll);
-    let mut newest = shared.settings.watch();
-    let end = tokio::time::Instant::now() + std::time::Duration::from(poll.wait);
+    shared.feed.record_descendants(shared.clock.now(), &poll);
+    let mut revision_rx = shared.settings.subscribe();
+    let deadline = tokio::time::Instant::now() + std::time::Duration::from(poll.wait);
     loop {
-        let held = shared.settings.held();
-        let is_behind = held.revision() < poll.have;
-        if is_behind || !shared.feed.is_attached(shared.clock.now()) {
-            let newer = held.newer_than(poll.have);
+        let state = shared.settings.state();
+        let is_behind = state.revision() < poll.have;
+        if is_behind || !shared.feed.is_connected(shared.clock.now()) {
+            let newer = state.reply_since(poll.have);
             return Ok(if newer == FeedReply::Current { FeedReply::Empty } else { newer });
         }
-        let newer = held.newer_than(poll.have);
+        let newer = state.reply_since(poll.have);
         if newer != FeedReply::Current {
             return Ok(newer);
         }
-        if tokio::time::timeout_at(end, newest.changed()).await.is_err() {
+        if tokio::time::timeout_at(deadline, revision_rx.changed()).await.is_err() {
             return Ok(FeedReply::Current);
         }
     }
--- a/daemons/entry/src/gauges.rs
+++ b/daemons/entry/src/gauges.rs
@@ -11,7 +11,7 @@
     ready: IntGauge,
     leaving: IntGauge,
     revision: IntGauge,
-    fed_ago: IntGauge,
+    time_since_contact: IntGauge,
 }
 
 impl Gauges {
@@ -31,7 +31,7 @@
             ready: gauge("sill_member_endpoints_ready", "Endpoints that may get requests"),
             leaving: gauge("sill_member_endpoints_leaving", "Endpoints that are leaving"),
             revision: gauge("sill_settings_revision", "Revision of the settings in force"),
-            fed_ago: gauge(
+            time_since_contact: gauge(
                 "sill_settings_fed_ago_ms",
                 "Time since someone in touch with control answered, -1 for never",
             ),
@@ -45,7 +45,7 @@
         self.ready.set(counts.ready as i64);
         self.leaving.set(counts.leaving as i64);
         self.revision.set(shared.settings.revision().0 as i64);
-        let fed_ago = shared.feed.fed_ago(shared.clock.now());
-        self.fed_ago.set(fed_ago.map_or(-1, |span| span.0 as i64));
+        let time_since_contact = shared.feed.time_since_contact(shared.clock.now());
+        self.time_since_contact.set(time_since_contact.map_or(-1, |span| span.0 as i64));
     }
 }
--- a/daemons/entry/src/handoff.rs
+++ b/daemons/entry/src/handoff.rs
@@ -53,8 +53,8 @@
 /// Begins to leave.
 pub fn begin(app: &Arc<Shared>, left: Millis) {
     event!(Info, "reclaim_notice", name = app.cfg.name, in_ms = left);
-    app.stopping.store(true, Ordering::Relaxed);
-    if app.reclaimed.swap(true, Ordering::Relaxed) {
+    app.is_stopping.store(true, Ordering::Relaxed);
+    if app.is_reclaimed.swap(true, Ordering::Relaxed) {
         return;
     }
     let leaving = app.clone();
@@ -74,7 +74,7 @@
     app.runtime.spawn(async move {
         tokio::time::sleep(limit.since(NEEDED).into()).await;
         // What comes from now on would have to be handed over at once.
-        if !leaving.reclaimed.swap(true, Ordering::Relaxed) {
+        if !leaving.is_reclaimed.swap(true, Ordering::Relaxed) {
             hand_off(&leaving).await;
         }
     });
@@ -103,7 +103,7 @@
 
 /// Offers requests to one peer after the other.
 async fn give(app: &Arc<Shared>, mut batch: Vec<Offer>, refused: &mut BTreeMap<Name, u32>) {
-    let mut peers = peers::candidates(app);
+    let mut peers = peers::active_peers(app);
     peers.sort_by_key(|peer| refused.get(peer).copied().unwrap_or_default());
     for peer in peers {
         if batch.is_empty() {
@@ -146,11 +146,11 @@
 ///
 /// Refuses when this instance is leaving itself.
 pub async fn take(app: Arc<Shared>, call: HandOff) -> Result<HandOffReply, PeerError> {
-    if app.stopping.load(Ordering::Relaxed) {
+    if app.is_stopping.load(Ordering::Relaxed) {
         return Err(PeerError::Refused("leaving as well".to_owned()));
     }
     let mut taken = Vec::new();
-    let takers = app.takers.lock();
+    let takers = app.handoff_workers.lock();
     for (number, run) in call.runs.into_iter().enumerate() {
         let request = run.spec.request.clone();
         let Some(taker) = takers.get(number % takers.len().max(1)) else {
--- a/daemons/entry/src/lib.rs
+++ b/daemons/entry/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod members;
 pub mod metrics;
 pub mod parents;
-pub mod peer;
+pub mod peer_server;
 pub mod peers;
 pub mod record;
 pub mod routing;
--- a/daemons/entry/src/limits.rs
+++ b/daemons/entry/src/limits.rs
@@ -49,12 +49,12 @@
         let settings = shared.settings.current();
         if revision != Some(settings.revision) {
             revision = Some(settings.revision);
-            shared.limits.step(shared.clock.now(), Event::Limits(limits(&settings)));
+            shared.limits.step(shared.clock.now(), Event::Limits(account_limits(&settings)));
         }
-        shared.limits.step(shared.clock.now(), Event::Members(members(&shared)));
+        shared.limits.step(shared.clock.now(), Event::Members(limit_members(&shared)));
         for action in shared.limits.step(shared.clock.now(), Event::Tick) {
-            let Action::Exchange { peer: with, report } = action;
-            tokio::spawn(exchange(shared.clone(), with, report));
+            let Action::Exchange { peer, report } = action;
+            tokio::spawn(exchange(shared.clone(), peer, report));
         }
     }
 }
@@ -66,8 +66,8 @@
 ///
 /// Fails when that one can't be reached.
 pub async fn answer(shared: Arc<Shared>, call: DemandExchange) -> Result<DemandReply, PeerError> {
-    let is_foreign = call.reports.first().is_some_and(|r| r.domain != shared.cfg.domain);
-    if is_foreign && !call.forwarded && !shared.limits.0.lock().is_domain_root() {
+    let is_from_other_domain = call.reports.first().is_some_and(|r| r.domain != shared.cfg.domain);
+    if is_from_other_domain && !call.forwarded && !shared.limits.0.lock().is_domain_root() {
         return forward(&shared, call).await;
     }
     let reports = {
@@ -79,14 +79,14 @@
 }
 
 async fn forward(shared: &Arc<Shared>, call: DemandExchange) -> Result<DemandReply, PeerError> {
-    let Some(address) = address(shared, &Peer::Domain(shared.cfg.domain.clone())) else {
+    let Some(address) = peer_address(shared, &Peer::Domain(shared.cfg.domain.clone())) else {
         return Err(PeerError::Refused("nobody adds up this failure domain".to_owned()));
     };
     peers::call(shared, &address, DemandExchange { forwarded: true, ..call }).await
 }
 
-async fn exchange(shared: Arc<Shared>, with: Peer, report: DemandReport) {
-    let Some(address) = address(&shared, &with) else {
+async fn exchange(shared: Arc<Shared>, peer: Peer, report: DemandReport) {
+    let Some(address) = peer_address(&shared, &peer) else {
         return;
     };
     let call = DemandExchange { reports: vec![report], forwarded: false };
@@ -98,7 +98,7 @@
     }
 }
 
-fn address(shared: &Shared, peer: &Peer) -> Option<Name> {
+fn peer_address(shared: &Shared, peer: &Peer) -> Option<Name> {
     match peer {
         Peer::Domain(domain) => {
             shared.members.aggregator(domain).map(|address| address.to_string().into())
@@ -111,14 +111,14 @@
 }
 
 /// Puts the one first that others reach as their domain's aggregator.
-fn members(shared: &Shared) -> Members {
+fn limit_members(shared: &Shared) -> Members {
     let own = (shared.cfg.name.clone(), shared.peer_address.clone());
     let peers = shared.members.peers_of_domain().into_iter();
     let mut neighbours: Vec<(Name, Name)> =
         peers.map(|info| (info.name, info.peer_address)).chain([own]).collect();
-    let speaker = shared.members.aggregator(&shared.cfg.domain).map(|a| a.to_string());
+    let aggregator = shared.members.aggregator(&shared.cfg.domain).map(|a| a.to_string());
     neighbours.sort_by_key(|(name, address)| {
-        (Some(address.as_str()) != speaker.as_deref(), name.clone())
+        (Some(address.as_str()) != aggregator.as_deref(), name.clone())
     });
     neighbours.dedup();
     let is_other = |domain: &Name| *domain != shared.cfg.domain;
@@ -128,7 +128,7 @@
     }
 }
 
-fn limits(settings: &Effective) -> Vec<AccountLimit> {
+fn account_limits(settings: &Effective) -> Vec<AccountLimit> {
     let is_limited = |l: &AccountLimit| l.requests_per_s.is_some() || l.tokens_per_s.is_some();
     let limit = |account: &Arc<sill_tree::EffectiveAccount>| AccountLimit {
         account: account.name.clone(),
--- a/daemons/entry/src/members.rs
+++ b/daemons/entry/src/members.rs
@@ -23,7 +23,7 @@
 const TICK: Millis = Millis(200);
 
 /// How long a peer has to answer; the core asks another one then.
-const TIMEOUT: Millis = Millis(800);
+const REQUEST_TIMEOUT: Millis = Millis(800);
 
 /// Clients kept at most; beyond, all are made anew.
 const MAX_CLIENTS: usize = 1024;
@@ -33,8 +33,8 @@
 pub struct Membership {
     core: Mutex<Members>,
     clock: Clock,
-    questions: UnboundedSender<Question>,
-    asked: Mutex<Option<UnboundedReceiver<Question>>>,
+    request_tx: UnboundedSender<SyncRequest>,
+    request_rx: Mutex<Option<UnboundedReceiver<SyncRequest>>>,
 }
 
 /// How many of each are known.
@@ -48,17 +48,17 @@
     pub leaving: usize,
 }
 
-/// Answers that the core gave in one step.
+/// Replies that the core gave in one step.
 #[derive(Debug, Default)]
-pub struct Answers {
+pub struct StepReplies {
     /// To an endpoint.
-    pub accept: Option<AnnounceReply>,
+    pub announce_reply: Option<AnnounceReply>,
     /// To a peer.
-    pub reply: Option<MemberReply>,
+    pub peer_reply: Option<MemberReply>,
 }
 
 #[derive(Debug)]
-struct Question {
+struct SyncRequest {
     id: u64,
     peer: Name,
     sync: MemberSync,
@@ -84,23 +84,23 @@
         };
         let seeds = cfg.peers.iter().map(|peer| peer.to_string().into()).collect();
         let core = Members::new(MemberCfg::new(own, seeds, incarnation.0));
-        let (questions, asked) = unbounded_channel();
-        Self { core: Mutex::new(core), clock, questions, asked: Mutex::new(Some(asked)) }
+        let (request_tx, request_rx) = unbounded_channel();
+        Self { core: Mutex::new(core), clock, request_tx, request_rx: Mutex::new(Some(request_rx)) }
     }
 
     /// Gives the core an event and does what it asks for.
-    pub fn step(&self, routing: &Routing, event: Event) -> Answers {
-        let mut answers = Answers::default();
-        let mut out = Vec::new();
+    pub fn step(&self, routing: &Routing, event: Event) -> StepReplies {
+        let mut replies = StepReplies::default();
+        let mut actions = Vec::new();
         // The router hears under the core's lock. Else it could hear of an endpoint as ready after
         // it heard that the endpoint is leaving, from two steps that raced.
         let mut core = self.core.lock();
         let now = self.clock.now();
-        core.step(START + now, event, &mut out);
-        for action in out {
-            self.act(now, routing, action, &mut answers);
+        core.step(START + now, event, &mut actions);
+        for action in actions {
+            self.execute(now, routing, action, &mut replies);
         }
-        answers
+        replies
     }
 
     /// Returns the live entry instances of the failure domain, without this one.
@@ -159,13 +159,13 @@
         START + self.clock.now()
     }
 
-    fn act(&self, now: Millis, routing: &Routing, action: Action, answers: &mut Answers) {
+    fn execute(&self, now: Millis, routing: &Routing, action: Action, replies: &mut StepReplies) {
         match action {
             Action::Ask { id, peer, sync } => {
-                let _ = self.questions.send(Question { id, peer, sync });
+                let _ = self.request_tx.send(SyncRequest { id, peer, sync });
             }
-            Action::Reply(reply) => answers.reply = Some(*reply),
-            Action::Accept(reply) => answers.accept = Some(reply),
+            Action::Reply(reply) => replies.peer_reply = Some(*reply),
+            Action::Accept(reply) => replies.announce_reply = Some(reply),
             Action::Use { announcement, age } => {
                 routing.hear(now, sill_route::Event::Announced { announcement, age });
             }
@@ -173,47 +173,53 @@
                 routing.hear(now, sill_route::Event::Gone { endpoint, incarnation });
             }
             Action::Trust { until } => routing.trust(until - START),
-            Action::Report(found) => report(&found),
+            Action::Report(report) => log_report(&report),
         }
     }
 }
 
-/// Ticks the core and carries its questions until the process ends.
+/// Ticks the core and carries its requests until the process ends.
 pub async fn run(shared: Arc<Shared>) {
-    let Some(mut asked) = shared.members.asked.lock().take() else { return };
+    let Some(mut request_rx) = shared.members.request_rx.lock().take() else { return };
     let mut ticks = tokio::time::interval(TICK.into());
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut clients: FxHashMap<Name, PeerClient> = FxHashMap::default();
-    let mut wanted_at = Revision::default();
-    let mut is_leaving = false;
+    let mut reported_revision = Revision::default();
+    let mut is_shutdown_announced = false;
     loop {
         tokio::select! {
             _ = ticks.tick() => {
-                tell_wanted(&shared, &mut wanted_at);
-                tell_leaving(&shared, &mut is_leaving);
+                update_services(&shared, &mut reported_revision);
+                announce_shutdown(&shared, &mut is_shutdown_announced);
                 shared.members.step(&shared.routing, Event::Tick);
                 shared.metrics.gauges.set(&shared);
             }
-            question = asked.recv() => {
-                let Some(question) = question else { return };
-                ask(&shared, &mut clients, question);
+            request = request_rx.recv() => {
+                let Some(request) = request else { return };
+                send_request(&shared, &mut clients, request);
             }
         }
     }
 }
 
-/// Answers the question of a peer.
+/// Answers the request of a peer.
 ///
 /// # Errors
 ///
 /// Never fails; the type is what peer calls ask for.
 pub async fn answer(shared: Arc<Shared>, sync: MemberSync) -> Result<MemberReply, PeerError> {
-    let answers = shared.members.step(&shared.routing, Event::Asked(sync));
-    answers.reply.ok_or_else(|| PeerError::Refused("the membership core gave no reply".to_owned()))
+    let replies = shared.members.step(&shared.routing, Event::Asked(sync));
+    replies
+        .peer_reply
+        .ok_or_else(|| PeerError::Refused("the membership core gave no reply".to_owned()))
 }
 
-fn ask(shared: &Arc<Shared>, clients: &mut FxHashMap<Name, PeerClient>, question: Question) {
-    let Question { id, peer, sync } = question;
+fn send_request(
+    shared: &Arc<Shared>,
+    clients: &mut FxHashMap<Name, PeerClient>,
+    request: SyncRequest,
+) {
+    let SyncRequest { id, peer, sync } = request;
     let Ok(address) = peer.parse() else {
         shared.members.step(&shared.routing, Event::Failed { id });
         return;
@@ -221,7 +227,7 @@
     if clients.len() > MAX_CLIENTS {
         clients.clear();
     }
-    let make = || PeerClient::new(address, &shared.cfg.cluster_key, TIMEOUT);
+    let make = || PeerClient::new(address, &shared.cfg.cluster_key, REQUEST_TIMEOUT);
     let client = clients.entry(peer).or_insert_with(make).clone();
     let shared = shared.clone();
     tokio::spawn(async move {
@@ -236,25 +242,25 @@
     });
 }
 
-fn tell_wanted(shared: &Shared, told: &mut Revision) {
+fn update_services(shared: &Shared, reported: &mut Revision) {
     let revision = shared.settings.revision();
-    if revision != *told {
-        *told = revision;
+    if revision != *reported {
+        *reported = revision;
         let names = shared.settings.current().services.keys().cloned().collect();
         shared.members.step(&shared.routing, Event::Wanted(names));
     }
 }
 
-fn tell_leaving(shared: &Shared, told: &mut bool) {
-    if shared.stopping.load(Ordering::Relaxed) && !*told {
-        *told = true;
-        let left = shared.cfg.drain_notice + shared.cfg.drain_limit;
-        shared.members.step(&shared.routing, Event::Leaving { left });
+fn announce_shutdown(shared: &Shared, is_announced: &mut bool) {
+    if shared.is_stopping.load(Ordering::Relaxed) && !*is_announced {
+        *is_announced = true;
+        let remaining = shared.cfg.drain_notice + shared.cfg.drain_limit;
+        shared.members.step(&shared.routing, Event::Leaving { left: remaining });
     }
 }
 
-fn report(found: &Report) {
-    match found {
+fn log_report(report: &Report) {
+    match report {
         Report::NameClaimedTwice { endpoint, winner, refused } => {
             let (winner, refused) = (winner.0, refused.0);
             event!(Warn, "name_claimed_twice", name = endpoint, winner = winner, refused = refused);
--- a/daemons/entry/src/metrics.rs
+++ b/daemons/entry/src/metrics.rs
@@ -21,8 +21,8 @@
     pub in_flight: IntGauge,
     /// Membership and settings.
     pub gauges: Gauges,
-    recomputed: IntCounterVec,
-    dropped: IntCounterVec,
+    recomputed_tokens: IntCounterVec,
+    dropped_chunks: IntCounterVec,
 }
 
 impl Metrics {
@@ -42,13 +42,15 @@
         let answered = counter("sill_requests_answered_total", "Requests answered whole");
         let refused = counter("sill_requests_refused_total", "Requests refused");
         let failed = counter("sill_requests_failed_total", "Requests given up after dispatch");
-        let by_label = |name: &str, help: &str, label: &str| {
+        let labeled_counter = |name: &str, help: &str, label: &str| {
             let counters = IntCounterVec::new(Opts::new(name, help), &[label]).expect("valid");
             registry.register(Box::new(counters.clone())).expect("metric names differ");
             counters
         };
-        let recomputed = by_label("sill_recomputed_tokens_total", "Tokens computed again", "cause");
-        let dropped = by_label("sill_dropped_chunks_total", "Chunks not passed on", "why");
+        let recomputed_tokens =
+            labeled_counter("sill_recomputed_tokens_total", "Tokens computed again", "cause");
+        let dropped_chunks =
+            labeled_counter("sill_dropped_chunks_total", "Chunks not passed on", "why");
         let in_flight =
             IntGauge::new("sill_requests_in_flight", "Requests in flight").expect("a valid name");
         registry.register(Box::new(in_flight.clone())).expect("metric names differ");
@@ -61,19 +63,19 @@
             failed,
             in_flight,
             gauges,
-            recomputed,
-            dropped,
+            recomputed_tokens,
+            dropped_chunks,
         }
     }
 
     /// Counts tokens that are computed again.
-    pub fn recomputed(&self, cause: RecomputeCause, tokens: u64) {
-        self.recomputed.with_label_values(&[cause.name()]).inc_by(tokens);
+    pub fn count_recomputed(&self, cause: RecomputeCause, tokens: u64) {
+        self.recomputed_tokens.with_label_values(&[cause.name()]).inc_by(tokens);
     }
 
     /// Counts a chunk that was not passed on.
-    pub fn dropped(&self, why: &str) {
-        self.dropped.with_label_values(&[why]).inc();
+    pub fn count_dropped(&self, why: &str) {
+        self.dropped_chunks.with_label_values(&[why]).inc();
     }
 
     /// Returns all metrics as text.
--- a/daemons/entry/src/peer.rs
+++ b/daemons/entry/src/peer_server.rs
@@ -20,21 +20,21 @@
     listener: TcpListener,
     copy: Option<SettingsCopy>,
 ) -> io::Result<PeerServer> {
-    let server = answers(shared).start(listener)?;
+    let server = build_server(shared).start(listener)?;
     tokio::spawn(feed::run(shared.clone(), copy));
     tokio::spawn(members::run(shared.clone()));
     Ok(server)
 }
 
 /// Makes the server with all calls that peers may make.
-fn answers(shared: &Arc<Shared>) -> PeerServerBuilder {
+fn build_server(shared: &Arc<Shared>) -> PeerServerBuilder {
     let mut server = PeerServerBuilder::new(shared.cfg.cluster_key.clone());
-    let feeding = shared.clone();
-    server.answer(move |poll| feed::answer(feeding.clone(), poll));
-    let asked = shared.clone();
-    server.answer(move |sync| members::answer(asked.clone(), sync));
-    let told = shared.clone();
-    server.answer(move |exchange| limits::answer(told.clone(), exchange));
+    let feed_shared = shared.clone();
+    server.answer(move |poll| feed::answer(feed_shared.clone(), poll));
+    let member_shared = shared.clone();
+    server.answer(move |sync| members::answer(member_shared.clone(), sync));
+    let limit_shared = shared.clone();
+    server.answer(move |exchange| limits::answer(limit_shared.clone(), exchange));
     serve::calls::register(&mut server, shared);
     server
 }
--- a/daemons/entry/src/peers.rs
+++ b/daemons/entry/src/peers.rs
@@ -19,28 +19,28 @@
 
 /// Clients of peers by address.
 #[derive(Debug, Default)]
-pub struct Peers(Mutex<Map<Name, PeerClient>>);
+pub struct PeerClients(Mutex<Map<Name, PeerClient>>);
 
 /// Where something is kept.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Home {
     /// At this instance.
-    Here,
+    Local,
     /// At the peer with this address.
-    At(Name),
+    Remote(Name),
 }
 
 /// Returns the home of a key among the live entry instances of the domain.
 pub fn home(app: &Shared, key: &ClaimKey) -> Home {
     let key = format!("{}\n{}", key.account, key.key);
     match app.members.home_for(&key) {
-        Some(info) if info.name != app.cfg.name => Home::At(info.peer_address),
-        _ => Home::Here,
+        Some(info) if info.name != app.cfg.name => Home::Remote(info.peer_address),
+        _ => Home::Local,
     }
 }
 
 /// Returns the peer addresses of the other entry instances of the domain that stay.
-pub fn candidates(app: &Shared) -> Vec<Name> {
+pub fn active_peers(app: &Shared) -> Vec<Name> {
     let peers = app.members.peers_of_domain().into_iter();
     peers.filter(|info| info.leaving.is_none()).map(|info| info.peer_address).collect()
 }
@@ -48,12 +48,12 @@
 /// Returns where the owner of a claim is reached, if it lives still.
 pub fn find_owner(app: &Shared, owner: &ClaimOwner) -> Option<Home> {
     if owner.entry == app.cfg.name {
-        return (owner.incarnation == app.incarnation).then_some(Home::Here);
+        return (owner.incarnation == app.incarnation).then_some(Home::Local);
     }
     let peers = app.members.peers_of_domain();
     let is_owner =
         |info: &EntryInfo| info.name == owner.entry && info.incarnation == owner.incarnation;
-    peers.into_iter().find(is_owner).map(|info| Home::At(info.peer_address))
+    peers.into_iter().find(is_owner).map(|info| Home::Remote(info.peer_address))
 }
 
 /// Calls a peer, from any thread.
@@ -67,12 +67,12 @@
 {
     let client = client(app, address)?;
     // The connections belong to the runtime of the peers' server, not to the caller's thread.
-    let called = app.runtime.spawn(async move { client.call(&call).await });
-    called.await.unwrap_or_else(|err| Err(PeerError::Unreachable(err.to_string())))
+    let task = app.runtime.spawn(async move { client.call(&call).await });
+    task.await.unwrap_or_else(|err| Err(PeerError::Unreachable(err.to_string())))
 }
 
 fn client(app: &Shared, address: &Name) -> Result<PeerClient, PeerError> {
-    let mut clients = app.peers.0.lock();
+    let mut clients = app.peer_clients.0.lock();
     if let Some(client) = clients.get(address) {
         return Ok(client.clone());
     }
--- a/daemons/entry/src/record.rs
+++ b/daemons/entry/src/record.rs
@@ -52,10 +52,10 @@
     }
 
     /// Chooses an endpoint for a request.
-    pub fn choose(&mut self, now: Millis, ask: &RouteRequest) -> Choice {
-        let choice = self.router.choose(now, ask);
+    pub fn choose(&mut self, now: Millis, req: &RouteRequest) -> Choice {
+        let choice = self.router.choose(now, req);
         if self.file.is_some() {
-            let input = RouterInput::Ask(ask.clone());
+            let input = RouterInput::Ask(req.clone());
             self.write(&json!({ "at": now, "event": input }));
             self.write(&json!({ "expect": [choice] }));
         }
@@ -63,8 +63,8 @@
     }
 
     /// Returns what is believed of the endpoints that serve a request's target.
-    pub fn view(&self, now: Millis, ask: &RouteRequest) -> PoolView {
-        self.router.view(now, ask)
+    pub fn view(&self, now: Millis, req: &RouteRequest) -> PoolView {
+        self.router.view(now, req)
     }
 
     /// Each line is written at once, so that the last one before a crash is there. A full disk ends
--- a/daemons/entry/src/serve.rs
+++ b/daemons/entry/src/serve.rs
@@ -147,7 +147,7 @@
         return refuse(app, refusal);
     }
     if matches!(task, Task::Drive { home_lost: true }) {
-        app.metrics.recomputed(sill_flight::RecomputeCause::HomeLost, run.spec.prompt_tokens);
+        app.metrics.count_recomputed(sill_flight::RecomputeCause::HomeLost, run.spec.prompt_tokens);
     }
     ntex::rt::spawn(carry_out(in_flight, client.clone(), order, follower, task));
     caller::respond(&id, source).await
--- a/daemons/entry/src/serve/attach.rs
+++ b/daemons/entry/src/serve/attach.rs
@@ -64,8 +64,8 @@
         runs: false,
     };
     let location = match peers::home(app, &run.key) {
-        Home::Here => Ok(locate(app, &call)),
-        Home::At(address) => ask_home(app, &address, call).await,
+        Home::Local => Ok(locate(app, &call)),
+        Home::Remote(address) => ask_home(app, &address, call).await,
     };
     match location {
         Ok(Location::New) => Found::New,
@@ -129,8 +129,8 @@
     let (key, body) = (run.key.clone(), run.body_hash.clone());
     let call = LocateRun { key, body, asker, runs: true };
     match peers::home(app, &run.key) {
-        Home::Here => drop(locate(app, &call)),
-        Home::At(address) => drop(ask_home(app, &address, call).await),
+        Home::Local => drop(locate(app, &call)),
+        Home::Remote(address) => drop(ask_home(app, &address, call).await),
     }
 }
 
@@ -138,8 +138,8 @@
 pub async fn forget(app: &Arc<Shared>, key: &ClaimKey, request: &Name) {
     let run = RunAt { address: app.peer_address.clone(), request: request.clone() };
     match peers::home(app, key) {
-        Home::Here => app.directory.lock().remove(key, &run),
-        Home::At(address) => {
+        Home::Local => app.directory.lock().remove(key, &run),
+        Home::Remote(address) => {
             let call = ForgetRun { key: key.clone(), run };
             drop(ask_home(app, &address, call).await);
         }
@@ -325,7 +325,7 @@
         (Some(ClaimOutcome::Answered { status, body: Some(body) }), _) => {
             RunEnd::Reply(WholeReply::json(status, body))
         }
-        (Some(ClaimOutcome::Answered { body: None, .. }) | None, Some(Home::At(address))) => {
+        (Some(ClaimOutcome::Answered { body: None, .. }) | None, Some(Home::Remote(address))) => {
             RunEnd::Moved(address)
         }
         _ => {
--- a/daemons/entry/src/serve/driver.rs
+++ b/daemons/entry/src/serve/driver.rs
@@ -258,9 +258,9 @@
             }
             Action::ReleaseEndpoint { endpoint, outcome } => self.left(endpoint, outcome),
             Action::ForwardToken => {}
-            Action::Drop(dropped) => self.app.metrics.dropped(name_of(dropped)),
+            Action::Drop(dropped) => self.app.metrics.count_dropped(name_of(dropped)),
             Action::CountRecomputed { cause, tokens } => {
-                self.app.metrics.recomputed(cause, tokens);
+                self.app.metrics.count_recomputed(cause, tokens);
                 self.note(format!("{tokens} tokens computed again: {}", cause.name()));
             }
             Action::Attach { owner, outcome } => {
--- a/daemons/entry/src/settings.rs
+++ b/daemons/entry/src/settings.rs
@@ -12,13 +12,13 @@
 use tokio::sync::watch;
 
 /// Changes kept for peers that ask; those who miss more get a snapshot.
-const KEPT_CHANGES: usize = 256;
+const MAX_RECENT_CHANGES: usize = 256;
 
 /// Settings in force here.
 #[derive(Debug)]
 pub struct Settings {
-    held: RwLock<Arc<Held>>,
-    newest: watch::Sender<Revision>,
+    state: RwLock<Arc<SettingsState>>,
+    revision_tx: watch::Sender<Revision>,
     weakening: Weakening,
 }
 
@@ -29,47 +29,47 @@
     /// None.
     #[default]
     None,
-    /// The last answer to be worked out goes in force, whatever its revision.
+    /// The latest answer to be worked out goes in force, whatever its revision.
     LastWins,
 }
 
 /// The settings at one revision, with what peers need to catch up. It never changes; the next
 /// revision is worked out beside it, so that requests don't wait meanwhile.
 #[derive(Debug, Default)]
-pub struct Held {
+pub struct SettingsState {
     tree: Tree,
     effective: Arc<Effective>,
-    /// The last change of each subtree as it came, for snapshots.
-    last: BTreeMap<Name, Change>,
-    /// The newest changes without a gap.
+    /// The latest change of each subtree as it received, for snapshots.
+    latest: BTreeMap<Name, Change>,
+    /// The revision_tx changes without a gap.
     recent: VecDeque<Change>,
 }
 
 /// What became of an answer.
 #[derive(Debug)]
-pub struct Taken {
+pub struct ApplyOutcome {
     /// The settings that follow, if any change could be taken in.
-    pub next: Option<Held>,
+    pub next: Option<SettingsState>,
     /// Why not all of it was.
-    pub refused: Option<Refused>,
+    pub error: Option<ApplyError>,
 }
 
 /// Why an answer was not taken in whole; everything before it is in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Refused {
+pub enum ApplyError {
     /// A change is missing.
     Gap {
         /// The revision that should have come.
         expected: Revision,
-        /// The one that came.
-        came: Revision,
+        /// The one that received.
+        received: Revision,
     },
     /// The whole is older than what is in force.
-    Older {
+    OlderSnapshot {
         /// Its revision.
-        came: Revision,
+        revision: Revision,
     },
-    /// A document can't be read, as one written for a later version of this program.
+    /// A document can't be parsed, as one written for a later version of this program.
     Unreadable {
         /// The change's revision.
         revision: Revision,
@@ -78,7 +78,7 @@
     },
 }
 
-impl Held {
+impl SettingsState {
     /// Returns the revision.
     pub fn revision(&self) -> Revision {
         Revision(self.tree.revision)
@@ -90,22 +90,22 @@
     }
 
     /// Works out what follows from an answer, and leaves these settings as they are.
-    pub fn follow(&self, reply: FeedReply) -> Taken {
+    pub fn apply(&self, reply: FeedReply) -> ApplyOutcome {
         match reply {
-            FeedReply::Current | FeedReply::Empty => Taken { next: None, refused: None },
-            FeedReply::Changes { changes } => self.follow_changes(changes),
-            FeedReply::Snapshot { revision, subtrees } => self.follow_snapshot(revision, subtrees),
+            FeedReply::Current | FeedReply::Empty => ApplyOutcome { next: None, error: None },
+            FeedReply::Changes { changes } => self.apply_changes(changes),
+            FeedReply::Snapshot { revision, subtrees } => self.apply_snapshot(revision, subtrees),
         }
     }
 
     /// Returns the whole as an answer.
     pub fn snapshot(&self) -> FeedReply {
-        let subtrees = self.last.values().cloned().collect();
+        let subtrees = self.latest.values().cloned().collect();
         FeedReply::Snapshot { revision: self.revision(), subtrees }
     }
 
     /// Returns what is newer than a revision, as an answer to a peer.
-    pub fn newer_than(&self, have: Revision) -> FeedReply {
+    pub fn reply_since(&self, have: Revision) -> FeedReply {
         if have >= self.revision() {
             return FeedReply::Current;
         }
@@ -117,50 +117,53 @@
         FeedReply::Changes { changes: newer.cloned().collect() }
     }
 
-    fn follow_changes(&self, changes: Vec<Change>) -> Taken {
-        let mut refused = None;
-        let mut read = Vec::new();
+    fn apply_changes(&self, changes: Vec<Change>) -> ApplyOutcome {
+        let mut error = None;
+        let mut parsed = Vec::new();
         let newer = changes.into_iter().filter(|c| c.revision > self.revision());
         for (expected, change) in (self.tree.revision + 1..).zip(newer) {
             if change.revision.0 != expected {
-                let (expected, came) = (Revision(expected), change.revision);
-                refused = Some(Refused::Gap { expected, came });
+                let (expected, received) = (Revision(expected), change.revision);
+                error = Some(ApplyError::Gap { expected, received });
                 break;
             }
-            read.push(ReadChange::of(change));
+            parsed.push(ParsedChange::parse(change));
         }
-        if let Some((end, unreadable)) = first_unrepaired(&read) {
-            read.truncate(end);
-            refused = Some(unreadable);
+        if let Some((end, unreadable)) = first_unreadable(&parsed) {
+            parsed.truncate(end);
+            error = Some(unreadable);
         }
-        let next = (!read.is_empty()).then(|| self.with(read));
-        Taken { next, refused }
+        let next = (!parsed.is_empty()).then(|| self.with_changes(parsed));
+        ApplyOutcome { next, error }
     }
 
-    fn follow_snapshot(&self, revision: Revision, subtrees: Vec<Change>) -> Taken {
+    fn apply_snapshot(&self, revision: Revision, subtrees: Vec<Change>) -> ApplyOutcome {
         if revision < self.revision() {
-            return Taken { next: None, refused: Some(Refused::Older { came: revision }) };
+            return ApplyOutcome {
+                next: None,
+                error: Some(ApplyError::OlderSnapshot { revision }),
+            };
         }
         if revision == self.revision() {
-            return Taken { next: None, refused: None };
+            return ApplyOutcome { next: None, error: None };
         }
-        let mut read: Vec<ReadChange> = subtrees.into_iter().map(ReadChange::of).collect();
-        read.sort_by_key(|r| r.change.revision);
-        if let Some((_, unreadable)) = first_unrepaired(&read) {
-            return Taken { next: None, refused: Some(unreadable) };
+        let mut parsed: Vec<ParsedChange> = subtrees.into_iter().map(ParsedChange::parse).collect();
+        parsed.sort_by_key(|r| r.change.revision);
+        if let Some((_, unreadable)) = first_unreadable(&parsed) {
+            return ApplyOutcome { next: None, error: Some(unreadable) };
         }
-        let mut next = Self::default().with(read);
+        let mut next = Self::default().with_changes(parsed);
         next.recent.clear();
         next.tree.revision = revision.0;
         next.effective = Arc::new(Effective::of(&next.tree));
-        Taken { next: Some(next), refused: None }
+        ApplyOutcome { next: Some(next), error: None }
     }
 
-    fn with(&self, read: Vec<ReadChange>) -> Self {
+    fn with_changes(&self, parsed: Vec<ParsedChange>) -> Self {
         let mut tree = self.tree.clone();
-        let mut last = self.last.clone();
+        let mut latest = self.latest.clone();
         let mut recent = self.recent.clone();
-        for ReadChange { change, document } in read {
+        for ParsedChange { change, document } in parsed {
             let revision = change.revision.0;
             match document {
                 Ok(None) => tree.remove(&change.path, revision),
@@ -170,61 +173,61 @@
                 Err(_) => tree.revision = revision,
             }
             if change.document.is_some() {
-                last.insert(change.path.clone(), change.clone());
+                latest.insert(change.path.clone(), change.clone());
             } else {
-                last.remove(&change.path);
+                latest.remove(&change.path);
             }
             recent.push_back(change);
         }
-        let surplus = recent.len().saturating_sub(KEPT_CHANGES);
+        let surplus = recent.len().saturating_sub(MAX_RECENT_CHANGES);
         recent.drain(..surplus);
         let effective = Arc::new(Effective::of(&tree));
-        Self { tree, effective, last, recent }
+        Self { tree, effective, latest, recent }
     }
 }
 
 impl Settings {
-    /// Starts with settings read from the own copy, or with none.
-    pub fn new(held: Held) -> Self {
-        let newest = watch::Sender::new(held.revision());
-        Self { held: RwLock::new(Arc::new(held)), newest, weakening: Weakening::None }
+    /// Starts with settings parsed from the own copy, or with none.
+    pub fn new(state: SettingsState) -> Self {
+        let revision_tx = watch::Sender::new(state.revision());
+        Self { state: RwLock::new(Arc::new(state)), revision_tx, weakening: Weakening::None }
     }
 
     /// Sets a deliberate fault, for tests.
     #[doc(hidden)]
-    pub fn weakened(self, weakening: Weakening) -> Self {
+    pub fn with_weakening(self, weakening: Weakening) -> Self {
         Self { weakening, ..self }
     }
 
     /// Returns the settings in force.
     pub fn current(&self) -> Arc<Effective> {
-        self.held.read().effective.clone()
+        self.state.read().effective.clone()
     }
 
     /// Returns the revision in force.
     pub fn revision(&self) -> Revision {
-        self.held.read().revision()
+        self.state.read().revision()
     }
 
     /// Returns the settings in force with what peers need of them.
-    pub fn held(&self) -> Arc<Held> {
-        self.held.read().clone()
+    pub fn state(&self) -> Arc<SettingsState> {
+        self.state.read().clone()
     }
 
     /// Lets a caller wait for the next revision.
-    pub fn watch(&self) -> watch::Receiver<Revision> {
-        self.newest.subscribe()
+    pub fn subscribe(&self) -> watch::Receiver<Revision> {
+        self.revision_tx.subscribe()
     }
 
     /// Puts settings in force, unless newer ones came first.
-    pub fn put_in_force(&self, next: Held) {
-        let mut held = self.held.write();
-        let before = held.revision();
+    pub fn activate(&self, next: SettingsState) {
+        let mut state = self.state.write();
+        let before = state.revision();
         if next.revision() <= before && self.weakening != Weakening::LastWins {
             return;
         }
-        *held = Arc::new(next);
-        let after = held.revision();
+        *state = Arc::new(next);
+        let after = state.revision();
         keep!(
             Promise::AcceptedChangeStays,
             after >= before,
@@ -232,26 +235,28 @@
             before.0,
             after.0
         );
-        drop(held);
-        self.newest.send_replace(after);
+        drop(state);
+        self.revision_tx.send_replace(after);
     }
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Self::new(Held::default())
+        Self::new(SettingsState::default())
     }
 }
 
-impl Display for Refused {
+impl Display for ApplyError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Gap { expected, came } => {
-                write!(f, "expected revision {}, came {}", expected.0, came.0)
+            Self::Gap { expected, received } => {
+                write!(f, "expected revision {}, received {}", expected.0, received.0)
+            }
+            Self::OlderSnapshot { revision } => {
+                write!(f, "revision {} is older than what is in force", revision.0)
             }
-            Self::Older { came } => write!(f, "revision {} is older than what is in force", came.0),
             Self::Unreadable { revision, findings } => {
-                write!(f, "revision {} can't be read: {findings}", revision.0)
+                write!(f, "revision {} can't be parsed: {findings}", revision.0)
             }
         }
     }
@@ -259,37 +264,37 @@
 
 /// A change with its document, or with what is wrong with it.
 #[derive(Debug)]
-struct ReadChange {
+struct ParsedChange {
     change: Change,
     document: Result<Option<Document>, Findings>,
 }
 
-impl ReadChange {
-    fn of(change: Change) -> Self {
-        let read = change.document.clone().map(serde_json::from_value).transpose();
-        let document = read.map_err(|err| Findings::one(change.path.as_str(), err.to_string()));
+impl ParsedChange {
+    fn parse(change: Change) -> Self {
+        let parsed = change.document.clone().map(serde_json::from_value).transpose();
+        let document = parsed.map_err(|err| Findings::one(change.path.as_str(), err.to_string()));
         Self { change, document }
     }
 }
 
-/// Returns where the changes have to end: before the first one that can't be read and that no later
+/// Returns where the changes have to end: before the first one that can't be parsed and that no later
 /// change of the same subtree, before that end, replaces.
 ///
 /// Without looking for the later one, a single bad document would stop all changes for good, also
 /// once its author has mended it.
-fn first_unrepaired(read: &[ReadChange]) -> Option<(usize, Refused)> {
+fn first_unreadable(parsed: &[ParsedChange]) -> Option<(usize, ApplyError)> {
     let mut found = None;
-    let mut end = read.len();
+    let mut end = parsed.len();
     loop {
         let next = (0..end).find(|i| {
-            let path = &read[*i].change.path;
-            let is_same = |r: &ReadChange| r.change.path == *path && r.document.is_ok();
-            read[*i].document.is_err() && !read[*i + 1..end].iter().any(is_same)
+            let path = &parsed[*i].change.path;
+            let is_replacement = |r: &ParsedChange| r.change.path == *path && r.document.is_ok();
+            parsed[*i].document.is_err() && !parsed[*i + 1..end].iter().any(is_replacement)
         });
         let Some(next) = next else { return found };
-        if let Err(findings) = &read[next].document {
-            let (revision, findings) = (read[next].change.revision, findings.clone());
-            found = Some((next, Refused::Unreadable { revision, findings }));
+        if let Err(findings) = &parsed[next].document {
+            let (revision, findings) = (parsed[next].change.revision, findings.clone());
+            found = Some((next, ApplyError::Unreadable { revision, findings }));
         }
         end = next;
     }
--- a/daemons/entry/src/stop.rs
+++ b/daemons/entry/src/stop.rs
@@ -42,11 +42,11 @@
             for action in actions.drain(..) {
                 match action {
                     DrainAction::MarkNotReady => {
-                        shared.stopping.store(true, Ordering::Relaxed);
+                        shared.is_stopping.store(true, Ordering::Relaxed);
                         handoff::before_limit(shared, limit);
                     }
                     DrainAction::CloseListener => {
-                        shared.closing.store(true, Ordering::Relaxed);
+                        shared.is_closing.store(true, Ordering::Relaxed);
                         self.server.pause().await;
                     }
                     DrainAction::Exit { cut, forced } => {
@@ -74,7 +74,7 @@
 
     async fn end(self, gracefully: bool) {
         self.server.stop(gracefully).await;
-        self.peers.stop();
+        self.peer_server.stop();
         // Dropping it would block, which a caller inside another runtime may not do.
         self.runtime.shutdown_background();
     }
--- a/daemons/entry/tests/parents.rs
+++ b/daemons/entry/tests/parents.rs
@@ -1,51 +1,51 @@
 //! Whom entry instances ask for settings.
 
 use sill_base::{Millis, Name};
-use sill_entry::parents::{Outcome, Parent, Parents};
+use sill_entry::parents::{Outcome, Parent, ParentSelector};
 
 fn peers(count: usize) -> Vec<Name> {
     (0..count).map(|n| format!("10.0.0.{n}:81").into()).collect()
 }
 
-struct Place {
+struct Case {
     entries: usize,
     place: usize,
-    first: Parent,
+    expected: Parent,
 }
 
 #[test]
-fn heads_ask_control_instances_and_others_the_one_above() {
+fn entry_does_not_poll_the_wrong_parent() {
     let peer = |n: usize| Parent::Peer(format!("10.0.0.{n}:81").into());
     let table = [
-        Place { entries: 1, place: 0, first: Parent::Control(0) },
-        Place { entries: 2, place: 1, first: Parent::Control(0) },
-        Place { entries: 3, place: 2, first: peer(0) },
-        Place { entries: 36, place: 7, first: peer(0) },
-        Place { entries: 36, place: 8, first: peer(1) },
-        Place { entries: 36, place: 35, first: peer(5) },
+        Case { entries: 1, place: 0, expected: Parent::Control(0) },
+        Case { entries: 2, place: 1, expected: Parent::Control(0) },
+        Case { entries: 3, place: 2, expected: peer(0) },
+        Case { entries: 36, place: 7, expected: peer(0) },
+        Case { entries: 36, place: 8, expected: peer(1) },
+        Case { entries: 36, place: 35, expected: peer(5) },
         // One that is leaving has no place, and must still learn of changes.
-        Place { entries: 3, place: 3, first: Parent::Control(0) },
+        Case { entries: 3, place: 3, expected: Parent::Control(0) },
     ];
     for case in table {
-        let mut parents = Parents::new(3, 0);
+        let mut parents = ParentSelector::new(3, 0);
         let next = parents.next(Millis::ZERO, &peers(case.entries), case.place);
-        assert_eq!(next, Some(case.first), "place {} of {}", case.place, case.entries);
+        assert_eq!(next, Some(case.expected), "place {} of {}", case.place, case.entries);
     }
 }
 
 /// The one above is cut off or gone. A user would notice that one entry runs old settings while all
 /// others run the new ones.
 #[test]
-fn each_failure_leads_on_until_all_were_asked_and_time_leads_back() {
+fn failed_parent_is_not_polled_again_before_all_others() {
     let ranked = peers(12);
-    let mut parents = Parents::new(2, 0);
-    let mut asked = Vec::new();
+    let mut parents = ParentSelector::new(2, 0);
+    let mut polled = Vec::new();
     for now in 0..13 {
         let next = parents.next(Millis(now), &ranked, 9).expect("someone");
-        assert!(!asked.contains(&next), "{next:?} was asked twice in a round");
-        asked.push(next);
-        parents.note(Millis(now), Outcome::Failed);
+        assert!(!polled.contains(&next), "{next:?} was polled twice in a round");
+        polled.push(next);
+        parents.record(Millis(now), Outcome::Failed);
     }
-    assert!(asked[..4].contains(&Parent::Control(1)), "{asked:?}");
-    assert_eq!(parents.next(Millis(6000), &ranked, 9), Some(asked[0].clone()));
+    assert!(polled[..4].contains(&Parent::Control(1)), "{polled:?}");
+    assert_eq!(parents.next(Millis(6000), &ranked, 9), Some(polled[0].clone()));
 }
