--- a/daemons/entry/benches/settings.rs
+++ b/daemons/entry/benches/settings.rs
@@ -1,5 +1,5 @@
-//! Time until a settings change is in force, catch-up, and bytes for each subscriber, with a real
-//! control instance and real peer calls over loopback; also the overhead of a peer call.
+//! Measures the time until a settings change is active, catch-up, and bytes per subscriber, with a
+//! real control instance and real peer calls over loopback; also the overhead of a peer call.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -30,7 +30,7 @@
 const CHANGES: usize = 20;
 const MISSED: u64 = 500;
 
-/// Bytes that went through a relay, both ways.
+/// Bytes that passed through a relay in each direction.
 #[derive(Default)]
 struct ByteCounts {
     up: AtomicU64,
@@ -43,7 +43,7 @@
 }
 
 fn main() -> Result<()> {
-    // `cargo test --benches` runs this too; it measures only when asked as a bench.
+    // `cargo test --benches` runs this too; measure only under `cargo bench`.
     if !std::env::args().any(|word| word == "--bench") {
         return Ok(());
     }
@@ -52,7 +52,7 @@
     let folder = std::env::temp_dir().join(format!("sill-settings-bench-{}", std::process::id()));
     let control = start_control(&folder)?;
     put(control.address, 0)?;
-    // Words after `--` choose parts; all run without any.
+    // Arguments after `--` select parts; without any, all parts run.
     let parts: Vec<String> = std::env::args().skip(1).filter(|w| !w.starts_with('-')).collect();
     let runs = |part: &str| parts.is_empty() || parts.iter().any(|p| p == part);
     for subscribers in [8, 300].into_iter().filter(|_| runs("direct")) {
@@ -98,7 +98,7 @@
     Ok(control)
 }
 
-/// Changes a subtree of about a kilobyte, and waits for the answer.
+/// Changes a subtree of about a kilobyte and waits until the change is accepted.
 fn put(control: SocketAddr, n: usize) -> Result<Revision> {
     let account = |i: usize| {
         let key = format!("blake3:{:064x}", i + 1);
@@ -110,7 +110,7 @@
         r#"{{"services":{{"desk-7b":{{"kind":"model"}}}},"accounts":{{{}}}}}"#,
         accounts.join(",")
     );
-    // The first one waits for the election.
+    // The first change waits until a leader is elected.
     for _ in 0..200 {
         let answer = send(control, &body);
         if let Some(reply) = answer.ok().and_then(|a| serde_json::from_str::<ChangeReply>(&a).ok())
@@ -119,7 +119,7 @@
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    Err(eyre!("the change was never accepted"))
+    Err(eyre!("the change was not accepted within 200 attempts"))
 }
 
 fn send(control: SocketAddr, body: &str) -> Result<String> {
@@ -134,7 +134,7 @@
     Ok(answer.split_once("\r\n\r\n").map(|(_, body)| body.to_owned()).unwrap_or_default())
 }
 
-/// Starts a relay that counts bytes.
+/// Starts a TCP relay that counts bytes.
 fn relay(runtime: &Runtime, to: SocketAddr) -> Result<(SocketAddr, Arc<ByteCounts>)> {
     let byte_counts = Arc::new(ByteCounts::default());
     let listener = runtime.block_on(Listener::bind("127.0.0.1:0"))?;
@@ -186,7 +186,7 @@
     }
 }
 
-/// Measures what HTTP and JSON-RPC add to a question and to its reply.
+/// Measures the bytes that HTTP and JSON-RPC add to a request and to its reply.
 fn measure_call_overhead(runtime: &Runtime) -> Result<()> {
     let info = EntryInfo {
         name: "entry-001".into(),
@@ -216,7 +216,8 @@
         wants: Vec::new(),
         holds: Vec::new(),
     };
-    let (asked, answered) = (serde_json::to_vec(&sync)?.len(), serde_json::to_vec(&reply)?.len());
+    let (request_len, reply_len) =
+        (serde_json::to_vec(&sync)?.len(), serde_json::to_vec(&reply)?.len());
     let mut server = PeerServerBuilder::new(Secret::new(KEY));
     server.answer(move |_: MemberSync| {
         let reply = reply.clone();
@@ -242,13 +243,13 @@
     };
     println!(
         "peer call: {:.0} B around a question, {:.0} B around its reply",
-        per(&byte_counts.up, asked),
-        per(&byte_counts.down, answered)
+        per(&byte_counts.up, request_len),
+        per(&byte_counts.down, reply_len)
     );
     Ok(())
 }
 
-/// Subscribers that all ask the control instance, without a tree.
+/// Measures subscribers that all poll the control instance directly, without a tree.
 fn measure_direct(runtime: &Runtime, control: &Control, subscribers: usize) -> Result<()> {
     let (relay_address, byte_counts) = relay(runtime, control.peer_address)?;
     let settings: Vec<Arc<Settings>> = (0..subscribers).map(|_| Arc::default()).collect();
@@ -265,11 +266,11 @@
     let started = (total(&byte_counts), Instant::now());
     std::thread::sleep(Duration::from_secs(10));
     let idle = (total(&byte_counts) - started.0) as f64 / started.1.elapsed().as_secs_f64();
-    let watched: Vec<_> = settings.iter().map(|s| s.subscribe()).collect();
+    let receivers: Vec<_> = settings.iter().map(|s| s.subscribe()).collect();
     let before = total(&byte_counts);
     let mut times = Vec::new();
     for n in 0..CHANGES {
-        times.extend(one_change(runtime, control, n, &watched)?);
+        times.extend(one_change(runtime, control, n, &receivers)?);
         std::thread::sleep(Duration::from_millis(100));
     }
     let each = (total(&byte_counts) - before) as f64 / (CHANGES * subscribers) as f64;
@@ -316,18 +317,18 @@
     }
 }
 
-/// Makes one change and returns the time until each subscriber ran it, from before the change was
-/// sent.
+/// Makes one change and returns for each subscriber the time from before the change was sent until
+/// it was active.
 fn one_change(
     runtime: &Runtime,
     control: &Control,
     n: usize,
-    watched: &[watch::Receiver<Revision>],
+    receivers: &[watch::Receiver<Revision>],
 ) -> Result<Vec<Duration>> {
     let address = control.address;
-    let before = watched.iter().map(|w| *w.borrow()).max().unwrap_or_default();
+    let before = receivers.iter().map(|w| *w.borrow()).max().unwrap_or_default();
     let started_at = Instant::now();
-    let waits = watched.iter().cloned().map(|mut revision| {
+    let waits = receivers.iter().cloned().map(|mut revision| {
         runtime.spawn(async move {
             let newer = revision.wait_for(|revision| *revision > before);
             let result = tokio::time::timeout(Duration::from_secs(30), newer).await;
@@ -340,8 +341,8 @@
     for wait in waits {
         times.extend(runtime.block_on(wait)?);
     }
-    if times.len() < watched.len() {
-        println!("    {} did not run the change in 30 s", watched.len() - times.len());
+    if times.len() < receivers.len() {
+        println!("    {} did not run the change in 30 s", receivers.len() - times.len());
     }
     Ok(times)
 }
@@ -382,11 +383,12 @@
     }
 }
 
-/// Entry instances without their callers' side: membership, fan-out tree and peer calls are real.
+/// Measures entry instances that serve no callers: membership, fan-out tree and peer calls are
+/// real.
 fn measure_tree(control: &Control, entries: usize, domains: usize) -> Result<()> {
-    // Of its own, so that nothing of one run is left to the next.
-    let own = start_runtime()?;
-    let runtime = &own;
+    // A separate runtime, so that no task of one run is left for the next.
+    let tree_runtime = start_runtime()?;
+    let runtime = &tree_runtime;
     let (relay_address, byte_counts) = relay(runtime, control.peer_address)?;
     let listeners: Vec<TcpListener> =
         (0..entries).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
@@ -413,30 +415,31 @@
     while nodes.iter().any(is_behind) && Instant::now() < end {
         std::thread::sleep(Duration::from_millis(20));
     }
-    // Membership has to spread before the tree stands.
+    // The tree is complete only after membership has spread to all instances.
     std::thread::sleep(Duration::from_secs(15));
-    let known: Vec<usize> =
+    let peer_counts: Vec<usize> =
         nodes.iter().map(|n| n.shared.members.peers_of_domain().len()).collect();
     let started = (total(&byte_counts), Instant::now());
     std::thread::sleep(Duration::from_secs(10));
     let idle = (total(&byte_counts) - started.0) as f64 / started.1.elapsed().as_secs_f64();
-    let watched: Vec<_> = nodes.iter().map(|n| n.shared.settings.subscribe()).collect();
+    let receivers: Vec<_> = nodes.iter().map(|n| n.shared.settings.subscribe()).collect();
     let mut times = Vec::new();
     for n in 0..CHANGES {
-        times.extend(one_change(runtime, control, n, &watched)?);
+        times.extend(one_change(runtime, control, n, &receivers)?);
         std::thread::sleep(Duration::from_millis(100));
     }
     report(&format!("{entries} entries in {domains} domains by the fan-out tree"), times);
-    let (least, most) = (known.iter().min().copied(), known.iter().max().copied());
+    let (least, most) = (peer_counts.iter().min().copied(), peer_counts.iter().max().copied());
     println!(
         "    peers known {least:?} to {most:?}; at the control instance {idle:.0} B/s idle, in and out"
     );
     drop(nodes);
-    own.shutdown_timeout(Duration::from_secs(5));
+    tree_runtime.shutdown_timeout(Duration::from_secs(5));
     Ok(())
 }
 
-/// One that missed hundreds of changes, and one that starts with nothing.
+/// Measures the catch-up of a subscriber that missed hundreds of changes, and of one that starts
+/// without settings.
 fn measure_catch_up(runtime: &Runtime, control: &Control) -> Result<()> {
     let mut newest = Revision::default();
     let started_at = Instant::now();
@@ -465,7 +468,7 @@
             }
             other => format!("{other:?}"),
         };
-        // A whole tree follows from nothing; changes follow from what was missed last.
+        // A snapshot applies to the empty state; changes apply to the revision before them.
         let outcome = sill_entry::settings::SettingsState::default().apply(reply);
         let revision = outcome.next.map(|next| next.revision());
         println!(
--- a/daemons/entry/src/announce.rs
+++ b/daemons/entry/src/announce.rs
@@ -1,4 +1,4 @@
-//! Takes in announcements and cache events of endpoints.
+//! Receives announcements and cache events of endpoints.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 
 use crate::daemon::Shared;
 
-/// `POST /announce`.
+/// `POST /announce`: an endpoint announces its address, load and state.
 pub async fn announce(
     app: web::types::State<Arc<Shared>>,
     req: HttpRequest,
@@ -29,7 +29,7 @@
     }
 }
 
-/// `POST /events`.
+/// `POST /events`: an endpoint reports changes of its prefix cache.
 pub async fn events(
     app: web::types::State<Arc<Shared>>,
     req: HttpRequest,
@@ -43,7 +43,7 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Reads a body, of one who has the join token.
+/// Parses the body of a request that is authorized by the join token.
 fn parse_authorized<T>(app: &Shared, req: &HttpRequest, body: &[u8]) -> Result<T, Failure>
 where
     T: DeserializeOwned,
--- a/daemons/entry/src/cfg.rs
+++ b/daemons/entry/src/cfg.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry instance.
+//! Process settings of an entry instance, from flags and variables.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,72 +6,72 @@
 use sill_base::{Findings, Millis, Name, Secret};
 use sill_setup::{Flag, Program, Values};
 
-/// `sill-entry`.
+/// Command line of `sill-entry`.
 pub const ENTRY: Program = Program {
     name: "sill-entry",
-    about: "an entry instance: takes callers' requests and sees each through to its one answer",
+    about: "an entry instance: accepts callers' requests and gives each exactly one answer",
     operands: "",
     flags: &[
         Flag::one("name", "NAME", "name of this instance"),
         Flag::one("domain", "NAME", "its failure domain"),
-        Flag::one("listen", "IP:PORT", "where callers and endpoints reach it"),
-        Flag::one("listen-peer", "IP:PORT", "where our own processes reach it"),
+        Flag::one("listen", "IP:PORT", "address for callers and endpoints"),
+        Flag::one("listen-peer", "IP:PORT", "address for our own processes"),
         Flag::many("control", "IP:PORT", "control instance, by its peer address"),
         Flag::many("peer", "IP:PORT", "another entry instance, by its peer address"),
         Flag::one("data", "DIR", "data folder, on instances with a disk"),
         Flag::one("cluster-key-file", "FILE", "file with the key our own processes share"),
         Flag::one("join-token-file", "FILE", "file with the token endpoints join with"),
-        Flag::with_default("workers", "N", "2", "threads that serve callers"),
-        Flag::with_default("max-body", "BYTES", "4194304", "largest request body taken"),
-        Flag::with_default("max-in-flight", "N", "20000", "requests held at once"),
+        Flag::with_default("workers", "N", "2", "worker threads that serve callers"),
+        Flag::with_default("max-body", "BYTES", "4194304", "largest accepted request body"),
+        Flag::with_default("max-in-flight", "N", "20000", "most requests in flight"),
         Flag::with_default("drain-notice-ms", "N", "3000", "time between readyz 503 and the close"),
         Flag::with_default("drain-limit-ms", "N", "600000", "longest wait for requests in flight"),
-        Flag::one("record", "FILE", "write what each router takes in and chooses to FILE.N"),
+        Flag::one("record", "FILE", "record the inputs and choices of router N in FILE.N"),
         Flag::with_default("log-level", "LEVEL", "info", "error, warn, info, debug or trace"),
     ],
 };
 
-/// Checked settings of an entry instance.
+/// Validated process settings of an entry instance.
 #[derive(Debug, Clone)]
 pub struct EntryCfg {
-    /// Its name.
+    /// Name of the instance, which is also part of its request ids.
     pub name: Name,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: Name,
-    /// Where callers and endpoints reach it.
+    /// Address at which callers and endpoints reach it.
     pub listen: SocketAddr,
-    /// Where our own processes reach it.
+    /// Address at which our own processes reach it.
     pub listen_peer: SocketAddr,
     /// Control instances, by their peer address.
     pub control: Vec<SocketAddr>,
     /// Other entry instances, by their peer address.
     pub peers: Vec<SocketAddr>,
-    /// The data folder, on instances with a disk.
+    /// Data folder for the local copy of the settings, on instances with a disk.
     pub data: Option<PathBuf>,
-    /// Where to write what the routers take in and choose, if anywhere.
+    /// Path prefix of the record files of the routers, if inputs and choices are recorded.
     pub record: Option<PathBuf>,
-    /// The key that our own processes share.
+    /// Key shared by our own processes, which authenticates their calls.
     pub cluster_key: Secret,
-    /// The token that endpoints join with.
+    /// Token with which endpoints authenticate their announcements.
     pub join_token: Secret,
-    /// Threads that serve callers.
+    /// Worker threads that serve callers.
     pub workers: usize,
-    /// The largest request body taken, in bytes.
+    /// Largest accepted request body, in bytes.
     pub max_body: usize,
-    /// Requests held at once.
+    /// Most requests in flight; more are refused.
     pub max_in_flight: usize,
-    /// Time between turning not ready and closing the listener.
+    /// Time between reporting not ready and closing the listener, on a planned stop.
     pub drain_notice: Millis,
     /// Longest wait for requests in flight on a planned stop.
     pub drain_limit: Millis,
 }
 
 impl EntryCfg {
-    /// Checks flags and variables.
+    /// Reads and validates flags and variables.
     ///
     /// # Errors
     ///
-    /// Returns every finding with its flag and variable.
+    /// Returns every invalid or missing value with its flag and variable.
     pub fn read(values: &mut Values) -> Result<Self, Findings> {
         let name = values.name("name");
         let domain = values.name("domain");
--- a/daemons/entry/src/cli.rs
+++ b/daemons/entry/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the entry daemon.
+//! Entry point of the `sill-entry` daemon.
 
 use eyre::Result;
 use sill_base::event;
@@ -7,11 +7,11 @@
 use crate::cfg::{ENTRY, EntryCfg};
 use crate::daemon::Entry;
 
-/// Runs the daemon until it is asked to stop.
+/// Runs the daemon until a stop signal arrives.
 ///
 /// # Errors
 ///
-/// Fails when a flag is wrong or the daemon can't start.
+/// Fails when a flag is invalid or the daemon cannot start.
 pub fn run(args: Vec<String>) -> Result<()> {
     let Some(mut values) = ENTRY.values_or_help(args)? else {
         return Ok(());
--- a/daemons/entry/src/copy.rs
+++ b/daemons/entry/src/copy.rs
@@ -1,4 +1,4 @@
-//! The own copy of the settings, on instances with a disk.
+//! Local copy of the settings, on instances with a disk.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -6,48 +6,51 @@
 
 use sill_wire::feed::FeedReply;
 
-/// First word of the file, with the version of its format.
+/// First word of the file, which includes the format version.
 const FORMAT: &str = "sill-settings-1";
 
-/// Where the copy lies.
+/// The copy of the settings in a data folder.
 #[derive(Debug, Clone)]
 pub struct SettingsCopy {
     folder: PathBuf,
 }
 
 impl SettingsCopy {
-    /// Keeps the copy in a data folder, which is made if need be.
+    /// Uses the copy in a data folder, which is created if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails when the folder can't be made.
+    /// Fails when the folder cannot be created.
     pub fn open(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
         Ok(Self { folder: folder.to_owned() })
     }
 
-    /// Reads the copy; none where none was written yet.
+    /// Reads the copy. Returns none if none has been written yet.
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be read or is damaged.
+    /// Fails when the file cannot be read or is damaged.
     pub fn read(&self) -> io::Result<Option<FeedReply>> {
         let text = match fs::read_to_string(self.path()) {
             Err(err) if err.kind() == io::ErrorKind::NotFound => return Ok(None),
             text => text?,
         };
-        let (head, body) = text.split_once('\n').ok_or_else(|| damaged("no first line"))?;
+        let (head, body) =
+            text.split_once('\n').ok_or_else(|| damaged("settings copy: no header line"))?;
         if head != first_line(body) {
-            return Err(damaged("the checksum or the format does not match"));
+            return Err(damaged(
+                "settings copy: the checksum or the format in the header does not match",
+            ));
         }
         Ok(Some(serde_json::from_str(body)?))
     }
 
-    /// Writes a snapshot; it lies on disk when this returns.
+    /// Writes a snapshot. It is durable on disk when this returns.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be written; the former copy is whole then.
+    /// Fails when the file cannot be written; the previous copy is then intact.
     pub fn write(&self, snapshot: &FeedReply) -> io::Result<()> {
         let body = serde_json::to_string(snapshot)?;
         let new = self.folder.join("settings.new");
@@ -55,7 +58,7 @@
         file.write_all(format!("{}\n{body}", first_line(&body)).as_bytes())?;
         file.sync_all()?;
         fs::rename(&new, self.path())?;
-        // The new name itself lasts only once the folder is synced.
+        // The rename itself is durable only after the folder is synced.
         File::open(&self.folder)?.sync_all()
     }
 
--- a/daemons/entry/src/daemon.rs
+++ b/daemons/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of an entry instance and holds them together.
+//! Startup and shared state of an entry instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -36,62 +36,62 @@
 use crate::settings::Settings;
 use crate::{api, feed, limits, peer_server};
 
-/// Connections that a worker holds to endpoints.
+/// Most connections to endpoints that each worker thread opens.
 const MAX_UPSTREAM_CONNECTIONS: usize = 16_384;
 
-/// Keys that this instance is home to at most.
+/// Most idempotency keys whose running requests this instance records as their home.
 const MAX_DIRECTORY_KEYS: usize = 100_000;
 
-/// How long the home of a key remembers where its request ran.
+/// How long the home of a key records which instance ran its request.
 const KEY_RETENTION: Millis = Millis(600_000);
 
-/// Requests whose records are kept.
+/// Most requests whose steps are kept in the journal.
 const MAX_JOURNAL_RECORDS: usize = 20_000;
 
-/// What the parts of an entry instance share.
+/// State shared by all tasks and worker threads of an entry instance.
 #[derive(Debug)]
 pub struct Shared {
-    /// Its settings of the process.
+    /// Settings of the process, from flags and variables; they do not change while it runs.
     pub cfg: EntryCfg,
-    /// Its clock.
+    /// Monotonic clock of the process.
     pub clock: Clock,
-    /// Its life.
+    /// Start time of the process, which distinguishes it from earlier ones of the same name.
     pub incarnation: Incarnation,
-    /// The settings in force.
+    /// Settings that are active here.
     pub settings: Settings,
-    /// How the settings get here, and on to peers.
+    /// State of the settings propagation between parents and children of the fan-out tree.
     pub feed: Feed,
-    /// Entry instances and endpoints.
+    /// Live, leaving and replaced entry instances and endpoints.
     pub members: Membership,
-    /// Endpoints, and the choice among them.
+    /// Routers, which choose an endpoint for each request.
     pub routing: Routing,
-    /// Limits of client accounts.
+    /// Rate limits of client accounts.
     pub limits: Limits,
-    /// Its counters.
+    /// Counters and gauges.
     pub metrics: Metrics,
-    /// The claims' log.
+    /// Claims of idempotency keys, kept by the control instances.
     pub claims: Box<dyn Claims>,
-    /// Keyed requests that run or ran here.
+    /// Requests with an idempotency key that run or ran here.
     pub runs: Runs,
-    /// Where keyed requests run whose home this instance is.
+    /// Which instance runs each keyed request whose home this instance is.
     pub directory: Mutex<RunDirectory>,
-    /// What became of requests, and why.
+    /// Recent requests with the steps and the outcome of each.
     pub journal: Mutex<Journal>,
-    /// What concerns all requests in flight.
+    /// Notifications to all requests in flight.
     pub signals: Signals,
-    /// Clients of peers.
+    /// Clients for calls to peers, shared by all threads.
     pub peer_clients: PeerClients,
-    /// Threads that can take requests over from peers.
+    /// Channels to the worker threads, over which they accept requests handed off by peers.
     pub handoff_workers: Takers,
-    /// Where calls to peers run.
+    /// Tokio runtime that runs calls to peers.
     pub runtime: Handle,
-    /// Where peers reach this instance, `IP:PORT`.
+    /// Address at which peers reach this instance, `IP:PORT`.
     pub peer_address: Name,
     /// Whether a planned stop or a reclaim has begun.
     pub is_stopping: AtomicBool,
-    /// Whether the notice of a planned stop is over, so that requests are refused.
+    /// Whether the notice period of a planned stop has ended, so that requests are refused.
     pub is_closing: AtomicBool,
-    /// Whether this instance was given notice.
+    /// Whether this instance has received a reclaim notice.
     pub is_reclaimed: AtomicBool,
     next_request: AtomicU64,
 }
@@ -99,9 +99,9 @@
 /// A running entry instance.
 #[derive(Debug)]
 pub struct Entry {
-    /// Where callers and endpoints reach it.
+    /// Address at which callers and endpoints reach it.
     pub address: SocketAddr,
-    /// Where our own processes reach it.
+    /// Address at which our own processes reach it.
     pub peer_address: SocketAddr,
     pub(crate) shared: Arc<Shared>,
     pub(crate) server: ntex::server::Server,
@@ -110,11 +110,11 @@
 }
 
 impl Shared {
-    /// Makes the state of an instance that listens at these addresses.
+    /// Creates the state of an instance that listens at these addresses.
     ///
     /// # Errors
     ///
-    /// Fails when the routers can't be made.
+    /// Fails when a router's record file cannot be created.
     pub fn new(
         cfg: EntryCfg,
         settings: Settings,
@@ -154,24 +154,25 @@
         })
     }
 
-    /// Returns a name for a new request, unique over all instances and their lives.
+    /// Returns an id for a new request, unique across all instances and their incarnations.
     pub fn request_id(&self) -> Name {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:x}-{number:x}", self.cfg.name, self.incarnation.0).into()
     }
 
-    /// Returns whether a request would be served.
+    /// Returns whether this instance accepts requests: it has settings and is not stopping.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping.load(Ordering::Relaxed) && self.settings.revision().0 > 0
     }
 }
 
 impl Entry {
-    /// Starts to serve.
+    /// Binds both listeners and starts to serve callers, endpoints and peers.
     ///
     /// # Errors
     ///
-    /// Fails when an address can't be used.
+    /// Fails when an address cannot be bound, the data folder or a record file cannot be created,
+    /// or a thread cannot be started.
     pub fn start(cfg: EntryCfg) -> Result<Self> {
         let listener = http::bind(cfg.listen)?;
         let peer_listener = http::bind(cfg.listen_peer)?;
@@ -202,13 +203,13 @@
         Ok(Self { address, peer_address, shared, server, peer_server, runtime })
     }
 
-    /// Returns whether a request would be served.
+    /// Returns whether this instance accepts requests: it has settings and is not stopping.
     pub fn is_ready(&self) -> bool {
         self.shared.is_ready()
     }
 }
 
-/// Lets a worker thread take requests over from peers.
+/// Registers this worker thread to run requests handed off by peers.
 fn accept_handoffs(shared: &Arc<Shared>, client: &Client) {
     let (tx, mut rx) = mpsc::unbounded_channel();
     shared.handoff_workers.lock().push(tx);
@@ -231,7 +232,7 @@
         let max_body = shared.cfg.max_body;
         let server = HttpServer::new(async move || {
             let upstream = client::streaming(MAX_UPSTREAM_CONNECTIONS).await;
-            let upstream = upstream.expect("a client without TLS can be made");
+            let upstream = upstream.expect("creating an HTTP client without TLS does not fail");
             accept_handoffs(&shared, &upstream);
             App::new()
                 .middleware(OneShape)
@@ -252,7 +253,8 @@
     Ok(rx.recv()?)
 }
 
-/// Bounds what one connection may hold, so that slow or endless headers can't pile up.
+/// Limits how slowly a connection may send its headers and body, so that connections with slow or
+/// endless headers cannot accumulate.
 fn http_limits() -> HttpServiceConfig {
     HttpServiceConfig::new()
         .set_headers_read_rate(Seconds(5), Seconds(15), 128)
--- a/daemons/entry/src/feed.rs
+++ b/daemons/entry/src/feed.rs
@@ -1,5 +1,5 @@
-//! Keeps the settings up to date by waiting calls to whoever stands above in the fan-out tree, and
-//! passes them on to those below.
+//! Propagation of settings over the fan-out tree: an entry instance fetches them from its parent by
+//! long polls and serves the polls of its children.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,39 +18,40 @@
 use crate::parents::{Outcome, Parent, ParentSelector};
 use crate::settings::{ApplyError, ApplyOutcome, Settings, SettingsState};
 
-/// How long a poll waits for something newer. A parent that is cut off without a word is noticed
-/// after this time, which has to leave room for another try inside the six seconds promised.
+/// How long a poll waits for a newer revision. A parent that is partitioned without an error is
+/// detected after this time, which has to leave time for another attempt within the six seconds in
+/// which a change is guaranteed to be active.
 const POLL_WAIT: Millis = Millis(2000);
 
-/// How much longer than its wait a poll may take.
+/// How much longer than [`POLL_WAIT`] a poll may take before it times out.
 const POLL_GRACE: Millis = Millis(500);
 
-/// Pauses after a failure: the first, and the longest after many in a row.
+/// Backoff after a failed poll: the initial delay, and the limit to which it doubles.
 const MIN_BACKOFF: Millis = Millis(100);
 const MAX_BACKOFF: Millis = Millis(2000);
 
-/// How long one that was fed itself tells those below that nothing is newer.
+/// How long after its last contact an instance may tell its children that nothing is newer.
 const CONNECTED_TIMEOUT: Millis = Millis(4000);
 
-/// Time between two reports of the domain's endpoints.
+/// Time between two reports of the failure domain's endpoints to the control instances.
 const REPORT_INTERVAL: Millis = Millis(5000);
 
-/// How long news from below are gathered before they are passed on.
+/// How long changed revisions of descendants are batched before they are reported to the parent.
 const REPORT_BATCH_DELAY: Millis = Millis(100);
 
-/// How long one that asked counts as fed from here.
+/// Time without a report after which an instance is no longer counted as a descendant.
 const DESCENDANT_TIMEOUT: Millis = Millis(10_000);
 
-/// What the feed of one entry instance keeps besides the settings.
+/// State of the settings propagation of one entry instance, besides the settings themselves.
 #[derive(Debug, Default)]
 pub struct Feed {
-    /// When a parent that is itself in touch last answered.
+    /// When a parent that has contact with the control instances last answered.
     last_contact: Mutex<Option<Millis>>,
     descendants: Mutex<Map<Name, Descendant>>,
     descendant_changed: Notify,
 }
 
-/// What one below runs, and when it said so.
+/// The revision that a descendant in the fan-out tree runs, and when it reported it.
 #[derive(Debug)]
 struct Descendant {
     running: RunningRevision,
@@ -58,7 +59,8 @@
 }
 
 impl Feed {
-    /// Returns how long ago a parent that is itself in touch answered.
+    /// Returns the time since a parent that has contact with the control instances answered, or
+    /// none if none has yet.
     pub fn time_since_contact(&self, now: Millis) -> Option<Millis> {
         self.last_contact.lock().map(|at| now - at)
     }
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Returns what those run that were fed from here lately.
+    /// Returns the revisions of all descendants that reported within [`DESCENDANT_TIMEOUT`].
     fn descendants(&self, now: Millis) -> Vec<RunningRevision> {
         let mut descendants = self.descendants.lock();
         descendants.retain(|_, d| now - d.reported_at <= DESCENDANT_TIMEOUT);
@@ -102,17 +104,18 @@
         running
     }
 
-    /// Waits until one below runs another revision, and a little longer for the others.
+    /// Waits until the revision of a descendant changes, and then
+    /// [`REPORT_BATCH_DELAY`] for changes of others.
     ///
-    /// An operator who waits until a change is in force would otherwise wait for the end of the
-    /// polls of each level.
+    /// Without it, an operator who waits until a change is active would wait for the polls of every
+    /// level of the tree to end.
     async fn descendant_change(&self) {
         self.descendant_changed.notified().await;
         tokio::time::sleep(REPORT_BATCH_DELAY.into()).await;
     }
 }
 
-/// Reads the own copy, if there is one that can be read.
+/// Reads the local copy of the settings. Returns the empty state if there is no readable copy.
 pub fn read_copy(copy: Option<&SettingsCopy>) -> SettingsState {
     let Some(copy) = copy else { return SettingsState::default() };
     match copy.read() {
@@ -131,7 +134,7 @@
     }
 }
 
-/// Asks for settings until the process ends.
+/// Polls parents for settings until the process ends.
 pub async fn run(shared: Arc<Shared>, copy: Option<SettingsCopy>) {
     let cfg = &shared.cfg;
     let mut parents = ParentSelector::new(cfg.control.len(), shared.incarnation.0);
@@ -150,7 +153,8 @@
             .or_insert_with(|| PeerClient::new(address, &cfg.cluster_key, POLL_WAIT + POLL_GRACE));
         let poll =
             FeedPoll { endpoints: due_report(&shared, &mut reported_at), ..build_poll(&shared) };
-        // Two in a row are not cut short, or steady news from below would keep changes out.
+        // Of two consecutive polls at most one is interrupted. Otherwise frequent changes of
+        // descendants would keep new settings from arriving.
         let result = tokio::select! {
             result = client.call(&poll) => result,
             () = shared.feed.descendant_change(), if !was_interrupted => {
@@ -191,8 +195,8 @@
     }
 }
 
-/// Returns the endpoints of the domain, where this instance is the first in the tree and has not
-/// reported them for a while.
+/// Returns the endpoints of the failure domain, if this instance is the first in the tree and its
+/// last report is at least [`REPORT_INTERVAL`] old.
 fn due_report(shared: &Shared, reported_at: &mut Option<Millis>) -> Option<DomainEndpoints> {
     let now = shared.clock.now();
     let is_due = reported_at.is_none_or(|at| now - at >= REPORT_INTERVAL);
@@ -242,8 +246,8 @@
     }
 }
 
-/// Puts settings in force, once the own copy holds them: one that ran a revision must not run an
-/// older one after a restart in a domain that is cut off.
+/// Activates settings after they were written to the local copy: an instance that ran a revision
+/// must not run an older one after a restart in a partitioned failure domain.
 async fn persist_and_activate(
     settings: &Settings,
     copy: Option<&SettingsCopy>,
@@ -253,7 +257,8 @@
     if let Some(copy) = copy.cloned() {
         let snapshot = next.snapshot();
         let written = tokio::task::spawn_blocking(move || copy.write(&snapshot)).await;
-        // The fleet's word goes before the copy: a full disk must not keep old settings in force.
+        // A failed write does not prevent activation: a full disk must not keep old settings
+        // active.
         if let Err(err) = written.unwrap_or_else(|err| Err(std::io::Error::other(err))) {
             event!(Error, "settings_copy_not_written", revision = revision.0, error = err);
         }
@@ -273,12 +278,12 @@
     }
 }
 
-/// Answers the poll of a peer that stands below, at once when something is newer or this instance
-/// is itself cut off, else after the wait.
+/// Answers the poll of a child: immediately if there is a newer revision or this instance has lost
+/// contact with the control instances, otherwise after the wait that the poll asks for.
 ///
 /// # Errors
 ///
-/// Never fails; the type is what peer calls ask for.
+/// Never fails; handlers of peer calls have to return a `Result`.
 pub async fn answer(shared: Arc<Shared>, poll: FeedPoll) -> Result<FeedReply, PeerError> {
     shared.feed.record_descendants(shared.clock.now(), &poll);
     let mut revision_rx = shared.settings.subscribe();
--- a/daemons/entry/src/gauges.rs
+++ b/daemons/entry/src/gauges.rs
@@ -1,10 +1,10 @@
-//! What an entry instance knows of its failure domain and of the settings, as gauges.
+//! Gauges of the failure domain and the settings, as an entry instance sees them.
 
 use prometheus::{IntGauge, Registry};
 
 use crate::daemon::Shared;
 
-/// Gauges that each tick of membership sets.
+/// Gauges, updated at each tick of the membership core.
 #[derive(Debug)]
 pub struct Gauges {
     peers: IntGauge,
@@ -15,15 +15,15 @@
 }
 
 impl Gauges {
-    /// Makes and registers the gauges.
+    /// Creates and registers the gauges.
     ///
     /// # Panics
     ///
-    /// Panics when a name is taken in the registry.
+    /// Panics when the registry already has a metric of the same name.
     pub fn new(registry: &Registry) -> Self {
         let gauge = |name: &str, help: &str| {
-            let gauge = IntGauge::new(name, help).expect("a valid metric name");
-            registry.register(Box::new(gauge.clone())).expect("metric names differ");
+            let gauge = IntGauge::new(name, help).expect("metric name is valid");
+            registry.register(Box::new(gauge.clone())).expect("metric name is unique");
             gauge
         };
         Self {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sets all of them.
+    /// Sets all gauges from the current state.
     pub fn set(&self, shared: &Shared) {
         let counts = shared.members.counts();
         self.peers.set(counts.peers as i64);
--- a/daemons/entry/src/lib.rs
+++ b/daemons/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry instance: takes callers' requests and sees each through to its one answer.
+//! The entry instance: accepts callers' requests and gives each exactly one answer.
 
 pub mod announce;
 pub mod api;
--- a/daemons/entry/src/limits.rs
+++ b/daemons/entry/src/limits.rs
@@ -1,4 +1,4 @@
-//! The limiter of the entry instance, and what it tells its peers.
+//! Rate limits of client accounts, which entry instances share by exchanging reports of demand.
 
 use std::sync::Arc;
 
@@ -16,18 +16,18 @@
 use crate::daemon::Shared;
 use crate::peers;
 
-/// Limits of client accounts.
+/// The limiter behind its lock; it admits requests within the limits of client accounts.
 #[derive(Debug)]
 pub struct Limits(Mutex<Limiter>);
 
 impl Limits {
-    /// Makes a limiter that knows no limit.
+    /// Creates a limiter without limits; the settings supply them.
     pub fn new(cfg: &EntryCfg, incarnation: Incarnation) -> Self {
         let cfg = LimiterCfg { entry: cfg.name.clone(), domain: cfg.domain.clone() };
         Self(Mutex::new(Limiter::with_split(cfg, incarnation, SplitCfg::default())))
     }
 
-    /// Admits a request of an account or refuses it.
+    /// Admits a request of an account, or refuses it if the account has exceeded its limit.
     pub fn admit(&self, now: Millis, account: &Name, cost: Cost) -> Verdict {
         self.0.lock().admit(now, account, cost)
     }
@@ -39,7 +39,8 @@
     }
 }
 
-/// Keeps the limits in step with the settings, and tells peers about demand, until the process ends.
+/// Updates the limits from the settings and exchanges demand reports with peers, until the process
+/// ends.
 pub async fn run(shared: Arc<Shared>) {
     let mut revision = None;
     let mut ticks = tokio::time::interval(SplitCfg::default().tick.into());
@@ -59,12 +60,12 @@
     }
 }
 
-/// Answers a peer that gives its report. Other failure domains know a few addresses here, so their
-/// call may have to be passed on to the one that adds up this domain.
+/// Answers a peer's demand report. Other failure domains know only a few addresses of this one, so
+/// their call may have to be forwarded to the aggregator of this domain.
 ///
 /// # Errors
 ///
-/// Fails when that one can't be reached.
+/// Fails when the call has to be forwarded and the aggregator is unknown or unreachable.
 pub async fn answer(shared: Arc<Shared>, call: DemandExchange) -> Result<DemandReply, PeerError> {
     let is_from_other_domain = call.reports.first().is_some_and(|r| r.domain != shared.cfg.domain);
     if is_from_other_domain && !call.forwarded && !shared.limits.0.lock().is_domain_root() {
@@ -110,7 +111,8 @@
     }
 }
 
-/// Puts the one first that others reach as their domain's aggregator.
+/// Returns the members that share the limits. First among the neighbours is the aggregator that
+/// other domains reach.
 fn limit_members(shared: &Shared) -> Members {
     let own = (shared.cfg.name.clone(), shared.peer_address.clone());
     let peers = shared.members.peers_of_domain().into_iter();
--- a/daemons/entry/src/main.rs
+++ b/daemons/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The entry daemon.
+//! Binary of the entry daemon `sill-entry`.
 
 use std::process::ExitCode;
 
--- a/daemons/entry/src/members.rs
+++ b/daemons/entry/src/members.rs
@@ -1,4 +1,5 @@
-//! Membership of the entry instance: the core under its lock, its clock and its calls.
+//! Membership of the entry instance: the membership core behind a lock, with its timer and its
+//! calls to peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,13 +23,13 @@
 /// Time between two ticks of the core.
 const TICK: Millis = Millis(200);
 
-/// How long a peer has to answer; the core asks another one then.
+/// How long a peer has to answer; after that the core asks another one.
 const REQUEST_TIMEOUT: Millis = Millis(800);
 
-/// Clients kept at most; beyond, all are made anew.
+/// Most peer clients kept; when there are more, all are dropped and created again on use.
 const MAX_CLIENTS: usize = 1024;
 
-/// Who lives, who is leaving and who was replaced.
+/// Entry instances and endpoints that are live, leaving or replaced.
 #[derive(Debug)]
 pub struct Membership {
     core: Mutex<Members>,
@@ -37,23 +38,23 @@
     request_rx: Mutex<Option<UnboundedReceiver<SyncRequest>>>,
 }
 
-/// How many of each are known.
+/// Numbers of live peers and of endpoints in the failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
-    /// Live entry instances of the domain beside this one.
+    /// Live entry instances of the domain, without this one.
     pub peers: usize,
     /// Endpoints that may get requests.
     pub ready: usize,
-    /// Endpoints that are leaving and not gone.
+    /// Endpoints that are leaving and not yet removed.
     pub leaving: usize,
 }
 
-/// Replies that the core gave in one step.
+/// Replies that the core produced in one step.
 #[derive(Debug, Default)]
 pub struct StepReplies {
-    /// To an endpoint.
+    /// Reply to the announcement of an endpoint.
     pub announce_reply: Option<AnnounceReply>,
-    /// To a peer.
+    /// Reply to the request of a peer.
     pub peer_reply: Option<MemberReply>,
 }
 
@@ -65,7 +66,7 @@
 }
 
 impl Membership {
-    /// Makes the core of an instance that listens at these addresses.
+    /// Creates the core of an instance that listens at these addresses.
     pub fn new(
         cfg: &EntryCfg,
         clock: Clock,
@@ -88,12 +89,12 @@
         Self { core: Mutex::new(core), clock, request_tx, request_rx: Mutex::new(Some(request_rx)) }
     }
 
-    /// Gives the core an event and does what it asks for.
+    /// Passes an event to the core and executes the resulting actions.
     pub fn step(&self, routing: &Routing, event: Event) -> StepReplies {
         let mut replies = StepReplies::default();
         let mut actions = Vec::new();
-        // The router hears under the core's lock. Else it could hear of an endpoint as ready after
-        // it heard that the endpoint is leaving, from two steps that raced.
+        // The routers are updated under the core's lock. Otherwise, with two concurrent steps, a
+        // router could be told that an endpoint is ready after it was told that it is leaving.
         let mut core = self.core.lock();
         let now = self.clock.now();
         core.step(START + now, event, &mut actions);
@@ -108,28 +109,27 @@
         self.core.lock().peers_of_domain(self.now())
     }
 
-    /// Returns the entry instance of the domain that keeps what belongs to a key; it may be this
-    /// one.
+    /// Returns the entry instance of the domain that is the home of a key, which may be this one.
     pub fn home_for(&self, key: &str) -> Option<EntryInfo> {
         self.core.lock().home_for(self.now(), key)
     }
 
-    /// Returns the entry instances of the domain that speak with other domains.
+    /// Returns the entry instances of the domain that communicate with other domains.
     pub fn gateways(&self) -> Vec<EntryInfo> {
         self.core.lock().gateways(self.now())
     }
 
-    /// Returns the peer address of the entry instance that adds up figures of a failure domain.
+    /// Returns the peer address of the entry instance that aggregates figures of a failure domain.
     pub fn aggregator(&self, domain: &str) -> Option<SocketAddr> {
         self.core.lock().aggregator(self.now(), domain)?.parse().ok()
     }
 
-    /// Returns the failure domains that are known, with the own one.
+    /// Returns all known failure domains, including the local one.
     pub fn domains(&self) -> Vec<Name> {
         self.core.lock().domains()
     }
 
-    /// Returns how many of each are known.
+    /// Returns the current numbers of peers and endpoints, for the gauges.
     pub fn counts(&self) -> Counts {
         let core = self.core.lock();
         Counts {
@@ -144,13 +144,13 @@
         self.core.lock().ready().into_iter().cloned().collect()
     }
 
-    /// Returns the endpoints of the domain that are leaving and not gone.
+    /// Returns the endpoints of the domain that are leaving and not yet removed.
     pub fn leaving(&self) -> Vec<Announcement> {
         self.core.lock().leaving().into_iter().cloned().collect()
     }
 
     /// Returns the peer addresses of the domain's live entry instances in the order of the fan-out
-    /// tree, and the place of this one among them.
+    /// tree, and the index of this one among them.
     pub fn feed_tree(&self) -> (Vec<Name>, usize) {
         self.core.lock().ranked(self.now(), "settings")
     }
@@ -178,7 +178,7 @@
     }
 }
 
-/// Ticks the core and carries its requests until the process ends.
+/// Ticks the core and sends its requests to peers until the process ends.
 pub async fn run(shared: Arc<Shared>) {
     let Some(mut request_rx) = shared.members.request_rx.lock().take() else { return };
     let mut ticks = tokio::time::interval(TICK.into());
@@ -202,11 +202,11 @@
     }
 }
 
-/// Answers the request of a peer.
+/// Answers the membership request of a peer.
 ///
 /// # Errors
 ///
-/// Never fails; the type is what peer calls ask for.
+/// Fails when the core produces no reply, which is a bug.
 pub async fn answer(shared: Arc<Shared>, sync: MemberSync) -> Result<MemberReply, PeerError> {
     let replies = shared.members.step(&shared.routing, Event::Asked(sync));
     replies
--- a/daemons/entry/src/parents.rs
+++ b/daemons/entry/src/parents.rs
@@ -1,56 +1,59 @@
-//! Whom an entry instance asks for settings: the fan-out tree of its failure domain.
+//! Choice of the parent that an entry instance polls for settings, in the fan-out tree of its
+//! failure domain.
 
 use sill_base::{Millis, Name};
 
-/// Entry instances of a failure domain that ask control instances.
+/// Entry instances of a failure domain that poll the control instances: the roots of the tree.
 const ROOT_COUNT: usize = 2;
 
-/// Entry instances that each one feeds at most, in a calm domain.
+/// Most children of each entry instance while no parent fails.
 const FAN_OUT: usize = 6;
 
-/// How long one that has left its place in the tree waits before it tries that place again.
+/// How long after its first failed poll an instance tries its preferred parent again.
 const PREFERRED_RETRY_INTERVAL: Millis = Millis(5000);
 
-/// Someone to ask for settings.
+/// A process that can be polled for settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Parent {
     /// A peer of the failure domain, by its peer address.
     Peer(Name),
-    /// A control instance, by its place in the list of the process settings.
+    /// A control instance, by its index in the `control` list of the process settings.
     Control(usize),
 }
 
-/// How a question ended.
+/// Result of a poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The parent is in touch with the control instances, or had something newer.
+    /// The parent has contact with the control instances, or returned a newer revision.
     Fed,
-    /// The parent can't be reached, or is itself cut off.
+    /// The parent is unreachable, has lost contact with the control instances itself, or its reply
+    /// was not applied in full.
     Failed,
 }
 
-/// Chooses parents. Heads ask control instances, the others the one above them in the tree; each
-/// goes on to others when that one fails, and comes back later.
+/// Chooses which parent to poll. Roots poll control instances, the others their parent in the tree.
+/// After a failure each tries the next candidate, and `PREFERRED_RETRY_INTERVAL`
+/// after the first failure the preferred one again.
 #[derive(Debug)]
 pub struct ParentSelector {
     control_count: usize,
     control_offset: usize,
-    /// How many parents failed since the last one that fed.
+    /// Failed polls since the preferred parent was last tried anew.
     failures: usize,
     failing_since: Option<Millis>,
 }
 
 impl ParentSelector {
-    /// Makes the choice for an instance that knows `control_count` control instances; `seed` spreads
-    /// instances over them.
+    /// Creates a selector for `control_count` control instances. `seed` spreads entry instances
+    /// over them.
     pub fn new(control_count: usize, seed: u64) -> Self {
         let control_offset =
             if control_count == 0 { 0 } else { (seed % control_count as u64) as usize };
         Self { control_count, control_offset, failures: 0, failing_since: None }
     }
 
-    /// Returns whom to ask next. `ranked` are the peer addresses of the domain's live entry
-    /// instances in the order of the tree, this one at `place`.
+    /// Returns the parent to poll next. `ranked` are the peer addresses of the domain's live entry
+    /// instances in the order of the tree, with this one at index `place`.
     pub fn next(&mut self, now: Millis, ranked: &[Name], place: usize) -> Option<Parent> {
         if self.failing_since.is_some_and(|at| now - at >= PREFERRED_RETRY_INTERVAL) {
             self.failing_since = None;
@@ -61,7 +64,7 @@
         candidates.into_iter().nth(self.failures % count)
     }
 
-    /// Takes in how the last question ended.
+    /// Records the result of the last poll.
     pub fn record(&mut self, now: Millis, outcome: Outcome) {
         if outcome == Outcome::Failed {
             self.failures += 1;
@@ -69,8 +72,9 @@
         }
     }
 
-    /// Returns everyone to ask, the preferred one first: the two above in the tree, all control
-    /// instances, and then all peers, for in a domain that is cut off any of them may know more.
+    /// Returns all possible parents in order of preference: the parent in the tree and the instance
+    /// that follows it, all control instances, then all other peers, since in a partitioned domain
+    /// any of them may have a newer revision.
     fn candidates(&self, ranked: &[Name], place: usize) -> Vec<Parent> {
         let mut candidates = Vec::new();
         if let Some(parent) = parent_place(place).filter(|_| place < ranked.len()) {
@@ -89,7 +93,7 @@
     }
 }
 
-/// Returns the place above in the tree, or none for a head.
+/// Returns the index of the parent in the tree, or none for a root.
 fn parent_place(place: usize) -> Option<usize> {
     (place >= ROOT_COUNT).then(|| (place - ROOT_COUNT) / FAN_OUT)
 }
--- a/daemons/entry/src/peer_server.rs
+++ b/daemons/entry/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! What an entry instance answers to its peers, and what it asks them.
+//! Server for the calls of peers, and the start of the tasks that call peers.
 
 use std::io;
 use std::net::TcpListener;
@@ -10,11 +10,12 @@
 use crate::daemon::Shared;
 use crate::{feed, limits, members, serve};
 
-/// Serves peers, and starts to ask them; must be called inside a tokio runtime.
+/// Starts the server for peers and the tasks that fetch settings and membership from them. Must be
+/// called inside a tokio runtime.
 ///
 /// # Errors
 ///
-/// Fails when the listener can't be used.
+/// Fails when the server cannot use the listener.
 pub fn start(
     shared: &Arc<Shared>,
     listener: TcpListener,
@@ -26,7 +27,7 @@
     Ok(server)
 }
 
-/// Makes the server with all calls that peers may make.
+/// Registers a handler for each call that peers may make.
 fn build_server(shared: &Arc<Shared>) -> PeerServerBuilder {
     let mut server = PeerServerBuilder::new(shared.cfg.cluster_key.clone());
     let feed_shared = shared.clone();
--- a/daemons/entry/src/peers.rs
+++ b/daemons/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other entry instances of the failure domain, as homes of keys and takers of requests.
+//! Calls to other entry instances of the failure domain, as homes of keys and targets of handoffs.
 
 use std::sync::Arc;
 
@@ -11,22 +11,22 @@
 
 use crate::daemon::Shared;
 
-/// How long a peer has to answer; calls that wait for news wait less than that.
+/// How long a peer has to answer. Calls that wait for an update wait less than that.
 const TIMEOUT: Millis = Millis(7_000);
 
-/// Clients kept; beyond, all are made anew.
+/// Most peer clients kept; when there are more, all are dropped and created again on use.
 const MAX_CLIENTS: usize = 1024;
 
-/// Clients of peers by address.
+/// Peer clients by address, which all threads share.
 #[derive(Debug, Default)]
 pub struct PeerClients(Mutex<Map<Name, PeerClient>>);
 
-/// Where something is kept.
+/// Instance that holds the state of a key or of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Home {
-    /// At this instance.
+    /// This instance.
     Local,
-    /// At the peer with this address.
+    /// The peer with this address.
     Remote(Name),
 }
 
@@ -39,13 +39,13 @@
     }
 }
 
-/// Returns the peer addresses of the other entry instances of the domain that stay.
+/// Returns the peer addresses of the other entry instances of the domain that are not leaving.
 pub fn active_peers(app: &Shared) -> Vec<Name> {
     let peers = app.members.peers_of_domain().into_iter();
     peers.filter(|info| info.leaving.is_none()).map(|info| info.peer_address).collect()
 }
 
-/// Returns where the owner of a claim is reached, if it lives still.
+/// Returns the instance that owns a claim, or none if that incarnation is no longer live.
 pub fn find_owner(app: &Shared, owner: &ClaimOwner) -> Option<Home> {
     if owner.entry == app.cfg.name {
         return (owner.incarnation == app.incarnation).then_some(Home::Local);
@@ -56,17 +56,17 @@
     peers.into_iter().find(is_owner).map(|info| Home::Remote(info.peer_address))
 }
 
-/// Calls a peer, from any thread.
+/// Calls a peer. May be called from any thread.
 ///
 /// # Errors
 ///
-/// Fails when the peer can't be reached or refuses.
+/// Fails when the address is invalid, or the peer is unreachable or refuses the call.
 pub async fn call<C>(app: &Arc<Shared>, address: &Name, call: C) -> Result<C::Reply, PeerError>
 where
     C: Call + Sync,
 {
     let client = client(app, address)?;
-    // The connections belong to the runtime of the peers' server, not to the caller's thread.
+    // Connections belong to the peer server's runtime, not to the caller's thread.
     let task = app.runtime.spawn(async move { client.call(&call).await });
     task.await.unwrap_or_else(|err| Err(PeerError::Unreachable(err.to_string())))
 }
--- a/daemons/entry/src/record.rs
+++ b/daemons/entry/src/record.rs
@@ -1,4 +1,4 @@
-//! Writes down what routers take in and choose, for `sill replay`.
+//! Records the inputs and choices of routers, for `sill replay`.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -9,17 +9,17 @@
 use sill_base::{Machine, Millis, event};
 use sill_route::{Choice, Event, PoolView, RouteRequest, Router, RouterCfg};
 
-/// What a router takes in.
+/// Input of a router, as it is written to a record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouterInput {
-    /// It heard something.
+    /// An event about endpoints was applied.
     Hear(Event),
-    /// It was asked for an endpoint.
+    /// An endpoint was requested.
     Ask(RouteRequest),
 }
 
-/// A router whose inputs and choices are written to a file, where one was named.
+/// A router whose inputs and choices are written to a file, if one is configured.
 #[derive(Debug)]
 pub struct RecordedRouter {
     router: Router,
@@ -27,11 +27,11 @@
 }
 
 impl RecordedRouter {
-    /// Makes a router that knows no endpoint.
+    /// Creates a router without endpoints, and the record file if `file` is given.
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be written.
+    /// Fails when the file cannot be created or its header cannot be written.
     pub fn new(cfg: RouterCfg, file: Option<&Path>) -> io::Result<Self> {
         let mut file = file.map(File::create).transpose()?;
         if let Some(file) = &mut file {
@@ -41,7 +41,7 @@
         Ok(Self { router: Router::new(cfg), file })
     }
 
-    /// Takes in what was heard.
+    /// Records an event and applies it.
     pub fn step(&mut self, now: Millis, event: Event) {
         if self.file.is_none() {
             return self.router.step(now, event, &mut Vec::new());
@@ -51,7 +51,7 @@
         self.router.step(now, event, &mut Vec::new());
     }
 
-    /// Chooses an endpoint for a request.
+    /// Chooses an endpoint for a request and records the choice.
     pub fn choose(&mut self, now: Millis, req: &RouteRequest) -> Choice {
         let choice = self.router.choose(now, req);
         if self.file.is_some() {
@@ -62,18 +62,18 @@
         choice
     }
 
-    /// Returns what is believed of the endpoints that serve a request's target.
+    /// Returns the current state of the endpoints that serve a request's target.
     pub fn view(&self, now: Millis, req: &RouteRequest) -> PoolView {
         self.router.view(now, req)
     }
 
-    /// Each line is written at once, so that the last one before a crash is there. A full disk ends
-    /// the record and not the serving.
+    /// Writes one line to the record, unbuffered, so that the file has the last line before a crash.
+    /// If the disk is full, the record ends and requests are still served.
     fn write(&mut self, line: &serde_json::Value) {
         let Some(file) = &mut self.file else {
             return;
         };
-        // In one piece, so that a reader never sees half a line of a running record.
+        // One write per line, so that a reader of a growing record never sees a partial line.
         if let Err(err) = file.write_all(format!("{line}\n").as_bytes()) {
             event!(Warn, "record_ended", error = err);
             self.file = None;
--- a/daemons/entry/src/settings.rs
+++ b/daemons/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that an entry instance runs, which never go back to an older revision.
+//! Active settings of an entry instance. Their revision never decreases.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::{self, Display, Formatter};
@@ -11,10 +11,10 @@
 use sill_wire::feed::{Change, FeedReply};
 use tokio::sync::watch;
 
-/// Changes kept for peers that ask; those who miss more get a snapshot.
+/// Changes kept for peers that poll; a peer that misses more receives a snapshot.
 const MAX_RECENT_CHANGES: usize = 256;
 
-/// Settings in force here.
+/// Holder of the active settings, which readers share and each newer revision replaces.
 #[derive(Debug)]
 pub struct Settings {
     state: RwLock<Arc<SettingsState>>,
@@ -22,74 +22,74 @@
     weakening: Weakening,
 }
 
-/// Deliberate faults, by which tests show that they would notice them.
+/// Deliberate faults, with which tests verify that they detect them.
 #[doc(hidden)]
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum Weakening {
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// The latest answer to be worked out goes in force, whatever its revision.
+    /// The state that was activated last replaces the others, whatever its revision.
     LastWins,
 }
 
-/// The settings at one revision, with what peers need to catch up. It never changes; the next
-/// revision is worked out beside it, so that requests don't wait meanwhile.
+/// Settings at one revision, with the changes that peers need to catch up. It is immutable: the
+/// next revision is computed as a new value, so that requests do not wait for it.
 #[derive(Debug, Default)]
 pub struct SettingsState {
     tree: Tree,
     effective: Arc<Effective>,
-    /// The latest change of each subtree as it received, for snapshots.
+    /// The latest change of each subtree as it was received, for snapshots.
     latest: BTreeMap<Name, Change>,
-    /// The revision_tx changes without a gap.
+    /// The latest changes, with consecutive revisions, up to [`MAX_RECENT_CHANGES`].
     recent: VecDeque<Change>,
 }
 
-/// What became of an answer.
+/// Result of applying a reply to a state.
 #[derive(Debug)]
 pub struct ApplyOutcome {
-    /// The settings that follow, if any change could be taken in.
+    /// The new state, if at least one change was applied.
     pub next: Option<SettingsState>,
-    /// Why not all of it was.
+    /// Why the reply was not applied in full.
     pub error: Option<ApplyError>,
 }
 
-/// Why an answer was not taken in whole; everything before it is in force.
+/// Why a reply was not applied in full. Changes before the rejected one are applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApplyError {
-    /// A change is missing.
+    /// The revisions of two changes are not consecutive, so that a change is missing.
     Gap {
-        /// The revision that should have come.
+        /// The revision that should have followed.
         expected: Revision,
-        /// The one that received.
+        /// The revision that was received instead.
         received: Revision,
     },
-    /// The whole is older than what is in force.
+    /// The snapshot is older than the active settings.
     OlderSnapshot {
-        /// Its revision.
+        /// The snapshot's revision.
         revision: Revision,
     },
-    /// A document can't be parsed, as one written for a later version of this program.
+    /// A document cannot be parsed, for example one written for a later version of this program.
     Unreadable {
-        /// The change's revision.
+        /// Revision of the change that holds the document.
         revision: Revision,
-        /// What is wrong with it.
+        /// The document's subtree and the parse error.
         findings: Findings,
     },
 }
 
 impl SettingsState {
-    /// Returns the revision.
+    /// Returns the revision of the last change in this state, zero if there is none.
     pub fn revision(&self) -> Revision {
         Revision(self.tree.revision)
     }
 
-    /// Returns the settings as requests use them.
+    /// Returns the effective settings, with inherited values resolved, as requests use them.
     pub fn effective(&self) -> &Arc<Effective> {
         &self.effective
     }
 
-    /// Works out what follows from an answer, and leaves these settings as they are.
+    /// Computes the state that results from a reply, without modifying this one.
     pub fn apply(&self, reply: FeedReply) -> ApplyOutcome {
         match reply {
             FeedReply::Current | FeedReply::Empty => ApplyOutcome { next: None, error: None },
@@ -98,13 +98,14 @@
         }
     }
 
-    /// Returns the whole as an answer.
+    /// Returns the complete settings as a reply to a peer.
     pub fn snapshot(&self) -> FeedReply {
         let subtrees = self.latest.values().cloned().collect();
         FeedReply::Snapshot { revision: self.revision(), subtrees }
     }
 
-    /// Returns what is newer than a revision, as an answer to a peer.
+    /// Returns the reply to a peer at revision `have`: the changes after it, or a snapshot where
+    /// they are no longer kept.
     pub fn reply_since(&self, have: Revision) -> FeedReply {
         if have >= self.revision() {
             return FeedReply::Current;
@@ -187,7 +188,7 @@
 }
 
 impl Settings {
-    /// Starts with settings parsed from the own copy, or with none.
+    /// Starts with the settings from the local copy, or with the empty state.
     pub fn new(state: SettingsState) -> Self {
         let revision_tx = watch::Sender::new(state.revision());
         Self { state: RwLock::new(Arc::new(state)), revision_tx, weakening: Weakening::None }
@@ -199,27 +200,27 @@
         Self { weakening, ..self }
     }
 
-    /// Returns the settings in force.
+    /// Returns the effective settings of the active revision.
     pub fn current(&self) -> Arc<Effective> {
         self.state.read().effective.clone()
     }
 
-    /// Returns the revision in force.
+    /// Returns the active revision, zero before the first settings have arrived.
     pub fn revision(&self) -> Revision {
         self.state.read().revision()
     }
 
-    /// Returns the settings in force with what peers need of them.
+    /// Returns the active state, including the changes that peers poll.
     pub fn state(&self) -> Arc<SettingsState> {
         self.state.read().clone()
     }
 
-    /// Lets a caller wait for the next revision.
+    /// Returns a receiver that is notified of each newly active revision.
     pub fn subscribe(&self) -> watch::Receiver<Revision> {
         self.revision_tx.subscribe()
     }
 
-    /// Puts settings in force, unless newer ones came first.
+    /// Activates a state, unless the active one has the same or a newer revision.
     pub fn activate(&self, next: SettingsState) {
         let mut state = self.state.write();
         let before = state.revision();
@@ -231,7 +232,7 @@
         keep!(
             Promise::AcceptedChangeStays,
             after >= before,
-            "settings went back from revision {} to {}",
+            "active settings went back from revision {} to {}",
             before.0,
             after.0
         );
@@ -253,16 +254,16 @@
                 write!(f, "expected revision {}, received {}", expected.0, received.0)
             }
             Self::OlderSnapshot { revision } => {
-                write!(f, "revision {} is older than what is in force", revision.0)
+                write!(f, "snapshot of revision {} is older than the active settings", revision.0)
             }
             Self::Unreadable { revision, findings } => {
-                write!(f, "revision {} can't be parsed: {findings}", revision.0)
+                write!(f, "document of revision {} cannot be parsed: {findings}", revision.0)
             }
         }
     }
 }
 
-/// A change with its document, or with what is wrong with it.
+/// A change with its parsed document, or with the parse error.
 #[derive(Debug)]
 struct ParsedChange {
     change: Change,
@@ -277,11 +278,11 @@
     }
 }
 
-/// Returns where the changes have to end: before the first one that can't be parsed and that no later
-/// change of the same subtree, before that end, replaces.
+/// Returns the index before which the changes can be applied, and the error there: the first change
+/// that cannot be parsed and that no later change of the same subtree, before that index, replaces.
 ///
-/// Without looking for the later one, a single bad document would stop all changes for good, also
-/// once its author has mended it.
+/// If replacements were ignored, one bad document would block all later changes permanently, even
+/// after its author has corrected it.
 fn first_unreadable(parsed: &[ParsedChange]) -> Option<(usize, ApplyError)> {
     let mut found = None;
     let mut end = parsed.len();
--- a/daemons/entry/tests/parents.rs
+++ b/daemons/entry/tests/parents.rs
@@ -1,4 +1,4 @@
-//! Whom entry instances ask for settings.
+//! Choice of the parent that an entry instance polls for settings.
 
 use sill_base::{Millis, Name};
 use sill_entry::parents::{Outcome, Parent, ParentSelector};
@@ -13,6 +13,8 @@
     expected: Parent,
 }
 
+/// Guards against entry instances that poll the wrong parent and against roots that poll no control
+/// instance, by which load on the control instances would grow or changes would not arrive.
 #[test]
 fn entry_does_not_poll_the_wrong_parent() {
     let peer = |n: usize| Parent::Peer(format!("10.0.0.{n}:81").into());
@@ -23,7 +25,7 @@
         Case { entries: 36, place: 7, expected: peer(0) },
         Case { entries: 36, place: 8, expected: peer(1) },
         Case { entries: 36, place: 35, expected: peer(5) },
-        // One that is leaving has no place, and must still learn of changes.
+        // A leaving instance has no place in the tree and must still receive changes.
         Case { entries: 3, place: 3, expected: Parent::Control(0) },
     ];
     for case in table {
@@ -33,16 +35,16 @@
     }
 }
 
-/// The one above is cut off or gone. A user would notice that one entry runs old settings while all
-/// others run the new ones.
+/// The parent is partitioned or has stopped. Guards against one entry instance that stays on old
+/// settings while all others run the new ones.
 #[test]
 fn failed_parent_is_not_polled_again_before_all_others() {
     let ranked = peers(12);
     let mut parents = ParentSelector::new(2, 0);
     let mut polled = Vec::new();
     for now in 0..13 {
-        let next = parents.next(Millis(now), &ranked, 9).expect("someone");
-        assert!(!polled.contains(&next), "{next:?} was polled twice in a round");
+        let next = parents.next(Millis(now), &ranked, 9).expect("there is a parent to poll");
+        assert!(!polled.contains(&next), "{next:?} was polled twice before all others");
         polled.push(next);
         parents.record(Millis(now), Outcome::Failed);
     }
--- a/daemons/entry/tests/settings.rs
+++ b/daemons/entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! How answers of control instances and peers become the settings in force.
+//! Replies of control instances and peers, and the active settings that result from them.
 
 use std::fs;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -17,7 +17,7 @@
     Change { revision: Revision(revision), path: path.into(), author: "root".into(), document }
 }
 
-/// A document with a field that this version does not know.
+/// A change whose document has a field that this version does not know.
 fn unreadable_change(revision: u64, path: &str) -> Change {
     Change { document: Some(json!({ "of_a_later_version": 1 })), ..change(revision, path) }
 }
@@ -35,15 +35,15 @@
     name: &'static str,
     have: u64,
     reply: FeedReply,
-    /// The revision in force afterwards.
+    /// The revision after the reply was applied.
     expected_revision: u64,
     is_expected_error: fn(&ApplyError) -> bool,
     has_error: bool,
 }
 
-/// A control instance that was cut off answers with what it had, an answer is lost on the way, or a
-/// document was written for a later version. A user would notice a limit that was raised and is low
-/// again, or a change that never comes into force.
+/// A partitioned control instance answers with an old revision, a reply is lost, or a document was
+/// written for a later version. Guards against settings that return to an older revision, such as a
+/// raised limit that is low again, and against changes that never become active.
 #[test]
 fn settings_do_not_skip_or_undo_changes() {
     let any: fn(&ApplyError) -> bool = |_| true;
@@ -161,8 +161,9 @@
     }
 }
 
-/// Answers come late, twice and in any order from parents that are at different revisions. A user
-/// would notice that settings jump back, or that an entry fed by a peer runs others than the peer.
+/// Replies arrive late, twice and in any order from parents at different revisions. Guards against
+/// settings that return to an older revision, and against an entry instance that runs other
+/// settings than the peer it polls.
 #[test]
 fn replies_in_any_order_do_not_decrease_the_revision() {
     let answers = prop::collection::vec((0_u64..40, 0_u64..40, any::<bool>()), 1..60);
@@ -189,11 +190,11 @@
         }
         Ok(())
     });
-    result.expect("no answers lead back");
+    result.expect("no order of replies decreases the revision");
 }
 
-/// Two answers are worked out at once and the slower one holds less. A user would notice a change
-/// that was in force and is not any more.
+/// Two replies are applied concurrently and the slower one has the older revision. Guards against a
+/// change that was active and is undone.
 #[test]
 fn slower_reply_does_not_replace_newer_settings() {
     let settings = Settings::default();
@@ -204,30 +205,31 @@
 
     let weak = Settings::default().with_weakening(Weakening::LastWins);
     weak.activate(state_at(7));
-    let noticed = catch_unwind(AssertUnwindSafe(|| weak.activate(state_at(4))));
-    let message = noticed.expect_err("the promise must be asserted");
-    let message = message.downcast_ref::<String>().expect("a message");
+    let result = catch_unwind(AssertUnwindSafe(|| weak.activate(state_at(4))));
+    let message = result.expect_err("going back to revision 4 must panic");
+    let message = message.downcast_ref::<String>().expect("the panic has a String message");
     assert!(message.contains("promise=accepted_change_stays"), "{message}");
 }
 
-/// A disk block is damaged, or the process died while it wrote the copy. A user would notice that
-/// an entry runs with half of the settings.
+/// A disk block is damaged, or the process died while it wrote the copy. Guards against an entry
+/// instance that starts with part of the settings.
 #[test]
 fn damaged_or_partial_copy_is_not_loaded() {
     let folder = std::env::temp_dir().join(format!("sill-copy-{}", std::process::id()));
-    let copy = SettingsCopy::open(&folder).expect("a folder");
-    assert!(copy.read().expect("no copy yet").is_none());
-    copy.write(&state_at(5).snapshot()).expect("a copy");
-    fs::write(folder.join("settings.new"), "half").expect("a file");
-    let read = copy.read().expect("whole").expect("a copy");
+    let copy = SettingsCopy::open(&folder).expect("creates the copy folder");
+    assert!(copy.read().expect("reading a missing copy does not fail").is_none());
+    copy.write(&state_at(5).snapshot()).expect("writes the copy");
+    fs::write(folder.join("settings.new"), "half").expect("writes the partial copy");
+    let read = copy.read().expect("the copy is intact").expect("the copy exists");
     assert_eq!(
-        SettingsState::default().apply(read).next.expect("settings").revision(),
+        SettingsState::default().apply(read).next.expect("the copy gives settings").revision(),
         Revision(5)
     );
 
     let path = folder.join("settings");
-    let text = fs::read_to_string(&path).expect("text");
-    fs::write(&path, text.replacen("price_cap\":5", "price_cap\":6", 1)).expect("a file");
-    assert!(copy.read().is_err(), "a changed digit must be noticed");
-    fs::remove_dir_all(&folder).expect("the folder goes");
+    let text = fs::read_to_string(&path).expect("reads the copy as text");
+    fs::write(&path, text.replacen("price_cap\":5", "price_cap\":6", 1))
+        .expect("writes the damaged copy");
+    assert!(copy.read().is_err(), "a copy with a changed digit was accepted");
+    fs::remove_dir_all(&folder).expect("removes the copy folder");
 }
