--- a/daemons/entry/src/members.rs
+++ b/daemons/entry/src/members.rs
@@ -8,7 +8,7 @@
 use parking_lot::Mutex;
 use rustc_hash::FxHashMap;
 use sill_base::{Clock, Machine, Millis, Name, event};
-use sill_member::{Action, Event, MemberCfg, Members, Report, START};
+use sill_member::{Action, CLOCK_START, Event, MemberCfg, Members, Report};
 use sill_net::{PeerClient, PeerError};
 use sill_wire::announce::AnnounceReply;
 use sill_wire::control::Revision;
@@ -94,10 +94,10 @@
         let mut replies = StepReplies::default();
         let mut actions = Vec::new();
         // The routers are updated under the core's lock. Otherwise, with two concurrent steps, a
-        // router could be told that an endpoint is ready after it was told that it is leaving.
+        // router could receive that an endpoint is ready after it received that it is leaving.
         let mut core = self.core.lock();
         let now = self.clock.now();
-        core.step(START + now, event, &mut actions);
+        core.step(CLOCK_START + now, event, &mut actions);
         for action in actions {
             self.execute(now, routing, action, &mut replies);
         }
@@ -152,27 +152,27 @@
     /// Returns the peer addresses of the domain's live entry instances in the order of the fan-out
     /// tree, and the index of this one among them.
     pub fn feed_tree(&self) -> (Vec<Name>, usize) {
-        self.core.lock().ranked(self.now(), "settings")
+        self.core.lock().ranking(self.now(), "settings")
     }
 
     fn now(&self) -> Millis {
-        START + self.clock.now()
+        CLOCK_START + self.clock.now()
     }
 
     fn execute(&self, now: Millis, routing: &Routing, action: Action, replies: &mut StepReplies) {
         match action {
-            Action::Ask { id, peer, sync } => {
+            Action::SendRequest { id, peer, sync } => {
                 let _ = self.request_tx.send(SyncRequest { id, peer, sync });
             }
             Action::Reply(reply) => replies.peer_reply = Some(*reply),
-            Action::Accept(reply) => replies.announce_reply = Some(reply),
-            Action::Use { announcement, age } => {
+            Action::AnnounceReply(reply) => replies.announce_reply = Some(reply),
+            Action::UpdateEndpoint { announcement, age } => {
                 routing.hear(now, sill_route::Event::Announced { announcement, age });
             }
-            Action::Drop { endpoint, incarnation } => {
+            Action::RemoveEndpoint { endpoint, incarnation } => {
                 routing.hear(now, sill_route::Event::Gone { endpoint, incarnation });
             }
-            Action::Trust { until } => routing.trust(until - START),
+            Action::AllowRouting { until } => routing.trust(until - CLOCK_START),
             Action::Report(report) => log_report(&report),
         }
     }
@@ -208,7 +208,7 @@
 ///
 /// Fails when the core produces no reply, which is a bug.
 pub async fn answer(shared: Arc<Shared>, sync: MemberSync) -> Result<MemberReply, PeerError> {
-    let replies = shared.members.step(&shared.routing, Event::Asked(sync));
+    let replies = shared.members.step(&shared.routing, Event::PeerRequest(sync));
     replies
         .peer_reply
         .ok_or_else(|| PeerError::Refused("the membership core gave no reply".to_owned()))
@@ -221,7 +221,7 @@
 ) {
     let SyncRequest { id, peer, sync } = request;
     let Ok(address) = peer.parse() else {
-        shared.members.step(&shared.routing, Event::Failed { id });
+        shared.members.step(&shared.routing, Event::RequestFailed { id });
         return;
     };
     if clients.len() > MAX_CLIENTS {
@@ -232,10 +232,10 @@
     let shared = shared.clone();
     tokio::spawn(async move {
         let event = match client.call(&sync).await {
-            Ok(reply) => Event::Answered { id, reply: Box::new(reply) },
+            Ok(reply) => Event::PeerReply { id, reply: Box::new(reply) },
             Err(err) => {
                 event!(Debug, "peer_unreachable", address = address, error = err);
-                Event::Failed { id }
+                Event::RequestFailed { id }
             }
         };
         shared.members.step(&shared.routing, event);
@@ -247,7 +247,7 @@
     if revision != *reported {
         *reported = revision;
         let names = shared.settings.current().services.keys().cloned().collect();
-        shared.members.step(&shared.routing, Event::Wanted(names));
+        shared.members.step(&shared.routing, Event::Services(names));
     }
 }
 
@@ -255,7 +255,7 @@
     if shared.is_stopping.load(Ordering::Relaxed) && !*is_announced {
         *is_announced = true;
         let remaining = shared.cfg.drain_notice + shared.cfg.drain_limit;
-        shared.members.step(&shared.routing, Event::Leaving { left: remaining });
+        shared.members.step(&shared.routing, Event::ShutdownStarted { left: remaining });
     }
 }
 
