--- a/coordination/flight/src/home.rs
+++ b/coordination/flight/src/home.rs
@@ -6,7 +6,7 @@
 
 use sill_base::{Map, Millis};
 use sill_wire::claim::{BodyHash, ClaimKey};
-use sill_wire::handoff::{Location, RunAt};
+use sill_wire::handoff::{LocateReply, RunLocation};
 
 /// Returns the home of a key among the members, by rendezvous hashing: when a member is removed,
 /// only its own keys get another home.
@@ -41,7 +41,7 @@
 
 #[derive(Debug, Clone)]
 struct RunRecord {
-    run: RunAt,
+    run: RunLocation,
     body: BodyHash,
     at: Millis,
 }
@@ -64,22 +64,22 @@
         now: Millis,
         key: &ClaimKey,
         body: &BodyHash,
-        asker: RunAt,
-    ) -> Location {
+        asker: RunLocation,
+    ) -> LocateReply {
         self.evict_expired(now);
         match self.runs.get(key) {
-            Some(record) if record.body != *body => Location::BodyMismatch,
-            Some(record) if record.run == asker => Location::New,
-            Some(record) => Location::At(record.run.clone()),
+            Some(record) if record.body != *body => LocateReply::BodyMismatch,
+            Some(record) if record.run == asker => LocateReply::New,
+            Some(record) => LocateReply::At(record.run.clone()),
             None => {
                 self.record_run(now, key, body, asker);
-                Location::New
+                LocateReply::New
             }
         }
     }
 
     /// Records where a request runs, in place of an earlier record.
-    pub fn record_run(&mut self, now: Millis, key: &ClaimKey, body: &BodyHash, run: RunAt) {
+    pub fn record_run(&mut self, now: Millis, key: &ClaimKey, body: &BodyHash, run: RunLocation) {
         let record = RunRecord { run, body: body.clone(), at: now };
         self.runs.insert(key.clone(), record);
         self.insertion_order.push_back(AgeEntry { at: now, key: key.clone() });
@@ -89,7 +89,7 @@
     }
 
     /// Removes the record of a request that was refused, so that the request can be sent again.
-    pub fn remove(&mut self, key: &ClaimKey, run: &RunAt) {
+    pub fn remove(&mut self, key: &ClaimKey, run: &RunLocation) {
         if self.runs.get(key).is_some_and(|record| record.run == *run) {
             self.runs.remove(key);
         }
--- a/coordination/member/src/members/replies.rs
+++ b/coordination/member/src/members/replies.rs
@@ -5,7 +5,7 @@
 use sill_base::{Millis, Name};
 use sill_wire::Announcement;
 use sill_wire::member::{
-    Digest, DomainCapacity, DomainSummary, HeldOffer, MemberReply, MemberSync,
+    Digest, DomainCapacity, DomainSummary, EndpointIncarnation, MemberReply, MemberSync,
 };
 
 use super::{MAX_SUMMARY_CONTACTS, Members, RequestKind, empty_capacity};
@@ -41,7 +41,7 @@
     /// the lease.
     pub(super) fn sync_back(&mut self, now: Millis, sync: &MemberSync, out: &mut Vec<Action>) {
         let Some(digest) = &sync.digest else { return };
-        if sync.back {
+        if sync.is_reply {
             return;
         }
         let is_syncing = self.pending.values().any(|r| r.kind == RequestKind::Sync);
@@ -62,7 +62,7 @@
             || DigestIndex::parse(digest).is_ahead_of(&DigestIndex::parse(&own_digest))
         {
             let digest = self.new_digest(now);
-            let request = MemberSync { back: true, ..self.new_request(Some(digest)) };
+            let request = MemberSync { is_reply: true, ..self.new_request(Some(digest)) };
             self.send_request(now, sync.from.peer_address.clone(), request, RequestKind::Sync, out);
         }
     }
@@ -116,7 +116,7 @@
         &mut self,
         now: Millis,
         requested: &[Name],
-        held: &[HeldOffer],
+        held: &[EndpointIncarnation],
     ) -> DomainSummary {
         self.summary_sequence += 1;
         let mut by_name: BTreeMap<Name, DomainCapacity> = BTreeMap::new();
@@ -125,7 +125,7 @@
         let mut still_free = Vec::new();
         for announcement in ready {
             let (name, incarnation) = (announcement.name.clone(), announcement.incarnation);
-            let offer = HeldOffer { name, incarnation };
+            let offer = EndpointIncarnation { name, incarnation };
             let is_free = free_slots(announcement) > 0;
             let is_held = is_free && held.contains(&offer);
             if is_held {
@@ -157,7 +157,7 @@
             entries: contacts.map(|info| info.peer_address.clone()).collect(),
             age: Millis::ZERO,
             capacity: by_name.into_values().collect(),
-            still: still_free,
+            held_with_free_slots: still_free,
         }
     }
 }
--- a/coordination/member/src/members/updates.rs
+++ b/coordination/member/src/members/updates.rs
@@ -132,7 +132,7 @@
         if !reply.loads.is_empty() {
             let names = self.endpoints.names_by_hash(request.salt);
             for load in &reply.loads {
-                let Some(name) = names.get(&load.mark) else { continue };
+                let Some(name) = names.get(&load.hash) else { continue };
                 self.endpoints.apply_load(now, name, load, transit);
                 changed.insert(name.clone());
             }
--- a/daemons/entry/src/feed.rs
+++ b/daemons/entry/src/feed.rs
@@ -78,7 +78,7 @@
         };
         let mut descendants = self.descendants.lock();
         let mut has_changed = false;
-        for running in poll.below.iter().chain([&own]) {
+        for running in poll.subscribers.iter().chain([&own]) {
             let reported_at = now - running.age;
             let previous = descendants.get(&running.entry);
             if previous.is_some_and(|p| p.reported_at > reported_at) {
@@ -190,7 +190,7 @@
         domain: shared.cfg.domain.clone(),
         have: shared.settings.revision(),
         wait: POLL_WAIT,
-        below: shared.feed.descendants(shared.clock.now()),
+        subscribers: shared.feed.descendants(shared.clock.now()),
         endpoints: None,
     }
 }
--- a/daemons/entry/src/routing.rs
+++ b/daemons/entry/src/routing.rs
@@ -11,7 +11,7 @@
 use sill_route::{
     Choice, Event, PoolView, Refusal, RefusalReason, RouteRequest, RouterCfg, Target,
 };
-use sill_wire::Served;
+use sill_wire::Servable;
 
 use crate::cfg::EntryCfg;
 use crate::record::RecordedRouter;
@@ -136,10 +136,10 @@
     hasher.finish()
 }
 
-fn target(served: &Served) -> Target {
+fn target(served: &Servable) -> Target {
     match served {
-        Served::Model { model, .. } => Target::Model(model.clone()),
-        Served::Service { service } => Target::Service(service.clone()),
+        Servable::Model { model, .. } => Target::Model(model.clone()),
+        Servable::Service { service } => Target::Service(service.clone()),
     }
 }
 
