--- a/daemons/entry/benches/settings.rs
+++ b/daemons/entry/benches/settings.rs
@@ -44,7 +44,7 @@
 
 fn main() -> Result<()> {
     // `cargo test --benches` runs this too; measure only under `cargo bench`.
-    if !std::env::args().any(|word| word == "--bench") {
+    if !std::env::args().any(|arg| arg == "--bench") {
         return Ok(());
     }
     let runtime = start_runtime()?;
@@ -464,7 +464,7 @@
         let kind = match &reply {
             FeedReply::Changes { changes } => format!("{} changes", changes.len()),
             FeedReply::Snapshot { subtrees, .. } => {
-                format!("whole tree, {} subtrees", subtrees.len())
+                format!("snapshot of {} subtrees", subtrees.len())
             }
             other => format!("{other:?}"),
         };
