--- a/daemons/entry/src/cli.rs
+++ b/daemons/entry/src/cli.rs
@@ -24,7 +24,7 @@
     let entry = Entry::start(cfg)?;
     runtime.block_on(async {
         let signal_delay = stops.next().await;
-        let aborted = entry.stop_unless(signal_delay, stops.interrupted()).await;
+        let aborted = entry.stop_unless_forced(signal_delay, stops.interrupted()).await;
         if aborted > 0 {
             event!(Warn, "stop_cut", requests = aborted);
         }
--- a/daemons/entry/src/daemon.rs
+++ b/daemons/entry/src/daemon.rs
@@ -20,11 +20,11 @@
 
 use crate::cfg::EntryCfg;
 use crate::claims::{Claims, ControlClaims};
-use crate::closing::CloseOnStop;
+use crate::close_on_stop::CloseOnStop;
 use crate::copy::SettingsCopy;
-use crate::errors::OneShape;
+use crate::errors::ErrorFormat;
 use crate::feed::Feed;
-use crate::handoff::Takers;
+use crate::handoff::WorkerSenders;
 use crate::limits::Limits;
 use crate::members::Membership;
 use crate::metrics::Metrics;
@@ -82,7 +82,7 @@
     /// Clients for calls to peers, shared by all threads.
     pub peer_clients: PeerClients,
     /// Channels to the worker threads, over which they accept requests handed off by peers.
-    pub handoff_workers: Takers,
+    pub handoff_workers: WorkerSenders,
     /// Tokio runtime that runs calls to peers.
     pub runtime: Handle,
     /// Address at which peers reach this instance, `IP:PORT`.
@@ -143,7 +143,7 @@
             journal: Mutex::new(Journal::new(MAX_JOURNAL_RECORDS)),
             signals: Signals::new(),
             peer_clients: PeerClients::default(),
-            handoff_workers: Takers::default(),
+            handoff_workers: WorkerSenders::default(),
             runtime,
             peer_address: peer_address.to_string().into(),
             is_stopping: AtomicBool::new(false),
@@ -216,7 +216,7 @@
     let (shared, client) = (shared.clone(), client.clone());
     ntex::rt::spawn(async move {
         while let Some(run) = rx.recv().await {
-            ntex::rt::spawn(serve::go_on(shared.clone(), client.clone(), run));
+            ntex::rt::spawn(serve::resume_run(shared.clone(), client.clone(), run));
         }
     });
 }
@@ -235,7 +235,7 @@
             let upstream = upstream.expect("creating an HTTP client without TLS does not fail");
             accept_handoffs(&shared, &upstream);
             App::new()
-                .middleware(OneShape)
+                .middleware(ErrorFormat)
                 .middleware(CloseOnStop(shared.clone()))
                 .state(shared.clone())
                 .state(upstream)
