--- a/daemons/gateway/src/dialect.rs
+++ b/daemons/gateway/src/dialect.rs
@@ -55,7 +55,7 @@
 
 /// What the head of an endpoint's answer says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
+pub enum AnswerClass {
     /// It is the endpoint's answer to this call.
     Answer,
     /// The endpoint failed at the call.
@@ -88,7 +88,7 @@
     fn forward(&self, headers: &mut HeaderMap, forward: &Forward<'_>);
 
     /// Reads the head of an answer to the attempt.
-    fn word(&self, attempt: &Name, status: StatusCode, headers: &HeaderMap) -> Word;
+    fn classify(&self, attempt: &Name, status: StatusCode, headers: &HeaderMap) -> AnswerClass;
 
     /// Reads the load that comes with an answer.
     fn load(&self, headers: &HeaderMap) -> Option<ReportedLoad>;
@@ -105,7 +105,7 @@
     }
 
     /// Reads the name of the memory out of the answer to it.
-    fn copied(&self, _status: StatusCode, _body: &[u8]) -> Option<Name> {
+    fn memory_handle(&self, _status: StatusCode, _body: &[u8]) -> Option<Name> {
         None
     }
 
--- a/daemons/gateway/src/dispatch.rs
+++ b/daemons/gateway/src/dispatch.rs
@@ -14,7 +14,7 @@
 use sill_route::{Outcome, RefusalReason};
 
 use crate::answer;
-use crate::dialect::{Forward, MovedMemory, Word};
+use crate::dialect::{AnswerClass, Forward, MovedMemory};
 use crate::ending::Phase;
 use crate::serve::Call;
 use crate::state::State;
@@ -228,9 +228,9 @@
             self.call.pool.pool.lock().record_load(now, &self.place, load.running, load.queued);
         }
         let said = status.as_str();
-        match dialect.word(&self.call.head.attempt, status, headers) {
-            Word::Answer => None,
-            Word::Failed => {
+        match dialect.classify(&self.call.head.attempt, status, headers) {
+            AnswerClass::Answer => None,
+            AnswerClass::Failed => {
                 self.count_usage();
                 match progress.next_step(AttemptOutcome::Failed) {
                     NextStep::Retry if self.may_be_repeated() => {
@@ -239,17 +239,17 @@
                     _ => None,
                 }
             }
-            Word::Full => {
+            AnswerClass::Full => {
                 self.call.pool.pool.lock().mark_full(now, &self.place);
                 Some(self.failed(AttemptOutcome::Full, said))
             }
-            Word::NotRun => Some(self.failed(AttemptOutcome::NotRun, said)),
-            Word::WrongEndpoint => {
+            AnswerClass::NotRun => Some(self.failed(AttemptOutcome::NotRun, said)),
+            AnswerClass::WrongEndpoint => {
                 self.call.pool.pool.lock().mark_gone(now, &self.place);
                 self.state.connections.forget(self.place.address);
                 Some(self.failed(AttemptOutcome::WrongEndpoint, said))
             }
-            Word::Improper => Some(self.failed(AttemptOutcome::Unknown, "improper answer")),
+            AnswerClass::Improper => Some(self.failed(AttemptOutcome::Unknown, "improper answer")),
         }
     }
 
--- a/daemons/gateway/src/failure.rs
+++ b/daemons/gateway/src/failure.rs
@@ -24,7 +24,7 @@
     }
 
     /// Makes a failure after which the caller may come back.
-    pub const fn back_in(code: ErrorCode, retry_after: Millis) -> Self {
+    pub const fn with_retry_after(code: ErrorCode, retry_after: Millis) -> Self {
         Self { code, retry_after: Some(retry_after) }
     }
 
--- a/daemons/gateway/src/lib.rs
+++ b/daemons/gateway/src/lib.rs
@@ -26,6 +26,6 @@
 
 pub use cfg::GatewayCfg;
 pub use daemon::Gateway;
-pub use dialect::{CallHead, Dialect, Forward, MovedMemory, Word};
+pub use dialect::{AnswerClass, CallHead, Dialect, Forward, MovedMemory};
 pub use failure::Failure;
 pub use own::SillDialect;
--- a/daemons/gateway/src/moves.rs
+++ b/daemons/gateway/src/moves.rs
@@ -156,5 +156,5 @@
     let dialect = &state.cfg.dialect;
     let req = dialect.copy_run(&call.head.attempt, to, stops).ok_or("engines can't")?;
     let (status, body) = state.connections.fetch(source, req, MAX_IDLE).await?;
-    dialect.copied(status, &body).ok_or_else(|| status.to_string())
+    dialect.memory_handle(status, &body).ok_or_else(|| status.to_string())
 }
--- a/daemons/gateway/src/own.rs
+++ b/daemons/gateway/src/own.rs
@@ -5,7 +5,7 @@
 use sill_base::{Millis, Name};
 use sill_wire::header as names;
 
-use crate::dialect::{CallHead, Dialect, Forward, ReportedLoad, Word, set, text};
+use crate::dialect::{AnswerClass, CallHead, Dialect, Forward, ReportedLoad, set, text};
 use crate::failure::Failure;
 
 /// Reads and writes the headers that docs/operators/routes.md lists.
@@ -41,16 +41,16 @@
         }
     }
 
-    fn word(&self, attempt: &Name, status: StatusCode, headers: &HeaderMap) -> Word {
+    fn classify(&self, attempt: &Name, status: StatusCode, headers: &HeaderMap) -> AnswerClass {
         let is_ours = text(headers, &name(names::REQUEST_ID)) == Some(attempt.as_str());
         let is_not_run = text(headers, &name(names::NOT_RUN)) == Some("true");
         match status.as_u16() {
-            _ if !is_ours => Word::Improper,
-            421 if is_not_run => Word::WrongEndpoint,
-            429 | 503 if is_not_run => Word::Full,
-            _ if is_not_run => Word::NotRun,
-            500..=599 => Word::Failed,
-            _ => Word::Answer,
+            _ if !is_ours => AnswerClass::Improper,
+            421 if is_not_run => AnswerClass::WrongEndpoint,
+            429 | 503 if is_not_run => AnswerClass::Full,
+            _ if is_not_run => AnswerClass::NotRun,
+            500..=599 => AnswerClass::Failed,
+            _ => AnswerClass::Answer,
         }
     }
 
--- a/daemons/gateway/src/serve.rs
+++ b/daemons/gateway/src/serve.rs
@@ -117,7 +117,7 @@
     /// Makes the refusal of a call for which the process doesn't last.
     fn by_stop(state: &State, inputs: String) -> Self {
         state.ending.count(ByStop::Refused);
-        let failure = Failure::back_in(ErrorCode::NoCapacity, ELSEWHERE);
+        let failure = Failure::with_retry_after(ErrorCode::NoCapacity, ELSEWHERE);
         Self { failure, inputs, ..Self::new(ErrorCode::NoCapacity, "stopping") }
     }
 
@@ -148,7 +148,7 @@
     arrived: Millis,
 ) -> Result<Call, Refused> {
     let Some(table) = settings(state, &head).await else {
-        let failure = Failure::back_in(ErrorCode::NoCapacity, UNTIL_SETTINGS);
+        let failure = Failure::with_retry_after(ErrorCode::NoCapacity, UNTIL_SETTINGS);
         return Err(Refused { failure, ..Refused::new(ErrorCode::NoCapacity, "no_settings") });
     };
     let Some(route) = find(&table, &head, &parts) else {
@@ -158,7 +158,7 @@
     let body = read(&table, body).await?;
     let service = route.service(rand::random::<f64>()).clone();
     let Some(pool) = state.pool(&service) else {
-        let failure = Failure::back_in(ErrorCode::NoCapacity, UNTIL_ENDPOINT);
+        let failure = Failure::with_retry_after(ErrorCode::NoCapacity, UNTIL_ENDPOINT);
         let refused = Refused::new(ErrorCode::NoCapacity, "no_pool");
         return Err(Refused { failure, route: route.name.clone(), ..refused });
     };
@@ -181,7 +181,7 @@
         && let Err(over) = state.admit(&account.name, amount)
     {
         return Err(Refused {
-            failure: Failure::back_in(ErrorCode::LimitReached, over.retry_after),
+            failure: Failure::with_retry_after(ErrorCode::LimitReached, over.retry_after),
             inputs: format!("{amount:.0} of {over}"),
             route: route.name.clone(),
             account: account.name.clone(),
--- a/daemons/gateway/src/summary.rs
+++ b/daemons/gateway/src/summary.rs
@@ -117,7 +117,7 @@
             return self.fail_by_stop();
         }
         self.state.ending.count(ByStop::Refused);
-        self.fail(Failure::back_in(ErrorCode::NoCapacity, ELSEWHERE))
+        self.fail(Failure::with_retry_after(ErrorCode::NoCapacity, ELSEWHERE))
     }
 
     /// Ends a call that found no endpoint.
@@ -130,7 +130,7 @@
         self.why = format!("{reason:?}");
         // After an attempt that may have run, a refusal must not say that the call has not run.
         let failure = match progress.possible_runs {
-            0 => Failure::back_in(ErrorCode::NoCapacity, wait),
+            0 => Failure::with_retry_after(ErrorCode::NoCapacity, wait),
             _ => Failure::new(ErrorCode::UpstreamFailed),
         };
         self.fail(failure)
@@ -140,7 +140,7 @@
     pub fn after(&mut self, next: NextStep, outcome: AttemptOutcome) -> Option<Response<AnyBody>> {
         let failure = match next {
             NextStep::Retry => return None,
-            NextStep::RefuseNotRun => Failure::back_in(ErrorCode::NoCapacity, COME_BACK),
+            NextStep::RefuseNotRun => Failure::with_retry_after(ErrorCode::NoCapacity, COME_BACK),
             NextStep::TimedOut => Failure::new(ErrorCode::DeadlinePassed),
             NextStep::PassOn | NextStep::OutcomeUnknown => Failure::new(ErrorCode::UpstreamFailed),
         };
--- a/daemons/gateway/tests/support/mod.rs
+++ b/daemons/gateway/tests/support/mod.rs
@@ -19,7 +19,9 @@
 use sill_dispatch::{LimitBounds, RetryBounds};
 use sill_gateway::cfg::StopCfg;
 use sill_gateway::dialect::ReportedLoad;
-use sill_gateway::{CallHead, Dialect, Failure, Forward, Gateway, GatewayCfg, SillDialect, Word};
+use sill_gateway::{
+    AnswerClass, CallHead, Dialect, Failure, Forward, Gateway, GatewayCfg, SillDialect,
+};
 use sill_net::{PeerServer, PeerServerBuilder};
 use sill_standin::loopback::free_addresses;
 use sill_tree::{Account, Document, Engine, KeyHash, Pool, Route, RouteKind, Service, Share};
@@ -602,8 +604,8 @@
         }
     }
 
-    fn word(&self, attempt: &Name, status: StatusCode, headers: &HeaderMap) -> Word {
-        SillDialect.word(attempt, status, headers)
+    fn classify(&self, attempt: &Name, status: StatusCode, headers: &HeaderMap) -> AnswerClass {
+        SillDialect.classify(attempt, status, headers)
     }
 
     fn load(&self, headers: &HeaderMap) -> Option<ReportedLoad> {
@@ -623,7 +625,7 @@
         Some(req)
     }
 
-    fn copied(&self, status: StatusCode, body: &[u8]) -> Option<Name> {
+    fn memory_handle(&self, status: StatusCode, body: &[u8]) -> Option<Name> {
         let handle = std::str::from_utf8(body).ok()?;
         status.is_success().then(|| handle.into())
     }
