--- a/daemons/gateway/src/answer.rs
+++ b/daemons/gateway/src/answer.rs
@@ -10,23 +10,23 @@
 use sill_wire::header::EVENT_STREAM;
 
 use crate::dispatch::Attempt;
-use crate::ending::Phase;
-use crate::relay::{Relay, Running, is_movable};
+use crate::relay::{EndpointAnswer, Relay, is_movable};
 use crate::serve::Call;
 use crate::state::State;
-use crate::summary::Summary;
+use crate::summary::CallSummary;
+use crate::termination::FinalPhase;
 
 /// Bytes of an answer that is held until it is whole. Short calls have a few kilobytes; longer answers fail,
 /// as the memory of a small instance must not depend on how many of them come in its last seconds.
-const HELD_BYTES: usize = 256 << 10;
+const MAX_HELD_BYTES: usize = 256 << 10;
 
 /// Passes an answer on.
 ///
 /// The head of a stream waits for the first part of its body. An endpoint may begin a stream and be gone
 /// before its first event; with the head on its way, the caller would get a success without content that
 /// breaks off, and nobody could answer any more. The two leave together, so the first event is no later.
-pub async fn pass_on(
-    mut summary: Summary,
+pub async fn relay_answer(
+    mut summary: CallSummary,
     attempt: Attempt,
     answer: Answer,
     progress: CallProgress,
@@ -34,45 +34,51 @@
     let (response, connection) = answer.into_parts();
     let (mut parts, body) = response.into_parts();
     strip_hop_by_hop(&mut parts.headers);
-    summary.answers(parts.status.as_u16());
+    summary.set_status(parts.status.as_u16());
     let (state, call) = (attempt.state().clone(), attempt.call().clone());
     let is_stream = is_stream(&call, &parts);
-    let goes_on =
+    let may_resume =
         is_stream && (call.route.route.kind == RouteKind::ResumableStream || is_movable(&call));
-    if goes_on {
+    if may_resume {
         // What comes from another endpoint may be longer.
         parts.headers.remove(header::CONTENT_LENGTH);
     }
     if !call.pool.is_engine && parts.status.is_success() {
         attempt.count_usage();
     }
-    let mut relay = Relay::new(summary, Running { body, attempt, connection }, progress, goes_on);
-    let mut begin = call.begin;
+    let mut relay =
+        Relay::new(summary, EndpointAnswer { body, attempt, connection }, progress, may_resume);
+    let mut mode = call.answer_mode;
     if !is_stream && may_be_cut(&relay, &call, &state) {
-        begin = AnswerMode::Held;
+        mode = AnswerMode::Held;
     }
-    if is_stream && begin == AnswerMode::Passed {
+    if is_stream && mode == AnswerMode::Passed {
         let has_first = tokio::select! {
             biased;
-            held = relay.hold_first() => held.is_ok(),
-            () = state.ending.begins(Phase::LastAnswers) => return relay.fail_by_stop(),
+            held = relay.buffer_first_part() => held.is_ok(),
+            () = state.termination.wait_for(FinalPhase::LastAnswers) => return relay.fail_by_stop(),
         };
         if !has_first {
             return relay.fail();
         }
-        let first = state.clock.now() - call.arrived;
-        begin = state.stopping.go_on(&call.head.attempt, &call.route.name, call.due, first);
+        let first_part = state.clock.now() - call.received_at;
+        mode = state.planned_stop.stream_mode(
+            &call.head.attempt,
+            &call.route.name,
+            call.due,
+            first_part,
+        );
     }
-    match begin {
+    match mode {
         AnswerMode::Passed => Response::from_parts(parts, relay.boxed_unsync()),
-        AnswerMode::Held => pass_on_whole(parts, relay, &state).await,
+        AnswerMode::Held => relay_whole(parts, relay, &state).await,
     }
 }
 
 /// Returns whether the end of a stop may cut a plain answer that is short enough to be held instead.
 fn may_be_cut(relay: &Relay, call: &Call, state: &State) -> bool {
-    let is_short = relay.size_hint().exact().is_some_and(|size| size <= HELD_BYTES as u64);
-    is_short && state.stopping.may_cut(call.due)
+    let is_short = relay.size_hint().exact().is_some_and(|size| size <= MAX_HELD_BYTES as u64);
+    is_short && state.planned_stop.may_cut(call.due)
 }
 
 /// Passes an answer on once it is whole.
@@ -80,11 +86,11 @@
 /// Nothing bounds the call but the end of the process. Passed on as it comes, its answer could be cut in the
 /// middle, and its caller might not send it again. So the caller has all of it, or is told that the outcome is
 /// unknown.
-async fn pass_on_whole(parts: Parts, mut relay: Relay, state: &State) -> Response<AnyBody> {
+async fn relay_whole(parts: Parts, mut relay: Relay, state: &State) -> Response<AnyBody> {
     let body = tokio::select! {
         biased;
-        body = relay.hold_all(HELD_BYTES) => body,
-        () = state.ending.begins(Phase::LastAnswers) => return relay.fail_by_stop(),
+        body = relay.buffer_all(MAX_HELD_BYTES) => body,
+        () = state.termination.wait_for(FinalPhase::LastAnswers) => return relay.fail_by_stop(),
     };
     match body {
         Ok(body) => Response::from_parts(parts, whole(body.freeze())),
--- a/daemons/gateway/src/cli.rs
+++ b/daemons/gateway/src/cli.rs
@@ -11,7 +11,7 @@
 
 use crate::cfg::{GatewayCfg, StopCfg};
 use crate::daemon::Gateway;
-use crate::own::SillDialect;
+use crate::sill_dialect::SillDialect;
 
 /// Retries for each request, and beyond that in ten seconds, over all entry instances.
 const RETRIES: RetryBounds = RetryBounds { share: 0.1, allowance: 50.0 };
@@ -68,24 +68,24 @@
             values.finding("control", "expected at least one control instance");
         }
         values.finish()?;
-        let checked = "present once the check succeeded";
+        let present = "present once the check succeeded";
         Ok(Self {
-            name: name.expect(checked),
-            domain: domain.expect(checked),
-            listen: listen.expect(checked),
-            listen_ready: listen_ready.expect(checked),
+            name: name.expect(present),
+            domain: domain.expect(present),
+            listen: listen.expect(present),
+            listen_ready: listen_ready.expect(present),
             ready_path: "/readyz".into(),
-            listen_metrics: listen_metrics.expect(checked),
+            listen_metrics: listen_metrics.expect(present),
             seeds,
-            cluster_key: cluster_key.expect(checked),
+            cluster_key: cluster_key.expect(present),
             dialect: Arc::new(SillDialect),
-            limits: LimitBounds { slack: slack.expect(checked) },
+            limits: LimitBounds { slack: slack.expect(present) },
             retries: RETRIES,
             endpoint_notice: ENDPOINT_NOTICE,
             usage_window: USAGE_WINDOW,
             stop: StopCfg {
-                notice: Millis(notice.expect(checked)),
-                limit: Millis(limit.expect(checked)),
+                notice: Millis(notice.expect(present)),
+                limit: Millis(limit.expect(present)),
             },
         })
     }
@@ -96,19 +96,19 @@
 /// # Errors
 ///
 /// Fails when a flag is wrong or the daemon can't start.
-pub fn run(words: Vec<String>) -> Result<()> {
-    let Some(mut values) = GATEWAY.values_or_help(words)? else {
+pub fn run(args: Vec<String>) -> Result<()> {
+    let Some(mut values) = GATEWAY.values_or_help(args)? else {
         return Ok(());
     };
-    let mut stops = Stops::listen()?;
+    let mut stop_signals = Stops::listen()?;
     let level = values.required("log-level");
     let cfg = GatewayCfg::read(&mut values)?;
     logs::start_daemon(level.unwrap_or(log::LevelFilter::Info))?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
         let gateway = Gateway::start(cfg)?;
-        let late = stops.next().await;
-        gateway.stop_late(late).await;
+        let delay = stop_signals.next().await;
+        gateway.stop_late(delay).await;
         Ok(())
     })
 }
--- a/daemons/gateway/src/daemon.rs
+++ b/daemons/gateway/src/daemon.rs
@@ -14,35 +14,35 @@
 use tokio::task::JoinHandle;
 
 use crate::cfg::GatewayCfg;
-use crate::ending::{ByStop, Phase};
-use crate::feed::Feed;
-use crate::link::{FOLLOWED, Link};
+use crate::link::{FOLLOWED_CONTROLS, Link};
 use crate::serve;
+use crate::settings_fetcher::SettingsFetcher;
 use crate::state::State;
+use crate::termination::{FinalPhase, StopOutcome};
 
 /// Bytes of a caller's headers. Settings may ask for less, which the library cannot follow later.
-const HEADER_BYTES: usize = 32 << 10;
+const MAX_HEADER_BYTES: usize = 32 << 10;
 
 /// Time that a caller's connection may stay unused. Callers use them for up to 12 s.
-const CALLER_IDLE: Millis = Millis(15_000);
+const CALLER_IDLE_TIMEOUT: Millis = Millis(15_000);
 
 /// Time after which a caller's connection is given up that no longer acknowledges.
-const CALLER_SILENT: Millis = Millis(10_000);
+const CALLER_UNACKNOWLEDGED_TIMEOUT: Millis = Millis(10_000);
 
 /// How often unused connections are looked at.
-const TIDY: Millis = Millis(1000);
+const IDLE_CLEANUP_INTERVAL: Millis = Millis(1000);
 
 /// How often a stop looks whether all is done.
-const LOOK: Millis = Millis(50);
+const STOP_POLL_INTERVAL: Millis = Millis(50);
 
 /// Time before the end of a stop at which calls that still wait for their answers are answered, so that
 /// these can be written on an instance with a twelfth of a core.
-const LAST_ANSWERS: Millis = Millis(200);
+const LAST_ANSWERS_TIME: Millis = Millis(200);
 
 /// Time after the end of a stop in which what is cut may be told; it is used only while connections are
 /// open. 320 streams were cut and told within 54 ms by a debug build on a busy machine; an instance with
 /// a twelfth of a core needs longer.
-const TELL: Millis = Millis(250);
+const CUT_NOTIFY_TIME: Millis = Millis(250);
 
 /// A running entry instance.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     state: Arc<State>,
     link: Arc<Link>,
     stop: watch::Sender<Stop>,
-    listening: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 impl Gateway {
@@ -71,14 +71,14 @@
         let state = Arc::new(State::new(cfg)?);
         let link = Arc::new(Link::new(state.clone()));
         let (stop, _) = watch::channel(Stop::No);
-        for turn in 0..FOLLOWED {
-            tokio::spawn(link.clone().follow(turn));
+        for slot in 0..FOLLOWED_CONTROLS {
+            tokio::spawn(link.clone().follow(slot));
         }
-        tokio::spawn(Feed::new(state.clone(), link.clone()).run());
-        let listening = tokio::spawn(callers(state.clone(), listener, stop.subscribe()));
-        tokio::spawn(internal(state.clone(), ready));
-        tokio::spawn(internal(state.clone(), metrics));
-        tokio::spawn(tidy(state.clone()));
+        tokio::spawn(SettingsFetcher::new(state.clone(), link.clone()).run());
+        let accept_task = tokio::spawn(serve_callers(state.clone(), listener, stop.subscribe()));
+        tokio::spawn(serve_internal(state.clone(), ready));
+        tokio::spawn(serve_internal(state.clone(), metrics));
+        tokio::spawn(expire_connections(state.clone()));
         event!(
             Info,
             "gateway_started",
@@ -87,7 +87,7 @@
             address = address,
             incarnation = state.incarnation.0
         );
-        Ok(Self { address, ready_address, state, link, stop, listening })
+        Ok(Self { address, ready_address, state, link, stop, accept_task })
     }
 
     /// Takes in other seeds.
@@ -106,93 +106,98 @@
     /// Whoever sent it kills the process some time after the signal. Were the limit counted from now, a
     /// stop that begins late would be ended by the kill, and calls be cut that were begun in the belief that
     /// there was time for them.
-    pub async fn stop_late(mut self, late: Millis) {
-        let began = self.state.clock.now();
+    pub async fn stop_late(mut self, delay: Millis) {
+        let started_at = self.state.clock.now();
         let cfg = self.state.cfg.stop;
-        let left = cfg.limit - late;
+        let time_left = cfg.limit - delay;
         // The balancer notices from now on; it could not before.
-        let notice = cfg.notice.min(left);
-        let cut_at = began + left;
+        let notice = cfg.notice.min(time_left);
+        let cut_at = started_at + time_left;
         // What is admitted has all of its time until it is answered in any case.
-        let times = StopTimes { noticed_at: began + notice, ends_at: cut_at - LAST_ANSWERS };
+        let times =
+            StopTimes { noticed_at: started_at + notice, ends_at: cut_at - LAST_ANSWERS_TIME };
         let open = self.state.open_calls().older;
-        event!(Info, "gateway_stops", connections = open, late_ms = late);
-        self.state.stopping.start(times);
-        self.take_what_fits(times).await;
-        self.close().await;
+        event!(Info, "gateway_stops", connections = open, late_ms = delay);
+        self.state.planned_stop.start(times);
+        self.drain_calls(times).await;
+        self.close_listener().await;
         // Those that came with the last look.
-        self.done_by(times.ends_at).await;
-        self.state.ending.begin(Phase::LastAnswers);
-        self.done_by(self.state.clock.now() + LAST_ANSWERS).await;
-        self.state.ending.begin(Phase::Cut);
-        self.done_by(cut_at + TELL).await;
-        self.tell_end(began);
+        self.wait_until_closed(times.ends_at).await;
+        self.state.termination.enter(FinalPhase::LastAnswers);
+        self.wait_until_closed(self.state.clock.now() + LAST_ANSWERS_TIME).await;
+        self.state.termination.enter(FinalPhase::Cut);
+        self.wait_until_closed(cut_at + CUT_NOTIFY_TIME).await;
+        self.log_stop(started_at);
     }
 
     /// Takes and ends calls until nothing is open, or the time is up.
-    async fn take_what_fits(&self, times: StopTimes) {
+    async fn drain_calls(&self, times: StopTimes) {
         let mut plan = StopPlan::new(times);
         loop {
             match plan.step(self.state.clock.now(), self.state.open_calls()) {
                 StopPhase::Announcing => {}
-                StopPhase::Draining => self.tell(Stop::Closing),
+                StopPhase::Draining => self.set_stop(Stop::Closing),
                 StopPhase::Refusing => {
-                    self.state.stopping.take_no_more();
-                    self.tell(Stop::Leaving);
+                    self.state.planned_stop.refuse_all();
+                    self.set_stop(Stop::Leaving);
                 }
                 StopPhase::Ended => return,
             }
-            tokio::time::sleep(LOOK.into()).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL.into()).await;
         }
     }
 
     /// Closes the listener. A connection that comes after the last look would be cut with its call read
     /// and sent on.
-    async fn close(&mut self) {
-        self.state.stopping.take_no_more();
-        self.tell(Stop::Over);
-        let _ = (&mut self.listening).await;
+    async fn close_listener(&mut self) {
+        self.state.planned_stop.refuse_all();
+        self.set_stop(Stop::Over);
+        let _ = (&mut self.accept_task).await;
     }
 
-    fn tell(&self, stop: Stop) {
-        self.stop.send_if_modified(|told| std::mem::replace(told, stop) != stop);
+    fn set_stop(&self, stop: Stop) {
+        self.stop.send_if_modified(|current| std::mem::replace(current, stop) != stop);
     }
 
     /// Waits until no caller's connection is open, or until `at`.
-    async fn done_by(&self, at: Millis) {
+    async fn wait_until_closed(&self, at: Millis) {
         while self.state.callers.all() > 0 {
-            let left = at - self.state.clock.now();
-            if left == Millis::ZERO {
+            let time_left = at - self.state.clock.now();
+            if time_left == Millis::ZERO {
                 return;
             }
-            tokio::time::sleep(left.min(LOOK).into()).await;
+            tokio::time::sleep(time_left.min(STOP_POLL_INTERVAL).into()).await;
         }
     }
 
-    fn tell_end(&self, began: Millis) {
-        let ending = &self.state.ending;
+    fn log_stop(&self, started_at: Millis) {
+        let termination = &self.state.termination;
         event!(
             Info,
             "gateway_stopped",
             name = self.state.cfg.name,
-            ms = self.state.clock.now() - began,
-            refused = ending.counted(ByStop::Refused),
-            failed = ending.counted(ByStop::Failed),
-            cut = ending.counted(ByStop::Cut),
-            without_line = ending.without_line(),
+            ms = self.state.clock.now() - started_at,
+            refused = termination.count(StopOutcome::Refused),
+            failed = termination.count(StopOutcome::Failed),
+            cut = termination.count(StopOutcome::Cut),
+            without_line = termination.unlogged(),
             connections = self.state.callers.all()
         );
     }
 }
 
-async fn callers(state: Arc<State>, listener: TcpListener, stop: watch::Receiver<Stop>) {
-    let cfg = ServerCfg { header_bytes: HEADER_BYTES, idle: CALLER_IDLE, silent: CALLER_SILENT };
+async fn serve_callers(state: Arc<State>, listener: TcpListener, stop: watch::Receiver<Stop>) {
+    let cfg = ServerCfg {
+        header_bytes: MAX_HEADER_BYTES,
+        idle: CALLER_IDLE_TIMEOUT,
+        silent: CALLER_UNACKNOWLEDGED_TIMEOUT,
+    };
     let open = state.callers.clone();
-    h1::serve(listener, cfg, stop, open, move |req, _| serve::call(state.clone(), req)).await;
+    h1::serve(listener, cfg, stop, open, move |req, _| serve::serve_call(state.clone(), req)).await;
 }
 
 /// Answers the balancer and whoever reads metrics.
-async fn internal(state: Arc<State>, listener: TcpListener) {
+async fn serve_internal(state: Arc<State>, listener: TcpListener) {
     h1::serve_pages(listener, move |path| page(&state, path)).await;
 }
 
@@ -206,16 +211,16 @@
     if path != "/metrics" {
         return Page::new(StatusCode::NOT_FOUND, "");
     }
-    state.metrics.callers.set(state.callers.all() as i64);
+    state.metrics.caller_connections.set(state.callers.all() as i64);
     match state.metrics.text() {
         Ok(text) => Page::new(StatusCode::OK, text),
         Err(err) => Page::new(StatusCode::INTERNAL_SERVER_ERROR, err.to_string()),
     }
 }
 
-async fn tidy(state: Arc<State>) {
+async fn expire_connections(state: Arc<State>) {
     loop {
-        tokio::time::sleep(TIDY.into()).await;
-        state.metrics.idle.set(state.connections.expire() as i64);
+        tokio::time::sleep(IDLE_CLEANUP_INTERVAL.into()).await;
+        state.metrics.idle_connections.set(state.connections.expire() as i64);
     }
 }
--- a/daemons/gateway/src/dialect.rs
+++ b/daemons/gateway/src/dialect.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone)]
 pub struct Forward<'a> {
     /// The time that is left.
-    pub left: Millis,
+    pub time_left: Millis,
     /// The endpoint that is meant.
     pub endpoint: &'a Name,
     /// The caller's account.
@@ -99,7 +99,7 @@
         &self,
         _attempt: &Name,
         _to: SocketAddr,
-        _stops: bool,
+        _stop_run: bool,
     ) -> Option<Request<Full<Bytes>>> {
         None
     }
--- a/daemons/gateway/src/dispatch.rs
+++ b/daemons/gateway/src/dispatch.rs
@@ -15,21 +15,21 @@
 
 use crate::answer;
 use crate::dialect::{AnswerClass, Forward, MovedMemory};
-use crate::ending::Phase;
 use crate::serve::Call;
 use crate::state::State;
-use crate::summary::Summary;
+use crate::summary::CallSummary;
+use crate::termination::FinalPhase;
 
 /// Time for which a connection may have been unused before a call is sent on it that must not run
 /// twice. The longer it was unused, the likelier the endpoint closes it just now, and whether the
 /// call was run could then not be told.
-const SURELY_ALIVE: Millis = Millis(1500);
+const MAX_IDLE_NON_REPEATABLE: Millis = Millis(1500);
 
 /// An attempt that runs; it is counted at its endpoint until it is over.
 #[derive(Debug)]
 pub struct Attempt {
     /// Where it runs.
-    pub place: Placement,
+    pub placement: Placement,
     state: Arc<State>,
     call: Arc<Call>,
     name: Name,
@@ -48,7 +48,7 @@
 // There is one for each call at a time, so its size doesn't matter.
 #[allow(clippy::large_enum_variant)]
 /// What came of one attempt before its answer is passed on.
-pub enum Attempted {
+pub enum AttemptResult {
     /// An answer to pass on.
     Answer(Attempt, Answer),
     /// None.
@@ -57,59 +57,60 @@
 
 /// Makes attempts until one is answered, nothing more can be done or the process ends.
 pub async fn run(state: Arc<State>, call: Arc<Call>) -> Response<AnyBody> {
-    let mut summary = Summary::new(state.clone(), call.clone());
+    let mut summary = CallSummary::new(state.clone(), call.clone());
     let answered = tokio::select! {
         biased;
-        answered = attempts(&state, &call, &mut summary) => answered,
+        answered = send_until_answered(&state, &call, &mut summary) => answered,
         // Dropped, the attempt ends, and its endpoint is told.
-        () = state.ending.begins(Phase::LastAnswers) => Err(summary.fail_by_stop()),
+        () = state.termination.wait_for(FinalPhase::LastAnswers) => Err(summary.fail_by_stop()),
     };
     match answered {
         Ok((attempt, answer, progress)) => {
-            answer::pass_on(summary, attempt, answer, progress).await
+            answer::relay_answer(summary, attempt, answer, progress).await
         }
         Err(response) => response,
     }
 }
 
 /// Makes attempts until one is answered; otherwise returns what the caller is told.
-async fn attempts(
+async fn send_until_answered(
     state: &Arc<State>,
     call: &Arc<Call>,
-    summary: &mut Summary,
+    summary: &mut CallSummary,
 ) -> Result<(Attempt, Answer, CallProgress), Response<AnyBody>> {
     let route = &call.route.route;
-    let mut progress = CallProgress::new(route.kind, route.max_attempts, call.due - call.arrived);
+    let mut progress =
+        CallProgress::new(route.kind, route.max_attempts, call.due - call.received_at);
     let mut exclude = Vec::new();
-    state.requested(&call.pool.service);
+    state.count_request(&call.pool.service);
     loop {
         let now = state.clock.now();
         progress.time_left = call.due - now;
-        let attempt = match place(state, call, now, &exclude, progress.attempts()) {
+        let attempt = match place_attempt(state, call, now, &exclude, progress.attempts()) {
             Ok(attempt) => attempt,
             Err((reason, wait)) => {
                 return Err(summary.refuse(&progress, reason, wait));
             }
         };
-        summary.sends_to(&attempt.place, now);
-        exclude.push(attempt.place.endpoint.clone());
-        let outcome = match make(attempt, &progress, None).await {
-            Attempted::Answer(attempt, answer) => {
+        summary.record_send(&attempt.placement, now);
+        exclude.push(attempt.placement.endpoint.clone());
+        let outcome = match send_attempt(attempt, &progress, None).await {
+            AttemptResult::Answer(attempt, answer) => {
                 return Ok((attempt, answer, progress));
             }
-            Attempted::Failed(outcome) => outcome,
+            AttemptResult::Failed(outcome) => outcome,
         };
         let mut next = progress.next_step(outcome);
-        if next == NextStep::Retry && !lasts_for_another(state, call) {
+        if next == NextStep::Retry && !has_time_for_attempt(state, call) {
             progress.record(outcome);
-            return Err(summary.give_up_by_stop(&progress));
+            return Err(summary.end_without_retry(&progress));
         }
         let takes_budget = next == NextStep::Retry && outcome != AttemptOutcome::NotSent;
         if takes_budget && !state.may_retry(&call.pool.service) {
             next = progress.next_step_without_retry(outcome);
         }
         progress.record(outcome);
-        if let Some(response) = summary.after(next, outcome) {
+        if let Some(response) = summary.response_after(next, outcome) {
             return Err(response);
         }
     }
@@ -119,13 +120,13 @@
 ///
 /// An attempt that is begun too late is cut, or ends with its outcome unknown, though before it the call may
 /// surely not have run, and another entry instance could have taken it.
-pub fn lasts_for_another(state: &State, call: &Call) -> bool {
-    let begin = state.stopping.begin_attempt(&call.route.name, call.due);
-    begin.is_some_and(|begin| begin == AnswerMode::Passed || call.begin == AnswerMode::Held)
+pub fn has_time_for_attempt(state: &State, call: &Call) -> bool {
+    let mode = state.planned_stop.attempt_mode(&call.route.name, call.due);
+    mode.is_some_and(|mode| mode == AnswerMode::Passed || call.answer_mode == AnswerMode::Held)
 }
 
 /// Chooses an endpoint and counts the call there.
-pub fn place(
+pub fn place_attempt(
     state: &Arc<State>,
     call: &Arc<Call>,
     now: Millis,
@@ -137,61 +138,62 @@
         0 => call.head.attempt.clone(),
         sends => format!("{}/{sends}", call.head.attempt).into(),
     };
-    let ask = PlacementRequest {
+    let placement_request = PlacementRequest {
         attempt: name.clone(),
         prompt: call.prompt.clone(),
         deadline: call.due,
         exclude: exclude.to_vec(),
     };
-    let placed = call.pool.pool.lock().place(now, &ask);
-    match placed {
-        PlacementDecision::Endpoint(place) => {
-            call.pool.count_fresh(now, place.fresh_tokens);
+    let decision = call.pool.pool.lock().place(now, &placement_request);
+    match decision {
+        PlacementDecision::Endpoint(placement) => {
+            call.pool.count_fresh_tokens(now, placement.fresh_tokens);
             let (state, call) = (state.clone(), call.clone());
-            Ok(Attempt { place, state, call, name, is_over: false })
+            Ok(Attempt { placement, state, call, name, is_over: false })
         }
         PlacementDecision::Refused { reason, retry_after } => {
-            call.pool.count_refused(now);
+            call.pool.count_refusal(now);
             Err((reason, retry_after))
         }
     }
 }
 
 /// Sends the call to the attempt's endpoint and reads the head of the answer.
-pub async fn make(
+pub async fn send_attempt(
     mut attempt: Attempt,
     progress: &CallProgress,
-    from: Option<&Resumption>,
-) -> Attempted {
+    resumption: Option<&Resumption>,
+) -> AttemptResult {
     let (state, call) = (attempt.state.clone(), attempt.call.clone());
-    let left = call.due - state.clock.now();
-    let req = request(&state, &call, &attempt.place, left, from);
-    let max_idle = if call.route.route.kind.may_repeat() { Millis::MAX } else { SURELY_ALIVE };
-    let sending = state.connections.send(attempt.place.address, req, max_idle);
-    let outcome = match tokio::time::timeout(left.into(), sending).await {
-        Ok(Ok(answer)) => match attempt.judge(&answer, progress) {
-            None => return Attempted::Answer(attempt, answer),
+    let time_left = call.due - state.clock.now();
+    let req = request(&state, &call, &attempt.placement, time_left, resumption);
+    let max_idle =
+        if call.route.route.kind.may_repeat() { Millis::MAX } else { MAX_IDLE_NON_REPEATABLE };
+    let sending = state.connections.send(attempt.placement.address, req, max_idle);
+    let outcome = match tokio::time::timeout(time_left.into(), sending).await {
+        Ok(Ok(answer)) => match attempt.check_answer(&answer, progress) {
+            None => return AttemptResult::Answer(attempt, answer),
             Some(outcome) => outcome,
         },
         Ok(Err(SendFailure::NotSent(err))) => attempt.failed(AttemptOutcome::NotSent, &err),
         Ok(Err(SendFailure::Unknown(err))) => attempt.failed(AttemptOutcome::Unknown, &err),
         Err(_) => attempt.failed(AttemptOutcome::TimedOut, "no answer in time"),
     };
-    attempt.over(match outcome {
+    attempt.finish(match outcome {
         AttemptOutcome::NotSent | AttemptOutcome::Unknown | AttemptOutcome::Failed => {
             Outcome::Failed
         }
         _ => Outcome::Cancelled,
     });
-    Attempted::Failed(outcome)
+    AttemptResult::Failed(outcome)
 }
 
 fn request(
     state: &State,
     call: &Call,
-    place: &Placement,
-    left: Millis,
-    from: Option<&Resumption>,
+    placement: &Placement,
+    time_left: Millis,
+    resumption: Option<&Resumption>,
 ) -> Request<Full<Bytes>> {
     let mut headers = call.headers.clone();
     strip_hop_by_hop(&mut headers);
@@ -199,12 +201,12 @@
     headers.remove(header::EXPECT);
     let account = call.account.as_ref().map(|account| &account.name);
     let forward = Forward {
-        left,
-        endpoint: &place.endpoint,
+        time_left,
+        endpoint: &placement.endpoint,
         account,
         urgency: call.urgency,
-        last_event: from.and_then(|from| from.last_event.as_deref()),
-        memory: from.and_then(|from| from.memory.as_ref()),
+        last_event: resumption.and_then(|resumption| resumption.last_event.as_deref()),
+        memory: resumption.and_then(|resumption| resumption.memory.as_ref()),
     };
     state.cfg.dialect.forward(&mut headers, &forward);
     let mut req = Request::new(Full::new(call.body.clone()));
@@ -216,7 +218,7 @@
 
 impl Attempt {
     /// Reads the head of an answer. Returns the outcome if the answer is not to be passed on.
-    fn judge(&mut self, answer: &Answer, progress: &CallProgress) -> Option<AttemptOutcome> {
+    fn check_answer(&mut self, answer: &Answer, progress: &CallProgress) -> Option<AttemptOutcome> {
         let dialect = &self.state.cfg.dialect;
         let (status, headers) = (answer.response.status(), answer.response.headers());
         if answer.is_new {
@@ -225,50 +227,51 @@
         }
         let now = self.state.clock.now();
         if let Some(load) = dialect.load(headers) {
-            self.call.pool.pool.lock().record_load(now, &self.place, load.running, load.queued);
+            self.call.pool.pool.lock().record_load(now, &self.placement, load.running, load.queued);
         }
-        let said = status.as_str();
+        let status_text = status.as_str();
         match dialect.classify(&self.call.head.attempt, status, headers) {
             AnswerClass::Answer => None,
             AnswerClass::Failed => {
                 self.count_usage();
                 match progress.next_step(AttemptOutcome::Failed) {
                     NextStep::Retry if self.may_be_repeated() => {
-                        Some(self.failed(AttemptOutcome::Failed, said))
+                        Some(self.failed(AttemptOutcome::Failed, status_text))
                     }
                     _ => None,
                 }
             }
             AnswerClass::Full => {
-                self.call.pool.pool.lock().mark_full(now, &self.place);
-                Some(self.failed(AttemptOutcome::Full, said))
+                self.call.pool.pool.lock().mark_full(now, &self.placement);
+                Some(self.failed(AttemptOutcome::Full, status_text))
             }
-            AnswerClass::NotRun => Some(self.failed(AttemptOutcome::NotRun, said)),
+            AnswerClass::NotRun => Some(self.failed(AttemptOutcome::NotRun, status_text)),
             AnswerClass::WrongEndpoint => {
-                self.call.pool.pool.lock().mark_gone(now, &self.place);
-                self.state.connections.forget(self.place.address);
-                Some(self.failed(AttemptOutcome::WrongEndpoint, said))
+                self.call.pool.pool.lock().mark_gone(now, &self.placement);
+                self.state.connections.forget(self.placement.address);
+                Some(self.failed(AttemptOutcome::WrongEndpoint, status_text))
             }
             AnswerClass::Improper => Some(self.failed(AttemptOutcome::Unknown, "improper answer")),
         }
     }
 
     fn may_be_repeated(&self) -> bool {
-        lasts_for_another(&self.state, &self.call) && self.state.may_retry(&self.call.pool.service)
+        has_time_for_attempt(&self.state, &self.call)
+            && self.state.may_retry(&self.call.pool.service)
     }
 
-    fn failed(&self, outcome: AttemptOutcome, why: &str) -> AttemptOutcome {
+    fn failed(&self, outcome: AttemptOutcome, reason: &str) -> AttemptOutcome {
         let name = format!("{outcome:?}");
         self.state.metrics.attempts.with_label_values(&[&name]).inc();
         event!(
             Warn,
             "attempt_failed",
             id = self.name,
-            endpoint = self.place.endpoint,
-            address = self.place.address,
+            endpoint = self.placement.endpoint,
+            address = self.placement.address,
             outcome = name,
-            why = why,
-            ms = self.state.clock.now() - self.call.arrived
+            why = reason,
+            ms = self.state.clock.now() - self.call.received_at
         );
         outcome
     }
@@ -284,8 +287,8 @@
     }
 
     /// Takes in that the first part of the answer came.
-    pub fn began(&self, now: Millis) {
-        self.call.pool.pool.lock().record_first_part(now, &self.place, &self.name);
+    pub fn record_first_part(&self, now: Millis) {
+        self.call.pool.pool.lock().record_first_part(now, &self.placement, &self.name);
     }
 
     /// Counts that the call began to run for its account.
@@ -296,10 +299,10 @@
     }
 
     /// Ends the attempt.
-    pub fn over(&mut self, outcome: Outcome) {
+    pub fn finish(&mut self, outcome: Outcome) {
         if !std::mem::replace(&mut self.is_over, true) {
             let now = self.state.clock.now();
-            self.call.pool.pool.lock().finish_attempt(now, &self.place, &self.name, outcome);
+            self.call.pool.pool.lock().finish_attempt(now, &self.placement, &self.name, outcome);
         }
     }
 }
@@ -307,6 +310,6 @@
 impl Drop for Attempt {
     /// A caller that leaves ends the attempt wherever it stands.
     fn drop(&mut self) {
-        self.over(Outcome::Cancelled);
+        self.finish(Outcome::Cancelled);
     }
 }
--- a/daemons/gateway/src/failure.rs
+++ b/daemons/gateway/src/failure.rs
@@ -40,15 +40,15 @@
 
     /// Makes the answer to a call; where the entry instance stops, the last one on its connection. On the
     /// same connection the caller would come back to this instance.
-    pub fn answer(&self, state: &State, attempt: &Name) -> Response<AnyBody> {
-        let mut response = self.response(&*state.cfg.dialect, attempt);
-        if state.stopping.has_begun() {
+    pub fn to_response(&self, state: &State, attempt: &Name) -> Response<AnyBody> {
+        let mut response = self.build_response(&*state.cfg.dialect, attempt);
+        if state.planned_stop.has_begun() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
-    fn response(&self, dialect: &dyn Dialect, attempt: &Name) -> Response<AnyBody> {
+    fn build_response(&self, dialect: &dyn Dialect, attempt: &Name) -> Response<AnyBody> {
         let detail = ErrorDetail {
             code: self.code,
             message: format!("{:?}", self.code),
--- a/daemons/gateway/src/link.rs
+++ b/daemons/gateway/src/link.rs
@@ -14,48 +14,48 @@
 use sill_wire::control::Revision;
 use sill_wire::link::{ControlPlace, Cursor, LinkPoll, LinkReply};
 
-use crate::feed::Offers;
+use crate::settings_fetcher::RevisionOffers;
 use crate::state::State;
 
 /// Control instances that are followed at a time.
-pub const FOLLOWED: usize = 2;
+pub const FOLLOWED_CONTROLS: usize = 2;
 
 /// How long a poll waits for news: reports go along with it, and totals by which limits are shared
 /// come back.
-const WAIT: Millis = Millis(250);
+const POLL_WAIT: Millis = Millis(250);
 
 /// How long a poll may take on top of its wait.
-const PATIENCE: Millis = Millis(600);
+const POLL_TIMEOUT_MARGIN: Millis = Millis(600);
 
 /// Pause after a poll that failed.
-const PAUSE: Millis = Millis(100);
+const RETRY_PAUSE: Millis = Millis(100);
 
 /// Time for which a control instance that failed is asked only if no other is left.
-const AVOID: Millis = Millis(5000);
+const FAILURE_BACKOFF: Millis = Millis(5000);
 
 /// Time without word of a leader after which another control instance is followed.
-const LEADERLESS: Millis = Millis(1000);
+const LEADERLESS_TIMEOUT: Millis = Millis(1000);
 
 /// Pause between two polls of one control instance, so that many changes share one answer.
-const BREATH: Millis = Millis(20);
+const CHANGE_POLL_PAUSE: Millis = Millis(20);
 
 /// The control instances as this entry instance knows them.
 #[derive(Debug)]
 pub struct Link {
     state: Arc<State>,
     seeds: Mutex<Vec<SocketAddr>>,
-    places: Mutex<Map<Name, ControlPlace>>,
-    followed: Mutex<[Option<SocketAddr>; FOLLOWED]>,
-    failed: Mutex<Map<SocketAddr, Millis>>,
+    known_controls: Mutex<Map<Name, ControlPlace>>,
+    followed_controls: Mutex<[Option<SocketAddr>; FOLLOWED_CONTROLS]>,
+    failures: Mutex<Map<SocketAddr, Millis>>,
     sequence: AtomicU64,
-    offers: Offers,
+    offers: RevisionOffers,
 }
 
 /// Why a control instance is not followed any more.
-struct Unfollowed {
+struct FollowEnd {
     /// Whether it answered before.
     was_followed: bool,
-    why: String,
+    reason: String,
 }
 
 impl Link {
@@ -65,22 +65,23 @@
         Self {
             state,
             seeds,
-            places: Mutex::default(),
-            followed: Mutex::default(),
-            failed: Mutex::default(),
+            known_controls: Mutex::default(),
+            followed_controls: Mutex::default(),
+            failures: Mutex::default(),
             sequence: AtomicU64::new(0),
-            offers: Offers::default(),
+            offers: RevisionOffers::default(),
         }
     }
 
     /// Returns where settings that control instances have are offered.
-    pub fn offers(&self) -> &Offers {
+    pub fn offers(&self) -> &RevisionOffers {
         &self.offers
     }
 
     /// Returns the control instances, those that are followed first.
     pub fn sources(&self) -> Vec<SocketAddr> {
-        let followed: Vec<SocketAddr> = self.followed.lock().iter().flatten().copied().collect();
+        let followed: Vec<SocketAddr> =
+            self.followed_controls.lock().iter().flatten().copied().collect();
         let mut all = self.candidates();
         all.sort_by_key(|address| !followed.contains(address));
         all
@@ -91,89 +92,99 @@
         *self.seeds.lock() = seeds;
     }
 
-    /// Follows one control instance after another, as one of [`FOLLOWED`].
-    pub async fn follow(self: Arc<Self>, turn: usize) {
+    /// Follows one control instance after another, as one of [`FOLLOWED_CONTROLS`].
+    pub async fn follow(self: Arc<Self>, slot: usize) {
         loop {
-            let Some(address) = self.pick(turn) else {
-                tokio::time::sleep(PAUSE.into()).await;
+            let Some(address) = self.pick(slot) else {
+                tokio::time::sleep(RETRY_PAUSE.into()).await;
                 continue;
             };
-            let Unfollowed { was_followed, why } = self.follow_one(address).await;
+            let FollowEnd { was_followed, reason } = self.follow_one(address).await;
             // While this instance is cut off it tries all of them, again and again.
             if was_followed {
-                let followed = &self.state.metrics.followed;
+                let followed = &self.state.metrics.followed_controls;
                 followed.dec();
-                event!(Warn, "control_lost", address = address, why = why, left = followed.get());
+                event!(
+                    Warn,
+                    "control_lost",
+                    address = address,
+                    why = reason,
+                    left = followed.get()
+                );
             } else {
-                event!(Debug, "control_unreachable", address = address, why = why);
+                event!(Debug, "control_unreachable", address = address, why = reason);
             }
-            self.failed.lock().insert(address, self.state.clock.now());
-            self.followed.lock()[turn] = None;
-            tokio::time::sleep(PAUSE.into()).await;
+            self.failures.lock().insert(address, self.state.clock.now());
+            self.followed_controls.lock()[slot] = None;
+            tokio::time::sleep(RETRY_PAUSE.into()).await;
         }
     }
 
     /// Polls a control instance until it fails or knows no leader.
-    async fn follow_one(&self, address: SocketAddr) -> Unfollowed {
-        let client = PeerClient::new(address, &self.state.cfg.cluster_key, WAIT + PATIENCE);
+    async fn follow_one(&self, address: SocketAddr) -> FollowEnd {
+        let client =
+            PeerClient::new(address, &self.state.cfg.cluster_key, POLL_WAIT + POLL_TIMEOUT_MARGIN);
         let mut cursor = Cursor::default();
         let mut led_at = None;
-        let mut told = Revision(0);
-        let ends = |was_followed, why: String| Unfollowed { was_followed, why };
+        let mut offered_revision = Revision(0);
+        let end = |was_followed, reason: String| FollowEnd { was_followed, reason };
         loop {
             let sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
-            let have = told.max(Revision(self.state.table().map_or(0, |table| table.revision)));
+            let have = offered_revision
+                .max(Revision(self.state.table().map_or(0, |table| table.revision)));
             let report = self.state.report(sequence);
-            let reply = match client.call(&LinkPoll { have, cursor, wait: WAIT, report }).await {
+            let reply = match client.call(&LinkPoll { have, cursor, wait: POLL_WAIT, report }).await
+            {
                 Ok(reply) => reply,
-                Err(err) => return ends(led_at.is_some(), err.to_string()),
+                Err(err) => return end(led_at.is_some(), err.to_string()),
             };
             let now = self.state.clock.now();
             if led_at.is_none() {
-                self.state.metrics.followed.inc();
+                self.state.metrics.followed_controls.inc();
                 event!(Info, "control_followed", address = address, is_led = reply.is_led);
             }
             cursor = reply.cursor;
-            self.learn(reply.controls.clone());
-            self.state.learn(address, &reply);
+            self.record_controls(reply.controls.clone());
+            self.state.apply_reply(address, &reply);
             if let Some(manifest) = &reply.settings {
-                told = manifest.revision;
+                offered_revision = manifest.revision;
                 self.offers.offer(manifest.clone(), address);
             }
             let since = led_at.get_or_insert(now);
             if reply.is_led {
                 *since = now;
-            } else if now - *since > LEADERLESS && self.has_other(address) {
-                return ends(true, "it knows no leader".to_owned());
+            } else if now - *since > LEADERLESS_TIMEOUT && self.has_other(address) {
+                return end(true, "it knows no leader".to_owned());
             }
-            self.breathe(&reply).await;
+            self.pause_after_changes(&reply).await;
         }
     }
 
-    async fn breathe(&self, reply: &LinkReply) {
+    async fn pause_after_changes(&self, reply: &LinkReply) {
         if reply.settings.is_some() || !reply.endpoints.is_empty() {
-            tokio::time::sleep(BREATH.into()).await;
+            tokio::time::sleep(CHANGE_POLL_PAUSE.into()).await;
         }
     }
 
-    fn learn(&self, controls: Vec<ControlPlace>) {
-        let mut places = self.places.lock();
+    fn record_controls(&self, controls: Vec<ControlPlace>) {
+        let mut known_controls = self.known_controls.lock();
         for place in controls {
-            places.insert(place.name.clone(), place);
+            known_controls.insert(place.name.clone(), place);
         }
     }
 
     /// Returns whether another one is known that did not fail lately.
     fn has_other(&self, address: SocketAddr) -> bool {
         let now = self.state.clock.now();
-        let failed = self.failed.lock();
-        let is_well = |other: &SocketAddr| failed.get(other).is_none_or(|at| now - *at > AVOID);
-        self.candidates().iter().any(|other| *other != address && is_well(other))
+        let failures = self.failures.lock();
+        let is_healthy =
+            |other: &SocketAddr| failures.get(other).is_none_or(|at| now - *at > FAILURE_BACKOFF);
+        self.candidates().iter().any(|other| *other != address && is_healthy(other))
     }
 
     fn candidates(&self) -> Vec<SocketAddr> {
-        let places = self.places.lock();
-        let mut all: Vec<SocketAddr> = places.values().map(|place| place.peer).collect();
+        let known_controls = self.known_controls.lock();
+        let mut all: Vec<SocketAddr> = known_controls.values().map(|place| place.peer).collect();
         all.extend(self.seeds.lock().iter());
         all.sort();
         all.dedup();
@@ -182,29 +193,31 @@
 
     /// Picks one that is not followed yet: one that did not fail lately, by preference one of the
     /// own failure domain for the first and of another for the rest.
-    fn pick(&self, turn: usize) -> Option<SocketAddr> {
+    fn pick(&self, slot: usize) -> Option<SocketAddr> {
         let now = self.state.clock.now();
         let candidates = self.candidates();
-        let mut followed = self.followed.lock();
-        let (failed, places) = (self.failed.lock(), self.places.lock());
+        let mut followed = self.followed_controls.lock();
+        let (failures, known_controls) = (self.failures.lock(), self.known_controls.lock());
         let own_domain = |address: &SocketAddr| {
-            places.values().any(|p| p.peer == *address && p.domain == self.state.cfg.domain)
+            known_controls.values().any(|p| p.peer == *address && p.domain == self.state.cfg.domain)
         };
-        let free = candidates.into_iter().filter(|address| !followed.contains(&Some(*address)));
+        let available =
+            candidates.into_iter().filter(|address| !followed.contains(&Some(*address)));
         let rank = |address: &SocketAddr| {
-            let failed_at = failed.get(address).filter(|at| now - **at <= AVOID).copied();
-            let is_preferred = own_domain(address) == (turn == 0);
+            let failed_at =
+                failures.get(address).filter(|at| now - **at <= FAILURE_BACKOFF).copied();
+            let is_preferred = own_domain(address) == (slot == 0);
             // Spread over those that are equal, so that not all follow the same one.
-            let draw = blend(&self.state.cfg.name, address);
-            (failed_at.unwrap_or_default(), !is_preferred, draw)
+            let tie_break = hash_choice(&self.state.cfg.name, address);
+            (failed_at.unwrap_or_default(), !is_preferred, tie_break)
         };
-        let picked = free.min_by_key(rank)?;
-        followed[turn] = Some(picked);
-        Some(picked)
+        let choice = available.min_by_key(rank)?;
+        followed[slot] = Some(choice);
+        Some(choice)
     }
 }
 
-fn blend(name: &Name, address: &SocketAddr) -> u64 {
+fn hash_choice(name: &Name, address: &SocketAddr) -> u64 {
     let hasher = BuildHasherDefault::<DefaultHasher>::default();
     hasher.hash_one((name, address))
 }
--- a/daemons/gateway/src/metrics.rs
+++ b/daemons/gateway/src/metrics.rs
@@ -15,7 +15,7 @@
     /// Attempts by outcome.
     pub attempts: IntCounterVec,
     /// Amounts that limits let in, in their units, by the reason.
-    pub admitted: CounterVec,
+    pub admitted_units: CounterVec,
     /// Connections to endpoints that were opened.
     pub connects: IntCounterVec,
     /// Time to the first part of an answer.
@@ -29,13 +29,13 @@
     /// Time from when a control instance cut a revision into pieces until it is in force here.
     pub settings_age: Histogram,
     /// Control instances that answer this one's polls.
-    pub followed: IntGauge,
+    pub followed_controls: IntGauge,
     /// Time from when an endpoint that took calls said that it leaves or ends until it is known here.
     pub departure_age: Histogram,
     /// Open connections of callers.
-    pub callers: IntGauge,
+    pub caller_connections: IntGauge,
     /// Unused connections to endpoints.
-    pub idle: IntGauge,
+    pub idle_connections: IntGauge,
 }
 
 impl Metrics {
@@ -51,11 +51,11 @@
             registry.register(Box::new(counters.clone()))?;
             Ok(counters)
         };
-        let admitted = CounterVec::new(
+        let admitted_units = CounterVec::new(
             Opts::new("sill_gateway_admitted_total", "units that limits let in, by the reason"),
             &["by"],
         )?;
-        registry.register(Box::new(admitted.clone()))?;
+        registry.register(Box::new(admitted_units.clone()))?;
         let histogram = |name: &str, help: &str| -> Result<Histogram> {
             let buckets = exponential_buckets(0.001, 2.0, 15)?;
             let histogram = Histogram::with_opts(HistogramOpts::new(name, help).buckets(buckets))?;
@@ -70,7 +70,7 @@
         Ok(Self {
             calls: counters("sill_gateway_calls_total", "calls by outcome", "outcome")?,
             attempts: counters("sill_gateway_attempts_total", "attempts by outcome", "outcome")?,
-            admitted,
+            admitted_units,
             connects: counters("sill_gateway_connects_total", "connections opened", "service")?,
             first_part: histogram("sill_gateway_first_part_seconds", "time to the first part")?,
             whole_answer: histogram("sill_gateway_answer_seconds", "time to the whole answer")?,
@@ -83,7 +83,7 @@
                 "sill_gateway_settings_age_seconds",
                 "time from a revision's cut at control until it is in force",
             )?,
-            followed: gauge(
+            followed_controls: gauge(
                 "sill_gateway_control_followed",
                 "control instances that answer polls",
             )?,
@@ -91,8 +91,14 @@
                 "sill_gateway_departure_age_seconds",
                 "time from the departure of an endpoint until it is known here",
             )?,
-            callers: gauge("sill_gateway_caller_connections", "open connections of callers")?,
-            idle: gauge("sill_gateway_idle_connections", "unused connections to endpoints")?,
+            caller_connections: gauge(
+                "sill_gateway_caller_connections",
+                "open connections of callers",
+            )?,
+            idle_connections: gauge(
+                "sill_gateway_idle_connections",
+                "unused connections to endpoints",
+            )?,
             registry,
         })
     }
--- a/daemons/gateway/src/stopping.rs
+++ b/daemons/gateway/src/planned_stop.rs
@@ -9,29 +9,29 @@
 
 /// The planned stop of this entry instance, if it was asked for, and what calls take.
 #[derive(Debug)]
-pub struct Stopping {
+pub struct PlannedStop {
     clock: Clock,
     times: OnceLock<StopTimes>,
-    takes_no_more: AtomicBool,
+    refuses_all: AtomicBool,
     call_times: Mutex<CallTimes>,
 }
 
 /// A call that is not begun, as it may outlast the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TooLate {
+pub struct InsufficientTime {
     /// Time until the instance ends.
-    pub left: Millis,
+    pub time_left: Millis,
     /// What calls of its route usually take; none if too little is known.
-    pub usual: Option<Millis>,
+    pub usual_duration: Option<Millis>,
 }
 
-impl Stopping {
+impl PlannedStop {
     /// Makes the one of an instance that goes on.
     pub fn new(clock: Clock) -> Self {
         Self {
             clock,
             times: OnceLock::new(),
-            takes_no_more: AtomicBool::new(false),
+            refuses_all: AtomicBool::new(false),
             call_times: Mutex::default(),
         }
     }
@@ -47,8 +47,8 @@
     }
 
     /// Has all calls refused from now on: those that are open are waited for.
-    pub fn take_no_more(&self) {
-        self.takes_no_more.store(true, Ordering::Relaxed);
+    pub fn refuse_all(&self) {
+        self.refuses_all.store(true, Ordering::Relaxed);
     }
 
     /// Returns whether the instance ends within a span.
@@ -61,33 +61,38 @@
     /// # Errors
     ///
     /// Fails if the call may outlast the instance.
-    pub fn begin(&self, id: &Name, route: &Name, due: Millis) -> Result<AnswerMode, TooLate> {
+    pub fn admit(
+        &self,
+        id: &Name,
+        route: &Name,
+        due: Millis,
+    ) -> Result<AnswerMode, InsufficientTime> {
         let Some(stop) = self.times.get() else { return Ok(AnswerMode::Passed) };
         let now = self.clock.now();
-        let (begin, usual) = {
+        let (mode, usual_duration) = {
             let times = self.call_times.lock();
             (times.answer_mode(now, route, due, *stop), times.usual_duration(now, route))
         };
-        let left = stop.ends_at - now;
-        let begin = begin.filter(|_| !self.takes_no_more.load(Ordering::Relaxed));
-        let begin = begin.ok_or(TooLate { left, usual })?;
+        let time_left = stop.ends_at - now;
+        let mode = mode.filter(|_| !self.refuses_all.load(Ordering::Relaxed));
+        let mode = mode.ok_or(InsufficientTime { time_left, usual_duration })?;
         if self.may_cut(due) {
             event!(
                 Info,
                 "call_begun_in_stop",
                 id = id,
                 route = route,
-                begin = format!("{begin:?}"),
-                usual_ms = usual.unwrap_or_default(),
-                left_ms = left,
+                begin = format!("{mode:?}"),
+                usual_ms = usual_duration.unwrap_or_default(),
+                left_ms = time_left,
                 due_ms = due - now
             );
         }
-        Ok(begin)
+        Ok(mode)
     }
 
     /// Returns how an attempt at a call that must be over by `due` begins here, if it may.
-    pub fn begin_attempt(&self, route: &Name, due: Millis) -> Option<AnswerMode> {
+    pub fn attempt_mode(&self, route: &Name, due: Millis) -> Option<AnswerMode> {
         let Some(stop) = self.times.get() else { return Some(AnswerMode::Passed) };
         self.call_times.lock().answer_mode(self.clock.now(), route, due, *stop)
     }
@@ -103,12 +108,12 @@
     }
 
     /// Returns how a stream goes on of which the caller has nothing yet, once its first part has come.
-    pub fn go_on(&self, id: &Name, route: &Name, due: Millis, first: Millis) -> AnswerMode {
+    pub fn stream_mode(&self, id: &Name, route: &Name, due: Millis, first: Millis) -> AnswerMode {
         let Some(stop) = self.stop_before(due) else { return AnswerMode::Passed };
         let now = self.clock.now();
-        let rest = self.call_times.lock().forecast_stream(now, route, first, *stop);
-        if rest.mode == AnswerMode::Passed {
-            return rest.mode;
+        let forecast = self.call_times.lock().forecast_stream(now, route, first, *stop);
+        if forecast.mode == AnswerMode::Passed {
+            return forecast.mode;
         }
         event!(
             Info,
@@ -116,20 +121,20 @@
             id = id,
             route = route,
             first_ms = first,
-            usual_first_ms = rest.usual_first.unwrap_or_default(),
-            rest_ms = rest.remaining.unwrap_or_default(),
+            usual_first_ms = forecast.usual_first.unwrap_or_default(),
+            rest_ms = forecast.remaining.unwrap_or_default(),
             left_ms = stop.ends_at - now
         );
-        rest.mode
+        forecast.mode
     }
 
     /// Takes in the whole time of a call.
-    pub fn took(&self, route: &Name, whole: Millis) {
+    pub fn record_call(&self, route: &Name, whole: Millis) {
         self.call_times.lock().record_call(self.clock.now(), route, whole);
     }
 
     /// Takes in the time until the first part of a call's answer.
-    pub fn first_part_took(&self, route: &Name, first: Millis) {
+    pub fn record_first_part(&self, route: &Name, first: Millis) {
         self.call_times.lock().record_first_part(self.clock.now(), route, first);
     }
 }
--- a/daemons/gateway/src/relay.rs
+++ b/daemons/gateway/src/relay.rs
@@ -18,33 +18,33 @@
 use sill_wire::ErrorCode;
 use tokio::time::Sleep;
 
-use crate::dispatch::{self, Attempt, Attempted, Resumption};
-use crate::ending::Phase;
+use crate::dispatch::{self, Attempt, AttemptResult, Resumption};
 use crate::failure::Failure;
-use crate::moves::Relocation;
+use crate::migration::RunMigration;
 use crate::serve::Call;
 use crate::state::State;
-use crate::summary::Summary;
+use crate::summary::CallSummary;
+use crate::termination::FinalPhase;
 
 /// An answer on its way.
 pub struct Relay {
     state: Arc<State>,
     call: Arc<Call>,
-    summary: Summary,
+    summary: CallSummary,
     progress: CallProgress,
     source: Source,
     /// Set for streams that may go on at another endpoint.
     events: Option<EventTracker>,
     due: Pin<Box<Sleep>>,
     /// Done when the end of the process cuts the answer.
-    cut: BoxFuture<'static, ()>,
+    cut_by_stop: BoxFuture<'static, ()>,
     /// The move of the run away from its engine, while the rest of its old stream comes in.
-    relocation: Relocation,
+    migration: RunMigration,
     has_begun: bool,
     /// The first part, until the head of the answer is on its way.
-    held: Option<Bytes>,
+    buffered_part: Option<Bytes>,
     /// Why the answer ends, once what came before is on its way to the caller.
-    broken: Option<BodyError>,
+    pending_error: Option<BodyError>,
 }
 
 // There is one for each call, so its size doesn't matter.
@@ -52,15 +52,15 @@
 /// Where the answer comes from.
 enum Source {
     /// An endpoint.
-    Running(Running),
+    Endpoint(EndpointAnswer),
     /// Another endpoint is sought that goes on.
-    Resuming(BoxFuture<'static, Option<Running>>),
+    Resuming(BoxFuture<'static, Option<EndpointAnswer>>),
     /// Nothing more comes.
     Ended,
 }
 
 /// An answer that comes from an endpoint.
-pub struct Running {
+pub struct EndpointAnswer {
     /// What is still to come.
     pub body: Incoming,
     /// The attempt that it answers.
@@ -76,25 +76,30 @@
 
 impl Relay {
     /// Makes the body of an answer; `goes_on` is whether it may go on at another endpoint.
-    pub fn new(summary: Summary, running: Running, progress: CallProgress, goes_on: bool) -> Self {
-        let attempt = &running.attempt;
+    pub fn new(
+        summary: CallSummary,
+        answer: EndpointAnswer,
+        progress: CallProgress,
+        may_resume: bool,
+    ) -> Self {
+        let attempt = &answer.attempt;
         let (state, call) = (attempt.state().clone(), attempt.call().clone());
-        let left = call.due - state.clock.now();
-        let relocation = match goes_on && is_movable(&call) {
-            true => Relocation::of(attempt),
-            false => Relocation::default(),
+        let time_left = call.due - state.clock.now();
+        let migration = match may_resume && is_movable(&call) {
+            true => RunMigration::of(attempt),
+            false => RunMigration::default(),
         };
         Self {
-            relocation,
+            migration,
             summary,
             progress,
-            source: Source::Running(running),
-            events: goes_on.then(EventTracker::default),
-            due: Box::pin(tokio::time::sleep(left.into())),
-            cut: Box::pin(state.ending.begins(Phase::Cut)),
+            source: Source::Endpoint(answer),
+            events: may_resume.then(EventTracker::default),
+            due: Box::pin(tokio::time::sleep(time_left.into())),
+            cut_by_stop: Box::pin(state.termination.wait_for(FinalPhase::Cut)),
             has_begun: false,
-            held: None,
-            broken: None,
+            buffered_part: None,
+            pending_error: None,
             state,
             call,
         }
@@ -105,9 +110,9 @@
     /// # Errors
     ///
     /// Fails when the answer breaks off before.
-    pub async fn hold_first(&mut self) -> Result<(), BodyError> {
+    pub async fn buffer_first_part(&mut self) -> Result<(), BodyError> {
         let first = poll_fn(|cx| Pin::new(&mut *self).poll_frame(cx)).await;
-        self.held = first.transpose()?.and_then(|frame| frame.into_data().ok());
+        self.buffered_part = first.transpose()?.and_then(|frame| frame.into_data().ok());
         Ok(())
     }
 
@@ -116,7 +121,7 @@
     /// # Errors
     ///
     /// Fails when the answer breaks off or is longer.
-    pub async fn hold_all(&mut self, limit: usize) -> Result<BytesMut, BodyError> {
+    pub async fn buffer_all(&mut self, limit: usize) -> Result<BytesMut, BodyError> {
         let mut body = BytesMut::new();
         while let Some(frame) = poll_fn(|cx| Pin::new(&mut *self).poll_frame(cx)).await {
             let Ok(data) = frame?.into_data() else { continue };
@@ -145,66 +150,66 @@
         self.summary.fail_by_stop()
     }
 
-    fn poll_move(&mut self, cx: &mut Context<'_>) {
-        if let Source::Running(running) = &self.source {
-            self.relocation.poll(cx, &running.attempt, self.progress.attempts());
+    fn poll_migration(&mut self, cx: &mut Context<'_>) {
+        if let Source::Endpoint(answer) = &self.source {
+            self.migration.poll(cx, &answer.attempt, self.progress.attempts());
         }
     }
 
     /// The old stream of a run that is being moved broke off. Goes on with the run where its memory is.
-    fn go_on_after_move(&mut self) -> bool {
-        let Some(moving) = self.relocation.take() else { return false };
-        self.summary.ends("cut");
-        let old = std::mem::replace(&mut self.source, Source::Ended);
-        if let Source::Running(mut running) = old {
-            running.attempt.over(Outcome::Cancelled);
+    fn resume_after_migration(&mut self) -> bool {
+        let Some(transfer) = self.migration.take() else { return false };
+        self.summary.set_outcome("cut");
+        let previous = std::mem::replace(&mut self.source, Source::Ended);
+        if let Source::Endpoint(mut answer) = previous {
+            answer.attempt.finish(Outcome::Cancelled);
         }
         let Some(events) = &mut self.events else { return false };
         events.drop_partial();
         let last_event = events.last_id().map(str::to_owned);
         let progress = self.progress;
         self.source = Source::Resuming(Box::pin(async move {
-            let moved = moving.moved().await?;
-            let from = Resumption { last_event, memory: Some(moved.memory) };
-            running_from(moved.attempt, progress, from).await
+            let run = transfer.finish().await?;
+            let resumption = Resumption { last_event, memory: Some(run.memory) };
+            resume_at(run.attempt, progress, resumption).await
         }));
         true
     }
 
-    fn passes(&mut self, data: &Bytes) {
+    fn record_part(&mut self, data: &Bytes) {
         let now = self.state.clock.now();
-        self.summary.passes(now, data.len());
+        self.summary.record_part(now, data.len());
         if std::mem::replace(&mut self.has_begun, true) {
             return;
         }
-        if let Source::Running(running) = &self.source {
-            running.attempt.began(now);
+        if let Source::Endpoint(answer) = &self.source {
+            answer.attempt.record_first_part(now);
             if self.call.pool.is_engine {
-                running.attempt.count_usage();
+                answer.attempt.count_usage();
             }
         }
     }
 
     /// The endpoint's answer is whole.
-    fn ended(&mut self) {
-        if let Source::Running(mut running) = std::mem::replace(&mut self.source, Source::Ended) {
-            running.attempt.over(Outcome::Finished);
-            if let Some(connection) = running.connection.take() {
+    fn finish(&mut self) {
+        if let Source::Endpoint(mut answer) = std::mem::replace(&mut self.source, Source::Ended) {
+            answer.attempt.finish(Outcome::Finished);
+            if let Some(connection) = answer.connection.take() {
                 connection.give_back();
             }
-            self.summary.ends("answered");
+            self.summary.set_outcome("answered");
         }
     }
 
     /// The endpoint's answer broke off. Returns whether it may go on elsewhere.
-    fn broke_off(&mut self, err: &hyper::Error) -> bool {
-        let Source::Running(mut running) = std::mem::replace(&mut self.source, Source::Ended)
+    fn try_resume(&mut self, err: &hyper::Error) -> bool {
+        let Source::Endpoint(mut answer) = std::mem::replace(&mut self.source, Source::Ended)
         else {
             return false;
         };
-        running.attempt.over(Outcome::Failed);
-        self.summary.ends("cut");
-        let (id, endpoint) = (&self.call.head.attempt, &running.attempt.place.endpoint);
+        answer.attempt.finish(Outcome::Failed);
+        self.summary.set_outcome("cut");
+        let (id, endpoint) = (&self.call.head.attempt, &answer.attempt.placement.endpoint);
         sill_base::event!(Warn, "answer_cut", id = id, endpoint = endpoint, why = err);
         self.progress.time_left = self.call.due - self.state.clock.now();
         let is_resumable = self.call.route.route.kind.may_repeat();
@@ -214,31 +219,31 @@
         events.drop_partial();
         // A stream that has begun is better off wherever it goes on: without that it is cut now. One without
         // a first event can still be answered as a failure, which its caller may repeat elsewhere.
-        let has_time = self.has_begun || dispatch::lasts_for_another(&self.state, &self.call);
-        let may_go_on = is_resumable && next == NextStep::Retry && has_time;
-        if !may_go_on || !self.state.may_retry(&self.call.pool.service) {
+        let has_time = self.has_begun || dispatch::has_time_for_attempt(&self.state, &self.call);
+        let may_retry_elsewhere = is_resumable && next == NextStep::Retry && has_time;
+        if !may_retry_elsewhere || !self.state.may_retry(&self.call.pool.service) {
             return false;
         }
         let last_event = events.last_id().map(str::to_owned);
         let (state, call) = (self.state.clone(), self.call.clone());
-        let (progress, failed) = (self.progress, endpoint.clone());
-        let from = Resumption { last_event, memory: None };
-        let resumed = resume(state, call, progress, failed, from);
-        self.source = Source::Resuming(Box::pin(resumed));
+        let (progress, failed_endpoint) = (self.progress, endpoint.clone());
+        let resumption = Resumption { last_event, memory: None };
+        let resume_future = resume(state, call, progress, failed_endpoint, resumption);
+        self.source = Source::Resuming(Box::pin(resume_future));
         true
     }
 
     /// Has the answer end as one that is not whole.
-    fn breaks(&mut self, cx: &Context<'_>, why: BodyError) {
+    fn fail_with(&mut self, cx: &Context<'_>, err: BodyError) {
         // Told at once, the server would drop the parts that it has not written yet.
-        self.broken = Some(why);
+        self.pending_error = Some(err);
         cx.waker().wake_by_ref();
     }
 
     fn poll_running(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
-            let Source::Running(running) = &mut self.source else { return Poll::Ready(None) };
-            match ready!(Pin::new(&mut running.body).poll_frame(cx)) {
+            let Source::Endpoint(answer) = &mut self.source else { return Poll::Ready(None) };
+            match ready!(Pin::new(&mut answer.body).poll_frame(cx)) {
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
                     let data = match &mut self.events {
@@ -248,27 +253,27 @@
                     if data.is_empty() {
                         continue;
                     }
-                    self.passes(&data);
+                    self.record_part(&data);
                     return Poll::Ready(Some(Ok(data)));
                 }
                 Some(Err(err)) => {
-                    if self.go_on_after_move() || self.broke_off(&err) {
+                    if self.resume_after_migration() || self.try_resume(&err) {
                         return Poll::Pending;
                     }
-                    self.breaks(cx, err.into());
+                    self.fail_with(cx, err.into());
                     return Poll::Pending;
                 }
                 // The engine has stopped the run; ended in good order or not, its stream is not whole.
-                None if self.relocation.is_copied() => {
-                    self.go_on_after_move();
+                None if self.migration.is_copied() => {
+                    self.resume_after_migration();
                     return Poll::Pending;
                 }
                 None => {
-                    self.ended();
-                    let rest =
+                    self.finish();
+                    let partial =
                         self.events.as_mut().map(EventTracker::take_partial).unwrap_or_default();
-                    let rest = (!rest.is_empty()).then_some(Ok(rest));
-                    return Poll::Ready(rest);
+                    let partial = (!partial.is_empty()).then_some(Ok(partial));
+                    return Poll::Ready(partial);
                 }
             }
         }
@@ -277,12 +282,12 @@
     fn poll_resuming(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), BodyError>> {
         let Source::Resuming(resuming) = &mut self.source else { return Poll::Ready(Ok(())) };
         match ready!(resuming.as_mut().poll(cx)) {
-            Some(running) => {
-                self.summary.resumed_at(&running.attempt.place);
+            Some(answer) => {
+                self.summary.record_resume(&answer.attempt.placement);
                 if is_movable(&self.call) {
-                    self.relocation = Relocation::of(&running.attempt);
+                    self.migration = RunMigration::of(&answer.attempt);
                 }
-                self.source = Source::Running(running);
+                self.source = Source::Endpoint(answer);
                 Poll::Ready(Ok(()))
             }
             None => {
@@ -298,23 +303,25 @@
     state: Arc<State>,
     call: Arc<Call>,
     progress: CallProgress,
-    failed: Name,
-    from: Resumption,
-) -> Option<Running> {
+    failed_endpoint: Name,
+    resumption: Resumption,
+) -> Option<EndpointAnswer> {
     let now = state.clock.now();
-    let attempt = dispatch::place(&state, &call, now, &[failed], progress.attempts()).ok()?;
-    running_from(attempt, progress, from).await
+    let attempt =
+        dispatch::place_attempt(&state, &call, now, &[failed_endpoint], progress.attempts())
+            .ok()?;
+    resume_at(attempt, progress, resumption).await
 }
 
-async fn running_from(
+async fn resume_at(
     attempt: Attempt,
     progress: CallProgress,
-    from: Resumption,
-) -> Option<Running> {
-    match dispatch::make(attempt, &progress, Some(&from)).await {
-        Attempted::Answer(attempt, answer) if answer.response.status().is_success() => {
+    resumption: Resumption,
+) -> Option<EndpointAnswer> {
+    match dispatch::send_attempt(attempt, &progress, Some(&resumption)).await {
+        AttemptResult::Answer(attempt, answer) if answer.response.status().is_success() => {
             let (response, connection) = answer.into_parts();
-            Some(Running { body: response.into_body(), attempt, connection })
+            Some(EndpointAnswer { body: response.into_body(), attempt, connection })
         }
         _ => None,
     }
@@ -329,10 +336,10 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = &mut *self;
-        if let Some(held) = this.held.take() {
-            return Poll::Ready(Some(Ok(Frame::data(held))));
+        if let Some(part) = this.buffered_part.take() {
+            return Poll::Ready(Some(Ok(Frame::data(part))));
         }
-        if let Some(err) = this.broken.take() {
+        if let Some(err) = this.pending_error.take() {
             return Poll::Ready(Some(Err(err)));
         }
         if matches!(this.source, Source::Ended) {
@@ -340,16 +347,16 @@
         }
         if this.due.as_mut().poll(cx).is_ready() {
             this.source = Source::Ended;
-            this.summary.ends("out_of_time");
+            this.summary.set_outcome("out_of_time");
             return Poll::Ready(Some(Err("the time of the call is up".into())));
         }
-        if this.cut.as_mut().poll(cx).is_ready() {
+        if this.cut_by_stop.as_mut().poll(cx).is_ready() {
             this.source = Source::Ended;
-            this.summary.cut_by_stop();
-            this.breaks(cx, "the instance stops".into());
+            this.summary.mark_cut_by_stop();
+            this.fail_with(cx, "the instance stops".into());
             return Poll::Pending;
         }
-        this.poll_move(cx);
+        this.poll_migration(cx);
         loop {
             if matches!(this.source, Source::Resuming(_))
                 && let Err(err) = ready!(this.poll_resuming(cx))
@@ -365,20 +372,20 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        if self.held.is_some() {
+        if self.buffered_part.is_some() {
             return false;
         }
         match &self.source {
-            Source::Running(running) => self.events.is_none() && running.body.is_end_stream(),
+            Source::Endpoint(answer) => self.events.is_none() && answer.body.is_end_stream(),
             Source::Resuming(_) => false,
-            Source::Ended => self.broken.is_none(),
+            Source::Ended => self.pending_error.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            Source::Running(running) if self.events.is_none() && self.held.is_none() => {
-                running.body.size_hint()
+            Source::Endpoint(answer) if self.events.is_none() && self.buffered_part.is_none() => {
+                answer.body.size_hint()
             }
             _ => SizeHint::default(),
         }
@@ -388,11 +395,11 @@
 impl Drop for Relay {
     /// The server stops to ask once it has all bytes that the answer's length names.
     fn drop(&mut self) {
-        if let Source::Running(running) = &self.source
-            && self.held.is_none()
-            && running.body.is_end_stream()
+        if let Source::Endpoint(answer) = &self.source
+            && self.buffered_part.is_none()
+            && answer.body.is_end_stream()
         {
-            self.ended();
+            self.finish();
         }
     }
 }
--- a/daemons/gateway/src/serve.rs
+++ b/daemons/gateway/src/serve.rs
@@ -14,16 +14,16 @@
 
 use crate::dialect::CallHead;
 use crate::dispatch;
-use crate::ending::{ByStop, Phase};
 use crate::failure::Failure;
+use crate::planned_stop::InsufficientTime;
 use crate::state::{PoolState, State};
-use crate::stopping::TooLate;
+use crate::termination::{FinalPhase, StopOutcome};
 
 /// Bytes of a body where settings name no bound.
 const MAX_BODY: usize = 4 << 20;
 
 /// When to come back to an instance that knows no settings yet; it learns them in half a second.
-const UNTIL_SETTINGS: Millis = Millis(1000);
+const RETRY_WITHOUT_SETTINGS: Millis = Millis(1000);
 
 /// Time that a call waits for the first settings, and for the first totals: control instances that start together with this one
 /// need as long until they have elected a leader.
@@ -31,17 +31,17 @@
 
 /// The part of a caller's time that it waits at most for either, so that there is enough left to be
 /// served.
-const START_PART: u64 = 4;
+const START_WAIT_DIVISOR: u64 = 4;
 
 /// When to come back for a service that has no endpoint yet.
-const UNTIL_ENDPOINT: Millis = Millis(1000);
+const RETRY_WITHOUT_ENDPOINT: Millis = Millis(1000);
 
 /// When to come back after a refusal by an instance that stops. A new connection mostly goes to another one.
 ///
 /// Told to wait until this instance is back, callers lost fewer requests but more time: with 57 and then 75
 /// of 83 instances stopping at once, 582 were lost in place of 2,021, and 46,567 answered within their
 /// targets in place of 48,055; to callers a late answer is worth a tenth.
-pub const ELSEWHERE: Millis = Millis(50);
+pub const RETRY_ELSEWHERE_AFTER: Millis = Millis(50);
 
 /// An admitted call.
 #[derive(Debug)]
@@ -69,16 +69,16 @@
     /// Its rank; 0 goes first.
     pub urgency: u8,
     /// When its head had been read.
-    pub arrived: Millis,
+    pub received_at: Millis,
     /// When its answer must be whole.
     pub due: Millis,
     /// How its answer is passed on.
-    pub begin: AnswerMode,
+    pub answer_mode: AnswerMode,
 }
 
 /// Answers a caller.
-pub async fn call(state: Arc<State>, req: Request<Incoming>) -> Response<AnyBody> {
-    let arrived = state.clock.now();
+pub async fn serve_call(state: Arc<State>, req: Request<Incoming>) -> Response<AnyBody> {
+    let received_at = state.clock.now();
     let (parts, body) = req.into_parts();
     let mut head = state.cfg.dialect.read(&parts);
     if head.attempt.is_empty() {
@@ -88,41 +88,41 @@
     let admitted = tokio::select! {
         // What comes after the last answers began is refused before it is sent anywhere.
         biased;
-        () = state.ending.begins(Phase::LastAnswers) => Err(Refused::by_stop(&state, "not read by the end".to_owned())),
-        admitted = admit(&state, head, parts, body, arrived) => admitted,
+        () = state.termination.wait_for(FinalPhase::LastAnswers) => Err(Refusal::by_stop(&state, "not read by the end".to_owned())),
+        admitted = admit(&state, head, parts, body, received_at) => admitted,
     };
     match admitted {
         Ok(call) => dispatch::run(state, Arc::new(call)).await,
-        Err(refused) => refused.answer(&state, &attempt, arrived),
+        Err(refusal) => refusal.answer(&state, &attempt, received_at),
     }
 }
 
 /// A call that was not admitted, with what decided it.
-struct Refused {
+struct Refusal {
     failure: Failure,
     route: Name,
     account: Name,
-    why: &'static str,
+    reason: &'static str,
     /// What decided it, where that is more than the call itself.
     inputs: String,
 }
 
-impl Refused {
-    fn new(code: ErrorCode, why: &'static str) -> Self {
+impl Refusal {
+    fn new(code: ErrorCode, reason: &'static str) -> Self {
         let none = Name::default();
         let inputs = String::new();
-        Self { failure: Failure::new(code), route: none.clone(), account: none, why, inputs }
+        Self { failure: Failure::new(code), route: none.clone(), account: none, reason, inputs }
     }
 
     /// Makes the refusal of a call for which the process doesn't last.
     fn by_stop(state: &State, inputs: String) -> Self {
-        state.ending.count(ByStop::Refused);
-        let failure = Failure::with_retry_after(ErrorCode::NoCapacity, ELSEWHERE);
+        state.termination.record(StopOutcome::Refused);
+        let failure = Failure::with_retry_after(ErrorCode::NoCapacity, RETRY_ELSEWHERE_AFTER);
         Self { failure, inputs, ..Self::new(ErrorCode::NoCapacity, "stopping") }
     }
 
-    fn answer(&self, state: &State, attempt: &Name, arrived: Millis) -> Response<AnyBody> {
-        state.metrics.calls.with_label_values(&[self.why]).inc();
+    fn answer(&self, state: &State, attempt: &Name, received_at: Millis) -> Response<AnyBody> {
+        state.metrics.calls.with_label_values(&[self.reason]).inc();
         event!(
             Warn,
             "call_refused",
@@ -130,13 +130,13 @@
             route = self.route,
             account = self.account,
             status = self.failure.status().as_u16(),
-            why = self.why,
+            why = self.reason,
             inputs = self.inputs,
             retry_after_ms = self.failure.retry_after.unwrap_or_default(),
             revision = state.metrics.revision.get(),
-            ms = state.clock.now() - arrived
+            ms = state.clock.now() - received_at
         );
-        self.failure.answer(state, attempt)
+        self.failure.to_response(state, attempt)
     }
 }
 
@@ -145,34 +145,37 @@
     head: CallHead,
     parts: Parts,
     body: Incoming,
-    arrived: Millis,
-) -> Result<Call, Refused> {
+    received_at: Millis,
+) -> Result<Call, Refusal> {
     let Some(table) = settings(state, &head).await else {
-        let failure = Failure::with_retry_after(ErrorCode::NoCapacity, UNTIL_SETTINGS);
-        return Err(Refused { failure, ..Refused::new(ErrorCode::NoCapacity, "no_settings") });
+        let failure = Failure::with_retry_after(ErrorCode::NoCapacity, RETRY_WITHOUT_SETTINGS);
+        return Err(Refusal { failure, ..Refusal::new(ErrorCode::NoCapacity, "no_settings") });
     };
-    let Some(route) = find(&table, &head, &parts) else {
-        return Err(Refused::new(ErrorCode::NotFound, "no_route"));
+    let Some(route) = find_route(&table, &head, &parts) else {
+        return Err(Refusal::new(ErrorCode::NotFound, "no_route"));
     };
     let account = account_of(&table, &head, &route)?;
-    let body = read(&table, body).await?;
+    let body = read_body(&table, body).await?;
     let service = route.service(rand::random::<f64>()).clone();
     let Some(pool) = state.pool(&service) else {
-        let failure = Failure::with_retry_after(ErrorCode::NoCapacity, UNTIL_ENDPOINT);
-        let refused = Refused::new(ErrorCode::NoCapacity, "no_pool");
-        return Err(Refused { failure, route: route.name.clone(), ..refused });
+        let failure = Failure::with_retry_after(ErrorCode::NoCapacity, RETRY_WITHOUT_ENDPOINT);
+        let refusal = Refusal::new(ErrorCode::NoCapacity, "no_pool");
+        return Err(Refusal { failure, route: route.name.clone(), ..refusal });
     };
     let timeout = route.route.timeout_ms;
-    let left = head.deadline.map_or(timeout, |deadline| deadline.min(timeout));
-    let due = arrived + left;
+    let time_left = head.deadline.map_or(timeout, |deadline| deadline.min(timeout));
+    let due = received_at + time_left;
     // Begun too late, the call would be cut off in the middle, and could not be sent again.
-    let begin = state.stopping.begin(&head.attempt, &route.name, due).map_err(|late| {
-        let TooLate { left, usual } = late;
-        let (due, usual) = (due - arrived, usual.unwrap_or_default());
-        let inputs = format!("{left} ms until the end, {due} ms for the call, usually {usual}");
-        Refused { route: route.name.clone(), ..Refused::by_stop(state, inputs) }
-    })?;
-    let amount = amount(&head, account.as_deref());
+    let answer_mode =
+        state.planned_stop.admit(&head.attempt, &route.name, due).map_err(|refusal| {
+            let InsufficientTime { time_left, usual_duration } = refusal;
+            let (due, usual_duration) = (due - received_at, usual_duration.unwrap_or_default());
+            let inputs = format!(
+                "{time_left} ms until the end, {due} ms for the call, usually {usual_duration}"
+            );
+            Refusal { route: route.name.clone(), ..Refusal::by_stop(state, inputs) }
+        })?;
+    let amount = limit_units(&head, account.as_deref());
     if let Some(account) = &account {
         // An instance that has just started doesn't know what it admitted before, nor what others do.
         state.first_totals(&account.name, amount, start_wait(&head), START_WAIT).await;
@@ -180,12 +183,12 @@
     if let Some(account) = &account
         && let Err(over) = state.admit(&account.name, amount)
     {
-        return Err(Refused {
+        return Err(Refusal {
             failure: Failure::with_retry_after(ErrorCode::LimitReached, over.retry_after),
             inputs: format!("{amount:.0} of {over}"),
             route: route.name.clone(),
             account: account.name.clone(),
-            why: "over_limit",
+            reason: "over_limit",
         });
     }
     let urgency = account.as_ref().and_then(|account| account.account.urgency);
@@ -201,9 +204,9 @@
         prompt: Arc::new(head.prompt.clone().unwrap_or_default()),
         route,
         head,
-        arrived,
+        received_at,
         due,
-        begin,
+        answer_mode,
     })
 }
 
@@ -218,15 +221,15 @@
 
 /// Returns how long a call waits for what an instance that has just started is not told yet.
 fn start_wait(head: &CallHead) -> Millis {
-    let left = head.deadline.unwrap_or(Millis::MAX);
-    Millis(left.0 / START_PART).min(START_WAIT)
+    let time_left = head.deadline.unwrap_or(Millis::MAX);
+    Millis(time_left.0 / START_WAIT_DIVISOR).min(START_WAIT)
 }
 
 /// Finds the route by host, with or without its port, and path.
-fn find(table: &RouteTable, head: &CallHead, parts: &Parts) -> Option<Arc<RouteEntry>> {
+fn find_route(table: &RouteTable, head: &CallHead, parts: &Parts) -> Option<Arc<RouteEntry>> {
     let path = parts.uri.path();
-    let bare = head.host.split_once(':').map(|(host, _)| host);
-    let route = table.find(&head.host, path).or_else(|| table.find(bare?, path));
+    let bare_host = head.host.split_once(':').map(|(host, _)| host);
+    let route = table.find(&head.host, path).or_else(|| table.find(bare_host?, path));
     route.cloned()
 }
 
@@ -234,31 +237,31 @@
     table: &RouteTable,
     head: &CallHead,
     route: &RouteEntry,
-) -> Result<Option<Arc<AccountEntry>>, Refused> {
-    let known = head.key.as_ref().and_then(|key| table.account_of(key)).cloned();
-    if known.is_none() && table.has_accounts() && !route.route.anonymous {
-        let refused = Refused::new(ErrorCode::Unauthorized, "unknown_key");
-        return Err(Refused { route: route.name.clone(), ..refused });
+) -> Result<Option<Arc<AccountEntry>>, Refusal> {
+    let account = head.key.as_ref().and_then(|key| table.account_of(key)).cloned();
+    if account.is_none() && table.has_accounts() && !route.route.anonymous {
+        let refusal = Refusal::new(ErrorCode::Unauthorized, "unknown_key");
+        return Err(Refusal { route: route.name.clone(), ..refusal });
     }
-    Ok(known)
+    Ok(account)
 }
 
-async fn read(table: &RouteTable, body: Incoming) -> Result<Bytes, Refused> {
+async fn read_body(table: &RouteTable, body: Incoming) -> Result<Bytes, Refusal> {
     let limit = table.bounds.body_bytes.map_or(MAX_BODY, |bytes| bytes as usize);
     if body.size_hint().lower() > limit as u64 {
-        return Err(Refused::new(ErrorCode::TooLarge, "body_too_large"));
+        return Err(Refusal::new(ErrorCode::TooLarge, "body_too_large"));
     }
     match Limited::new(body, limit).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(body) => Ok(body.to_bytes()),
         Err(err) if err.is::<LengthLimitError>() => {
-            Err(Refused::new(ErrorCode::TooLarge, "body_too_large"))
+            Err(Refusal::new(ErrorCode::TooLarge, "body_too_large"))
         }
-        Err(_) => Err(Refused::new(ErrorCode::BadRequest, "body_not_whole")),
+        Err(_) => Err(Refusal::new(ErrorCode::BadRequest, "body_not_whole")),
     }
 }
 
 /// Returns what a call takes of its account's limit.
-fn amount(head: &CallHead, account: Option<&AccountEntry>) -> f64 {
+fn limit_units(head: &CallHead, account: Option<&AccountEntry>) -> f64 {
     let Some(account) = account else { return 0.0 };
     let limit = account.account.limit.unwrap_or_default();
     if limit.tokens_per_s.is_none() {
--- a/daemons/gateway/src/feed.rs
+++ b/daemons/gateway/src/settings_fetcher.rs
@@ -18,73 +18,73 @@
 use crate::state::State;
 
 /// Pieces that are asked for in one call; as many of them come as fit in its answer.
-const ASKED: usize = 64;
+const PIECES_PER_REQUEST: usize = 64;
 
 /// How long one answer may take. It holds 32 kB.
-const PATIENCE: Millis = Millis(1000);
+const REPLY_TIMEOUT: Millis = Millis(1000);
 
 /// Pause after all control instances failed.
-const PAUSE: Millis = Millis(100);
+const RETRY_PAUSE: Millis = Millis(100);
 
 /// Time without the wanted settings after which it is logged what they wait for, and again.
-const LATE: Millis = Millis(1000);
+const LATE_LOG_INTERVAL: Millis = Millis(1000);
 
 /// A revision, and who told of it.
 #[derive(Debug, Clone)]
-struct Offer {
+struct RevisionOffer {
     manifest: Manifest,
     from: SocketAddr,
 }
 
 /// Takes offers of revisions.
 #[derive(Debug)]
-pub struct Offers {
-    newest: watch::Sender<Option<Offer>>,
+pub struct RevisionOffers {
+    newest: watch::Sender<Option<RevisionOffer>>,
 }
 
 /// Fetches the newest revision that was offered.
 #[derive(Debug)]
-pub struct Feed {
+pub struct SettingsFetcher {
     state: Arc<State>,
     link: Arc<Link>,
-    offers: watch::Receiver<Option<Offer>>,
+    offers: watch::Receiver<Option<RevisionOffer>>,
     assembly: SettingsAssembly,
     clients: Map<SocketAddr, PeerClient>,
-    fetch: Fetch,
+    stats: FetchStats,
 }
 
 /// What is told of a fetch in its log lines.
 #[derive(Debug, Clone, Default)]
-struct Fetch {
-    began: Millis,
-    told_at: Millis,
+struct FetchStats {
+    started_at: Millis,
+    offered_at: Millis,
     pieces: usize,
     bytes: usize,
     failures: usize,
-    why: String,
+    last_error: String,
 }
 
-impl Default for Offers {
+impl Default for RevisionOffers {
     fn default() -> Self {
         Self { newest: watch::Sender::new(None) }
     }
 }
 
-impl Offers {
+impl RevisionOffers {
     /// Takes in of what a revision is made, from the control instance that tells it.
     pub fn offer(&self, manifest: Manifest, from: SocketAddr) {
         self.newest.send_if_modified(|newest| {
-            let known = newest.as_ref().map(|known| known.manifest.revision);
-            let is_news = known.is_none_or(|known| manifest.revision > known);
-            if is_news {
-                *newest = Some(Offer { manifest, from });
+            let current = newest.as_ref().map(|current| current.manifest.revision);
+            let is_newer = current.is_none_or(|current| manifest.revision > current);
+            if is_newer {
+                *newest = Some(RevisionOffer { manifest, from });
             }
-            is_news
+            is_newer
         });
     }
 }
 
-impl Feed {
+impl SettingsFetcher {
     /// Makes a feed that has nothing.
     pub fn new(state: Arc<State>, link: Arc<Link>) -> Self {
         let mut offers = link.offers().newest.subscribe();
@@ -92,83 +92,87 @@
         // all calls until the next change.
         offers.mark_changed();
         let (assembly, clients) = (SettingsAssembly::default(), Map::default());
-        Self { state, link, offers, assembly, clients, fetch: Fetch::default() }
+        Self { state, link, offers, assembly, clients, stats: FetchStats::default() }
     }
 
     /// Fetches what is offered and puts it in force, until the offers end.
     pub async fn run(mut self) {
         while self.offers.changed().await.is_ok() {
             let from = self.take_offer();
-            let Some(whole) = self.fetch(from).await else { continue };
-            self.put_in_force(whole).await;
+            let Some(settings) = self.fetch(from).await else { continue };
+            self.apply_settings(settings).await;
         }
     }
 
     /// Makes the newest offer the wanted revision, and returns who told of it.
     fn take_offer(&mut self) -> Option<SocketAddr> {
-        let Offer { manifest, from } = self.offers.borrow_and_update().clone()?;
+        let RevisionOffer { manifest, from } = self.offers.borrow_and_update().clone()?;
         let now = self.state.clock.now();
         if self.assembly.wanted().is_none() {
-            self.fetch = Fetch { began: now, ..Fetch::default() };
+            self.stats = FetchStats { started_at: now, ..FetchStats::default() };
         }
-        self.fetch.told_at = now;
+        self.stats.offered_at = now;
         self.assembly.offer(manifest);
         Some(from)
     }
 
     /// Fetches what the wanted revision lacks; a newer one that is offered meanwhile takes its place.
     async fn fetch(&mut self, mut from: Option<SocketAddr>) -> Option<CompleteSettings> {
-        let mut late_at = self.fetch.began + LATE;
-        let mut tried = Vec::new();
+        let mut late_at = self.stats.started_at + LATE_LOG_INTERVAL;
+        let mut failed_sources = Vec::new();
         loop {
             if self.offers.has_changed().unwrap_or(false) {
                 from = self.take_offer();
-                tried.clear();
+                failed_sources.clear();
             }
             self.assembly.wanted()?;
             let missing = self.assembly.missing();
             if missing.is_empty() {
                 return self.assembly.take_complete();
             }
-            let Some(source) = self.source(from, &tried) else {
-                tried.clear();
-                tokio::time::sleep(PAUSE.into()).await;
+            let Some(source) = self.next_source(from, &failed_sources) else {
+                failed_sources.clear();
+                tokio::time::sleep(RETRY_PAUSE.into()).await;
                 continue;
             };
-            if self.ask(source, missing).await {
-                tried.clear();
+            if self.request_pieces(source, missing).await {
+                failed_sources.clear();
                 from = Some(source);
             } else {
-                self.fetch.failures += 1;
-                tried.push(source);
+                self.stats.failures += 1;
+                failed_sources.push(source);
             }
             let now = self.state.clock.now();
             if now >= late_at {
-                late_at = now + LATE;
-                self.tell_late(now);
+                late_at = now + LATE_LOG_INTERVAL;
+                self.log_late(now);
             }
         }
     }
 
     /// Picks who is asked next: who told of the revision or answered last, then who is followed, then
     /// all others.
-    fn source(&self, from: Option<SocketAddr>, tried: &[SocketAddr]) -> Option<SocketAddr> {
-        let is_untried = |source: &SocketAddr| !tried.contains(source);
-        from.filter(is_untried).or_else(|| self.link.sources().into_iter().find(is_untried))
+    fn next_source(
+        &self,
+        from: Option<SocketAddr>,
+        failed_sources: &[SocketAddr],
+    ) -> Option<SocketAddr> {
+        let has_not_failed = |source: &SocketAddr| !failed_sources.contains(source);
+        from.filter(has_not_failed).or_else(|| self.link.sources().into_iter().find(has_not_failed))
     }
 
     /// Asks for pieces, and returns whether any came.
-    async fn ask(&mut self, source: SocketAddr, mut missing: Vec<PieceId>) -> bool {
-        missing.truncate(ASKED);
+    async fn request_pieces(&mut self, source: SocketAddr, mut missing: Vec<PieceId>) -> bool {
+        missing.truncate(PIECES_PER_REQUEST);
         let key = &self.state.cfg.cluster_key;
-        let new = || PeerClient::new(source, key, PATIENCE);
+        let new = || PeerClient::new(source, key, REPLY_TIMEOUT);
         let client = self.clients.entry(source).or_insert_with(new);
         let reply = match client.call(&PiecesAsk { pieces: missing }).await {
             Ok(reply) => reply,
             Err(err) => {
                 // Its connection may be dead without a word.
                 self.clients.remove(&source);
-                self.fetch.why = format!("{source}: {err}");
+                self.stats.last_error = format!("{source}: {err}");
                 return false;
             }
         };
@@ -177,24 +181,24 @@
             match self.assembly.add_piece(piece) {
                 Ok(()) => {
                     is_progress = true;
-                    self.fetch.pieces += 1;
-                    self.fetch.bytes += piece.text.len();
+                    self.stats.pieces += 1;
+                    self.stats.bytes += piece.text.len();
                 }
-                Err(fault) => self.refuse(source, &fault),
+                Err(err) => self.reject_piece(source, &err),
             }
             // Calls are answered in between.
             tokio::task::yield_now().await;
         }
         if reply.pieces.is_empty() {
-            self.fetch.why = format!("{source}: it has none of the pieces");
+            self.stats.last_error = format!("{source}: it has none of the pieces");
         }
         is_progress
     }
 
-    fn refuse(&mut self, source: SocketAddr, fault: &PieceError) {
+    fn reject_piece(&mut self, source: SocketAddr, err: &PieceError) {
         let revision = self.assembly.wanted().unwrap_or_default().0;
-        self.fetch.why = format!("{source}: {fault}");
-        match fault {
+        self.stats.last_error = format!("{source}: {err}");
+        match err {
             PieceError::Corrupt => {
                 event!(Warn, "settings_piece_garbled", revision = revision, from = source);
             }
@@ -205,30 +209,30 @@
         }
     }
 
-    fn tell_late(&self, now: Millis) {
+    fn log_late(&self, now: Millis) {
         event!(
             Warn,
             "settings_late",
             revision = self.assembly.wanted().unwrap_or_default().0,
             in_force = self.state.table().map_or(0, |table| table.revision),
             missing = self.assembly.missing().len(),
-            pieces = self.fetch.pieces,
-            bytes = self.fetch.bytes,
-            failures = self.fetch.failures,
-            why = self.fetch.why,
-            ms = now - self.fetch.began
+            pieces = self.stats.pieces,
+            bytes = self.stats.bytes,
+            failures = self.stats.failures,
+            why = self.stats.last_error,
+            ms = now - self.stats.started_at
         );
     }
 
-    async fn put_in_force(&mut self, whole: CompleteSettings) {
-        let CompleteSettings { manifest, parts } = whole;
+    async fn apply_settings(&mut self, settings: CompleteSettings) {
+        let CompleteSettings { manifest, parts } = settings;
         let (revision, pieces) = (manifest.revision.0, parts.len());
-        let before = self.state.table().map_or(0, |table| table.revision);
-        let began = self.state.clock.now();
+        let previous = self.state.table().map_or(0, |table| table.revision);
+        let started_at = self.state.clock.now();
         // Calls are answered while a large table is made.
         let join = move || RouteTable::join(revision, &parts);
         let Ok(table) = tokio::task::spawn_blocking(join).await else { return };
-        self.state.put_in_force(Arc::new(table));
+        self.state.apply_settings(Arc::new(table));
         let now = self.state.clock.now();
         // Clocks of instances run apart by a few milliseconds, so it may seem negative.
         let age = self.state.true_time() - manifest.cut_at;
@@ -237,14 +241,14 @@
             Info,
             "settings_in_force",
             revision = revision,
-            before = before,
+            before = previous,
             pieces = pieces,
-            fetched = self.fetch.pieces,
-            bytes = self.fetch.bytes,
-            failures = self.fetch.failures,
-            told_ms = now - self.fetch.told_at,
-            fetch_ms = began - self.fetch.began,
-            build_ms = now - began,
+            fetched = self.stats.pieces,
+            bytes = self.stats.bytes,
+            failures = self.stats.failures,
+            told_ms = now - self.stats.offered_at,
+            fetch_ms = started_at - self.stats.started_at,
+            build_ms = now - started_at,
             age_ms = age
         );
     }
--- a/daemons/gateway/src/own.rs
+++ b/daemons/gateway/src/sill_dialect.rs
@@ -32,7 +32,7 @@
         headers.remove(header::AUTHORIZATION);
         headers.remove(names::ACCOUNT);
         set(headers, name(names::ENDPOINT), forward.endpoint);
-        set(headers, name(names::DEADLINE_MS), &forward.left.to_string());
+        set(headers, name(names::DEADLINE_MS), &forward.time_left.to_string());
         if let Some(account) = forward.account {
             set(headers, name(names::ACCOUNT), account);
         }
--- a/daemons/gateway/src/state.rs
+++ b/daemons/gateway/src/state.rs
@@ -21,32 +21,32 @@
 use tokio::sync::watch;
 
 use crate::cfg::GatewayCfg;
-use crate::ending::Ending;
 use crate::metrics::Metrics;
-use crate::stopping::Stopping;
+use crate::planned_stop::PlannedStop;
+use crate::termination::Termination;
 
 /// Time that a new connection to an endpoint may take. Between failure domains it takes 3 ms; a
 /// first packet that was lost is sent again after a second, which is too late for most calls.
-const CONNECT: Millis = Millis(250);
+const CONNECT_TIMEOUT: Millis = Millis(250);
 
 /// Time after which a connection is given up that no longer acknowledges.
-const SILENT: Millis = Millis(3000);
+const UNACKNOWLEDGED_TIMEOUT: Millis = Millis(3000);
 
 /// Time for which an unused connection is kept to an endpoint that names none.
-const IDLE: Millis = Millis(10_000);
+const DEFAULT_IDLE_TIMEOUT: Millis = Millis(10_000);
 
 /// Part of the time that an endpoint names which is not used.
 const IDLE_MARGIN: Millis = Millis(1000);
 
 /// Time for which the departure of an endpoint is remembered.
-const DEPARTED: Millis = Millis(60_000);
+const DEPARTURE_TTL: Millis = Millis(60_000);
 
 /// Part by which the learned speed of engines moves before it is logged again.
-const SPEED_TOLD: f64 = 0.1;
+const SPEED_LOG_CHANGE: f64 = 0.1;
 
 /// How long the load that an endpoint told is reported. Reports go out four times a second; what one of them
 /// lost on its way is in the next.
-const LOADS_TOLD: Millis = Millis(600);
+const LOAD_REPORT_AGE: Millis = Millis(600);
 
 /// Span over which rates for the leader are averaged.
 const RATE_SPAN: Millis = Millis(2000);
@@ -67,15 +67,15 @@
     /// Open connections of callers.
     pub callers: Arc<OpenConnections>,
     /// How calls end that a stop doesn't wait for.
-    pub ending: Ending,
+    pub termination: Termination,
     /// Its planned stop.
-    pub stopping: Stopping,
+    pub planned_stop: PlannedStop,
     table: watch::Sender<Option<Arc<RouteTable>>>,
     pools: RwLock<Map<Name, Arc<PoolState>>>,
     shares: Mutex<LimitShares>,
     has_totals: watch::Sender<bool>,
     /// When the first settings came.
-    settled_at: OnceLock<Millis>,
+    first_settings_at: OnceLock<Millis>,
     budgets: Mutex<RetryBudgets>,
     usage: Mutex<UsageCounter>,
     /// True time of day less the steady clock, in milliseconds.
@@ -95,10 +95,10 @@
     pub can_move: bool,
     rates: Mutex<Rates>,
     /// Prompt tokens that an engine reads in a second, as they were last logged.
-    told_speed: Mutex<f64>,
+    logged_speed: Mutex<f64>,
     /// When endpoints that leave are gone.
     departures: Mutex<Map<Name, Millis>>,
-    departed: watch::Sender<u64>,
+    departure_count: watch::Sender<u64>,
 }
 
 #[derive(Debug, Default)]
@@ -115,23 +115,27 @@
     /// Fails when two metrics have the same name.
     pub fn new(cfg: GatewayCfg) -> eyre::Result<Self> {
         let clock = Clock::start();
-        let connections =
-            ConnectionsCfg { connect: CONNECT, silent: SILENT, idle: IDLE, margin: IDLE_MARGIN };
+        let connections = ConnectionsCfg {
+            connect: CONNECT_TIMEOUT,
+            silent: UNACKNOWLEDGED_TIMEOUT,
+            idle: DEFAULT_IDLE_TIMEOUT,
+            margin: IDLE_MARGIN,
+        };
         let wall = Millis::wall();
         Ok(Self {
             metrics: Metrics::new()?,
             connections: Connections::new(connections, clock),
             callers: Arc::default(),
-            ending: Ending::default(),
+            termination: Termination::default(),
             table: watch::Sender::new(None),
             pools: RwLock::default(),
             shares: Mutex::new(LimitShares::new(cfg.limits)),
             has_totals: watch::Sender::new(false),
-            settled_at: OnceLock::new(),
+            first_settings_at: OnceLock::new(),
             budgets: Mutex::new(RetryBudgets::new(cfg.retries)),
             usage: Mutex::default(),
             time_offset: AtomicU64::new((wall - clock.now()).0),
-            stopping: Stopping::new(clock),
+            planned_stop: PlannedStop::new(clock),
             incarnation: Incarnation(wall.0),
             clock,
             cfg,
@@ -144,11 +148,11 @@
     }
 
     /// Returns the settings in force, once any are known.
-    pub async fn first_table(&self, patience: Millis) -> Option<Arc<RouteTable>> {
+    pub async fn first_table(&self, timeout: Millis) -> Option<Arc<RouteTable>> {
         let mut tables = self.table.subscribe();
-        let known = tables.wait_for(|table| table.is_some());
-        let known = tokio::time::timeout(patience.into(), known).await;
-        known.ok()?.ok()?.clone()
+        let first = tables.wait_for(|table| table.is_some());
+        let first = tokio::time::timeout(timeout.into(), first).await;
+        first.ok()?.ok()?.clone()
     }
 
     /// Waits until it is known what all entry instances admit, if a call needs that, and no longer than a time
@@ -157,17 +161,17 @@
         &self,
         account: &Name,
         amount: f64,
-        patience: Millis,
+        timeout: Millis,
         after_settings: Millis,
     ) {
         if *self.has_totals.borrow() || !self.shares.lock().needs_totals(account, amount) {
             return;
         }
-        let settled_at = self.settled_at.get().copied().unwrap_or_default();
-        let left = (settled_at + after_settings) - self.clock.now();
-        let mut heard = self.has_totals.subscribe();
-        let heard = heard.wait_for(|heard| *heard);
-        let _ = tokio::time::timeout(left.min(patience).into(), heard).await;
+        let first_settings_at = self.first_settings_at.get().copied().unwrap_or_default();
+        let time_left = (first_settings_at + after_settings) - self.clock.now();
+        let mut totals = self.has_totals.subscribe();
+        let totals = totals.wait_for(|totals| *totals);
+        let _ = tokio::time::timeout(time_left.min(timeout).into(), totals).await;
     }
 
     /// Returns the endpoints of a service.
@@ -179,7 +183,7 @@
     pub fn is_ready(&self) -> bool {
         let has_endpoints =
             || self.pools.read().values().any(|pool| pool.pool.lock().ready_count() > 0);
-        !self.stopping.has_begun() && self.table.borrow().is_some() && has_endpoints()
+        !self.planned_stop.has_begun() && self.table.borrow().is_some() && has_endpoints()
     }
 
     /// Returns the open connections of callers.
@@ -193,26 +197,26 @@
     }
 
     /// Takes in what the control instance at an address tells.
-    pub fn learn(&self, from: SocketAddr, reply: &LinkReply) {
+    pub fn apply_reply(&self, from: SocketAddr, reply: &LinkReply) {
         let now = self.clock.now();
         self.time_offset.store((reply.true_time - now).0, Ordering::Relaxed);
         for fact in &reply.endpoints {
             // Without a leader it may be cut off, and hears less than others.
             if fact.state != EndpointState::Silent || reply.is_led {
-                self.take_endpoint(now, from, fact);
+                self.apply_fact(now, from, fact);
             }
         }
         let pools: Vec<Arc<PoolState>> = self.pools.read().values().cloned().collect();
         for pool in pools {
             let mut pool = pool.pool.lock();
-            reply.loads.iter().for_each(|word| pool.record_remote_load(now, word));
+            reply.loads.iter().for_each(|load| pool.record_remote_load(now, load));
         }
         if let Some(totals) = &reply.totals {
-            self.take_totals(now, from, totals);
+            self.apply_totals(now, from, totals);
         }
     }
 
-    fn take_totals(&self, now: Millis, from: SocketAddr, totals: &Totals) {
+    fn apply_totals(&self, now: Millis, from: SocketAddr, totals: &Totals) {
         let (entries, age) = {
             let mut shares = self.shares.lock();
             let before = shares.entries_and_totals_age(now);
@@ -236,16 +240,16 @@
     }
 
     /// Logs and counts how limits were applied since the last time.
-    fn tell_limits(&self, now: Millis) {
-        let (beliefs, let_in, (entries, age)) = {
+    fn log_limits(&self, now: Millis) {
+        let (estimates, admitted, (entries, age)) = {
             let mut shares = self.shares.lock();
             (shares.take_estimates(now), shares.take_admitted(), shares.entries_and_totals_age(now))
         };
-        let AdmittedByReason { far_below, share, stale } = let_in;
+        let AdmittedByReason { far_below, share, stale } = admitted;
         for (by, amount) in [("far_below", far_below), ("share", share), ("stale", stale)] {
-            self.metrics.admitted.with_label_values(&[by]).inc_by(amount);
+            self.metrics.admitted_units.with_label_values(&[by]).inc_by(amount);
         }
-        for (account, belief) in beliefs {
+        for (account, estimate) in estimates {
             let LimitEstimate {
                 admitted_everywhere,
                 window_limit,
@@ -253,7 +257,7 @@
                 admitted_by_reason,
                 share,
                 balance,
-            } = belief;
+            } = estimate;
             event!(
                 Info,
                 "limit_near",
@@ -273,16 +277,16 @@
     }
 
     /// Puts newer settings in force.
-    pub fn put_in_force(&self, table: Arc<RouteTable>) {
-        let held = self.table().map_or(0, |table| table.revision);
+    pub fn apply_settings(&self, table: Arc<RouteTable>) {
+        let current = self.table().map_or(0, |table| table.revision);
         keep!(
             Promise::AcceptedChangeStays,
-            table.revision > held,
-            "revision {} over {held}",
+            table.revision > current,
+            "revision {} over {current}",
             table.revision
         );
         let now = self.clock.now();
-        let _ = self.settled_at.set(now);
+        let _ = self.first_settings_at.set(now);
         self.shares.lock().set_limits(now, &table);
         for (name, pool) in &table.pools {
             let engine = pool.engine.as_ref();
@@ -295,10 +299,10 @@
     fn open_pool(&self, service: &Name, engine: Option<&Engine>) -> Arc<PoolState> {
         let is_engine = engine.is_some();
         let mut pools = self.pools.write();
-        let known = pools.get(service);
+        let existing = pools.get(service);
         // What endpoints say comes before settings do, and doesn't tell whether they are engines.
-        if let Some(known) = known.filter(|known| known.is_engine || !is_engine) {
-            return known.clone();
+        if let Some(existing) = existing.filter(|existing| existing.is_engine || !is_engine) {
+            return existing.clone();
         }
         let cfg = PoolCfg {
             service: service.clone(),
@@ -308,9 +312,9 @@
             seed: self.incarnation.0,
         };
         let mut pool = Pool::new(cfg);
-        if let Some(known) = known {
+        if let Some(existing) = existing {
             let now = self.clock.now();
-            for fact in known.pool.lock().facts() {
+            for fact in existing.pool.lock().facts() {
                 pool.update_endpoint(now, fact);
             }
         }
@@ -320,22 +324,22 @@
             is_engine,
             can_move: engine.is_some_and(|engine| engine.moves),
             rates: Mutex::default(),
-            told_speed: Mutex::default(),
+            logged_speed: Mutex::default(),
             departures: Mutex::default(),
-            departed: watch::Sender::new(0),
+            departure_count: watch::Sender::new(0),
         });
         pools.insert(service.clone(), state.clone());
         state
     }
 
-    fn take_endpoint(&self, now: Millis, from: SocketAddr, fact: &EndpointFact) {
+    fn apply_fact(&self, now: Millis, from: SocketAddr, fact: &EndpointFact) {
         let pool = self.pool(&fact.service);
         let pool = pool.unwrap_or_else(|| self.open_pool(&fact.service, None));
-        let (was_ready, heard) = {
+        let (was_ready, update) = {
             let mut pool = pool.pool.lock();
             (pool.is_ready(&fact.endpoint), pool.update_endpoint(now, fact))
         };
-        match heard {
+        match update {
             FactUpdate::Stale => return,
             FactUpdate::Newer => {}
             FactUpdate::Restart(old_address) => {
@@ -347,8 +351,8 @@
             self.connections.forget(fact.address);
         }
         if matches!(fact.state, EndpointState::Leaving | EndpointState::Gone) {
-            let left = fact.leaves_in.unwrap_or(self.cfg.endpoint_notice);
-            pool.departs(now, &fact.endpoint, now - fact.age + left);
+            let time_left = fact.leaves_in.unwrap_or(self.cfg.endpoint_notice);
+            pool.record_departure(now, &fact.endpoint, now - fact.age + time_left);
             if was_ready {
                 self.metrics.departure_age.observe(fact.age.0 as f64 / 1000.0);
             }
@@ -378,7 +382,7 @@
     }
 
     /// Gives back what a call took that did not run.
-    pub fn give_back(&self, account: &Name, amount: f64) {
+    pub fn refund(&self, account: &Name, amount: f64) {
         self.shares.lock().refund(self.clock.now(), account, amount);
     }
 
@@ -389,7 +393,7 @@
     }
 
     /// Counts a request for a service, which earns a part of a retry.
-    pub fn requested(&self, service: &Name) {
+    pub fn count_request(&self, service: &Name) {
         self.budgets.lock().count_request(self.clock.now(), service);
     }
 
@@ -401,13 +405,13 @@
     /// Reports usage, demand and work for the control instances.
     pub fn report(&self, sequence: u64) -> EntryReport {
         let now = self.clock.now();
-        self.tell_limits(now);
+        self.log_limits(now);
         let window = window_of(self.true_time(), self.cfg.usage_window);
         let pools = self.pools.read();
         let services = pools.values().map(|pool| pool.report(now)).collect();
         let mut loads = Vec::new();
         for pool in pools.values() {
-            loads.extend(pool.pool.lock().recent_loads(now, LOADS_TOLD));
+            loads.extend(pool.pool.lock().recent_loads(now, LOAD_REPORT_AGE));
         }
         drop(pools);
         let (accounts, entries) = {
@@ -433,45 +437,45 @@
 
 impl PoolState {
     /// Takes in when an endpoint that leaves is gone.
-    fn departs(&self, now: Millis, endpoint: &Name, at: Millis) {
+    fn record_departure(&self, now: Millis, endpoint: &Name, at: Millis) {
         let mut departures = self.departures.lock();
-        departures.retain(|_, at| now - *at < DEPARTED);
+        departures.retain(|_, at| now - *at < DEPARTURE_TTL);
         departures.entry(endpoint.clone()).or_insert(at);
         drop(departures);
-        self.departed.send_modify(|count| *count += 1);
+        self.departure_count.send_modify(|count| *count += 1);
     }
 
     /// Waits until an endpoint has said that it leaves, and returns when it is gone.
-    pub async fn departure(&self, endpoint: &Name) -> Millis {
-        let mut departed = self.departed.subscribe();
+    pub async fn wait_for_departure(&self, endpoint: &Name) -> Millis {
+        let mut departure_count = self.departure_count.subscribe();
         loop {
             if let Some(at) = self.departures.lock().get(endpoint) {
                 return *at;
             }
-            if departed.changed().await.is_err() {
+            if departure_count.changed().await.is_err() {
                 return std::future::pending().await;
             }
         }
     }
 
     /// Counts prompt tokens that an endpoint has to compute.
-    pub fn count_fresh(&self, now: Millis, tokens: u64) {
+    pub fn count_fresh_tokens(&self, now: Millis, tokens: u64) {
         self.rates.lock().fresh_tokens.add(now, RATE_SPAN, tokens as f64);
     }
 
     /// Counts a request that was refused for want of room.
-    pub fn count_refused(&self, now: Millis) {
+    pub fn count_refusal(&self, now: Millis) {
         self.rates.lock().refused.add(now, RATE_SPAN, 1.0);
     }
 
-    /// Logs what was learned of the engines, once it has moved by [`SPEED_TOLD`].
-    fn tell_speed(&self, speed: EngineSpeed) {
-        let mut told = self.told_speed.lock();
-        let (before, now) = (*told, speed.prefill_tokens_per_s);
-        if (now - before).abs() <= before * SPEED_TOLD {
+    /// Logs what was learned of the engines, once it has moved by [`SPEED_LOG_CHANGE`].
+    fn log_speed(&self, speed: EngineSpeed) {
+        let mut logged = self.logged_speed.lock();
+        let (before, now) = (*logged, speed.prefill_tokens_per_s);
+        if (now - before).abs() <= before * SPEED_LOG_CHANGE {
             return;
         }
-        *told = now;
+        *logged = now;
         event!(
             Info,
             "engine_speed",
@@ -488,7 +492,7 @@
         let (running, speed) = (pool.running(), pool.learned_speed());
         drop(pool);
         if let Some(speed) = speed {
-            self.tell_speed(speed);
+            self.log_speed(speed);
         }
         ServiceReport {
             service: self.service.clone(),
--- a/daemons/gateway/src/summary.rs
+++ b/daemons/gateway/src/summary.rs
@@ -10,13 +10,13 @@
 use sill_tree::RouteKind;
 use sill_wire::ErrorCode;
 
-use crate::ending::{ByStop, Phase};
 use crate::failure::Failure;
-use crate::serve::{Call, ELSEWHERE};
+use crate::serve::{Call, RETRY_ELSEWHERE_AFTER};
 use crate::state::State;
+use crate::termination::{FinalPhase, StopOutcome};
 
 /// When to come back after a refusal that names no time itself.
-const COME_BACK: Millis = Millis(500);
+const DEFAULT_RETRY_AFTER: Millis = Millis(500);
 
 /// The outcome of a call that nothing else has ended.
 const CALLER_LEFT: &str = "caller_left";
@@ -29,20 +29,20 @@
 
 /// What is logged of a call when it is over.
 #[derive(Debug)]
-pub struct Summary {
+pub struct CallSummary {
     state: Arc<State>,
     call: Arc<Call>,
     /// How it ended; a caller that leaves is not there to be told.
     outcome: &'static str,
     status: u16,
     endpoint: Name,
-    why: String,
-    sent: u32,
+    reason: String,
+    send_count: u32,
     first_part: Option<Millis>,
     bytes: u64,
 }
 
-impl Summary {
+impl CallSummary {
     /// Begins the line of a call that was admitted.
     pub fn new(state: Arc<State>, call: Arc<Call>) -> Self {
         Self {
@@ -51,52 +51,52 @@
             outcome: CALLER_LEFT,
             status: 0,
             endpoint: Name::default(),
-            why: String::new(),
-            sent: 0,
+            reason: String::new(),
+            send_count: 0,
             first_part: None,
             bytes: 0,
         }
     }
 
     /// Notes where the call is sent.
-    pub fn sends_to(&mut self, place: &Placement, now: Millis) {
-        if self.sent == 0 {
-            let waited = (now - self.call.arrived).as_secs_f64();
+    pub fn record_send(&mut self, placement: &Placement, now: Millis) {
+        if self.send_count == 0 {
+            let waited = (now - self.call.received_at).as_secs_f64();
             self.state.metrics.before_send.observe(waited);
         }
-        self.sent += 1;
-        self.endpoint = place.endpoint.clone();
-        self.why.clone_from(&place.reason);
+        self.send_count += 1;
+        self.endpoint = placement.endpoint.clone();
+        self.reason.clone_from(&placement.reason);
     }
 
     /// Notes another endpoint that goes on with the answer.
-    pub fn resumed_at(&mut self, place: &Placement) {
-        self.sent += 1;
-        self.endpoint = place.endpoint.clone();
+    pub fn record_resume(&mut self, placement: &Placement) {
+        self.send_count += 1;
+        self.endpoint = placement.endpoint.clone();
     }
 
     /// Notes the status that the caller gets.
-    pub fn answers(&mut self, status: u16) {
+    pub fn set_status(&mut self, status: u16) {
         self.status = status;
     }
 
     /// Notes a part of the answer.
-    pub fn passes(&mut self, now: Millis, bytes: usize) {
+    pub fn record_part(&mut self, now: Millis, bytes: usize) {
         if self.first_part.is_none() {
             self.first_part = Some(now);
-            let first = now - self.call.arrived;
-            self.state.stopping.first_part_took(&self.call.route.name, first);
+            let first = now - self.call.received_at;
+            self.state.planned_stop.record_first_part(&self.call.route.name, first);
         }
         self.bytes += bytes as u64;
     }
 
     /// Notes how the call ended.
-    pub fn ends(&mut self, outcome: &'static str) {
+    pub fn set_outcome(&mut self, outcome: &'static str) {
         self.outcome = outcome;
     }
 
     /// Notes that the end of the process cuts the answer.
-    pub fn cut_by_stop(&mut self) {
+    pub fn mark_cut_by_stop(&mut self) {
         self.outcome = CUT_BY_STOP;
     }
 
@@ -111,13 +111,13 @@
     }
 
     /// Ends a call for which the process doesn't last for another attempt.
-    pub fn give_up_by_stop(&mut self, progress: &CallProgress) -> Response<AnyBody> {
-        self.why = "stopping".to_owned();
+    pub fn end_without_retry(&mut self, progress: &CallProgress) -> Response<AnyBody> {
+        self.reason = "stopping".to_owned();
         if progress.possible_runs > 0 {
             return self.fail_by_stop();
         }
-        self.state.ending.count(ByStop::Refused);
-        self.fail(Failure::with_retry_after(ErrorCode::NoCapacity, ELSEWHERE))
+        self.state.termination.record(StopOutcome::Refused);
+        self.fail(Failure::with_retry_after(ErrorCode::NoCapacity, RETRY_ELSEWHERE_AFTER))
     }
 
     /// Ends a call that found no endpoint.
@@ -127,7 +127,7 @@
         reason: RefusalReason,
         wait: Millis,
     ) -> Response<AnyBody> {
-        self.why = format!("{reason:?}");
+        self.reason = format!("{reason:?}");
         // After an attempt that may have run, a refusal must not say that the call has not run.
         let failure = match progress.possible_runs {
             0 => Failure::with_retry_after(ErrorCode::NoCapacity, wait),
@@ -137,14 +137,20 @@
     }
 
     /// Ends a call after an attempt, unless another one follows.
-    pub fn after(&mut self, next: NextStep, outcome: AttemptOutcome) -> Option<Response<AnyBody>> {
+    pub fn response_after(
+        &mut self,
+        next: NextStep,
+        outcome: AttemptOutcome,
+    ) -> Option<Response<AnyBody>> {
         let failure = match next {
             NextStep::Retry => return None,
-            NextStep::RefuseNotRun => Failure::with_retry_after(ErrorCode::NoCapacity, COME_BACK),
+            NextStep::RefuseNotRun => {
+                Failure::with_retry_after(ErrorCode::NoCapacity, DEFAULT_RETRY_AFTER)
+            }
             NextStep::TimedOut => Failure::new(ErrorCode::DeadlinePassed),
             NextStep::PassOn | NextStep::OutcomeUnknown => Failure::new(ErrorCode::UpstreamFailed),
         };
-        self.why = format!("{outcome:?}");
+        self.reason = format!("{outcome:?}");
         Some(self.fail(failure))
     }
 
@@ -153,32 +159,32 @@
         if failure.is_not_run()
             && let Some(account) = &self.call.account
         {
-            self.state.give_back(&account.name, self.call.amount);
+            self.state.refund(&account.name, self.call.amount);
         }
         self.status = failure.status().as_u16();
         self.outcome = if failure.is_not_run() { "refused" } else { "failed" };
-        failure.answer(&self.state, &self.call.head.attempt)
+        failure.to_response(&self.state, &self.call.head.attempt)
     }
 }
 
-impl Drop for Summary {
+impl Drop for CallSummary {
     /// Logs the call however it ended, a caller that left included.
     fn drop(&mut self) {
         let (state, call) = (&self.state, &self.call);
         let now = state.clock.now();
-        if self.outcome == CALLER_LEFT && state.ending.has_begun(Phase::Cut) {
+        if self.outcome == CALLER_LEFT && state.termination.has_begun(FinalPhase::Cut) {
             // Dropped with the process: its caller had stopped reading, and nothing asked for more.
             self.outcome = CUT_BY_STOP;
         }
         state.metrics.calls.with_label_values(&[self.outcome]).inc();
-        let first = self.first_part.map(|first| first - call.arrived);
+        let first = self.first_part.map(|first| first - call.received_at);
         // One that its caller left, or that failed, tells nothing of how long an answer takes. Endpoints that
         // fail fast would have a stopping instance begin calls that it must cut.
         if matches!(self.outcome, "answered" | "out_of_time") {
-            state.stopping.took(&call.route.name, now - call.arrived);
+            state.planned_stop.record_call(&call.route.name, now - call.received_at);
         }
         if self.outcome == "answered" {
-            state.metrics.whole_answer.observe((now - call.arrived).as_secs_f64());
+            state.metrics.whole_answer.observe((now - call.received_at).as_secs_f64());
             if let Some(first) = first {
                 state.metrics.first_part.observe(first.as_secs_f64());
             }
@@ -188,8 +194,8 @@
             _ => log::Level::Warn,
         };
         let has_line = match self.outcome {
-            CUT_BY_STOP => state.ending.count(ByStop::Cut),
-            FAILED_BY_STOP => state.ending.count(ByStop::Failed),
+            CUT_BY_STOP => state.termination.record(StopOutcome::Cut),
+            FAILED_BY_STOP => state.termination.record(StopOutcome::Failed),
             _ => true,
         };
         if !has_line || !log::log_enabled!(level) {
@@ -208,13 +214,13 @@
         pair("account", &account.unwrap_or_default());
         pair("service", &call.pool.service);
         pair("endpoint", &self.endpoint);
-        pair("sends", &self.sent);
+        pair("sends", &self.send_count);
         pair("prompt", &call.prompt.tokens);
         pair("output", &call.prompt.max_output_tokens);
         pair("urgency", &call.urgency);
-        pair("why", &self.why);
+        pair("why", &self.reason);
         pair("first_ms", &first.unwrap_or_default());
-        pair("ms", &(now - call.arrived));
+        pair("ms", &(now - call.received_at));
         pair("left_ms", &(call.due - now));
         pair("bytes", &self.bytes);
         log::log!(target: "sill_gateway", level, "{line}");
@@ -222,6 +228,6 @@
 }
 
 fn kind_name(kind: RouteKind) -> &'static str {
-    let known = RouteKind::NAMES.iter().find(|(known, _)| *known == kind);
-    known.map_or("", |(_, name)| name)
+    let entry = RouteKind::NAMES.iter().find(|(named, _)| *named == kind);
+    entry.map_or("", |(_, name)| name)
 }
--- a/daemons/gateway/src/ending.rs
+++ b/daemons/gateway/src/termination.rs
@@ -7,11 +7,11 @@
 
 /// Lines on calls that the stop ended, for each way. The log must not take the moment that is left from the
 /// calls that are still to be ended; the rest is counted.
-pub const LINES_BY_STOP: usize = 300;
+pub const MAX_LINES_PER_OUTCOME: usize = 300;
 
 /// How near the end of the process is.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum FinalPhase {
     /// Calls go on.
     #[default]
     Open,
@@ -23,7 +23,7 @@
 
 /// How a call was ended by the stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ByStop {
+pub enum StopOutcome {
     /// Told that it has not run.
     Refused,
     /// Told that its outcome is unknown.
@@ -34,56 +34,59 @@
 
 /// The phase, for all who wait for it, and what it ended.
 #[derive(Debug, Default)]
-pub struct Ending {
-    phase: watch::Sender<Phase>,
+pub struct Termination {
+    phase: watch::Sender<FinalPhase>,
     refused: AtomicUsize,
     failed: AtomicUsize,
     cut: AtomicUsize,
 }
 
-impl Ending {
+impl Termination {
     /// Begins a phase.
-    pub fn begin(&self, phase: Phase) {
+    pub fn enter(&self, phase: FinalPhase) {
         self.phase.send_replace(phase);
     }
 
     /// Returns whether a phase has begun.
-    pub fn has_begun(&self, phase: Phase) -> bool {
+    pub fn has_begun(&self, phase: FinalPhase) -> bool {
         *self.phase.borrow() >= phase
     }
 
     /// Waits until a phase has begun.
-    pub fn begins(&self, phase: Phase) -> impl Future<Output = ()> + Send + use<> {
-        let mut begun = self.phase.subscribe();
+    pub fn wait_for(&self, phase: FinalPhase) -> impl Future<Output = ()> + Send + use<> {
+        let mut phases = self.phase.subscribe();
         async move {
-            if begun.wait_for(|now| *now >= phase).await.is_err() {
+            if phases.wait_for(|current| *current >= phase).await.is_err() {
                 std::future::pending().await
             }
         }
     }
 
     /// Counts a call that the stop ended; returns whether it gets a line.
-    pub fn count(&self, by_stop: ByStop) -> bool {
-        self.counter(by_stop).fetch_add(1, Ordering::Relaxed) < LINES_BY_STOP
+    pub fn record(&self, outcome: StopOutcome) -> bool {
+        self.counter(outcome).fetch_add(1, Ordering::Relaxed) < MAX_LINES_PER_OUTCOME
     }
 
     /// Returns how many calls the stop ended so.
-    pub fn counted(&self, by_stop: ByStop) -> usize {
-        self.counter(by_stop).load(Ordering::Relaxed)
+    pub fn count(&self, outcome: StopOutcome) -> usize {
+        self.counter(outcome).load(Ordering::Relaxed)
     }
 
     /// Returns how many of them have no line.
-    pub fn without_line(&self) -> usize {
+    pub fn unlogged(&self) -> usize {
         // Each refusal has a line like all others, which the queue of the log bounds.
-        let kinds = [ByStop::Failed, ByStop::Cut];
-        kinds.iter().map(|kind| self.counted(*kind).saturating_sub(LINES_BY_STOP)).sum()
+        let outcomes = [StopOutcome::Failed, StopOutcome::Cut];
+        outcomes
+            .iter()
+            .map(|outcome| self.count(*outcome).saturating_sub(MAX_LINES_PER_OUTCOME))
+            .sum()
     }
 
-    fn counter(&self, by_stop: ByStop) -> &AtomicUsize {
-        match by_stop {
-            ByStop::Refused => &self.refused,
-            ByStop::Failed => &self.failed,
-            ByStop::Cut => &self.cut,
+    fn counter(&self, outcome: StopOutcome) -> &AtomicUsize {
+        match outcome {
+            StopOutcome::Refused => &self.refused,
+            StopOutcome::Failed => &self.failed,
+            StopOutcome::Cut => &self.cut,
         }
     }
 }
--- a/daemons/gateway/tests/ending.rs
+++ b/daemons/gateway/tests/ending.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use sill_base::Millis;
-use sill_gateway::ending::LINES_BY_STOP;
+use sill_gateway::termination::MAX_LINES_PER_OUTCOME;
 use support::lines::{self, value};
 use support::{
     Act, Got, World, answer_of, exchange, head, not_run, request_as, wait_until_ready_is,
@@ -258,7 +258,7 @@
 #[test]
 fn the_lines_on_cut_answers_have_a_bound() {
     lines::keep();
-    let count = LINES_BY_STOP + 20;
+    let count = MAX_LINES_PER_OUTCOME + 20;
     let part = format!("{}{}", head(STREAM), chunk("id: 1\ndata: a\n\n"));
     let acts = vec![Act::AnswerAndCloseLater(part, LONG); count];
     let mut world = World::stopping_within(LIMIT, vec![acts]);
@@ -270,7 +270,7 @@
     world.stop();
     let cut = callers.into_iter().map(|caller| caller.join().expect("an answer"));
     assert_eq!(cut.filter(|got| !got.is_whole).count(), count);
-    assert_eq!(lines::of_call("many").len(), LINES_BY_STOP);
+    assert_eq!(lines::of_call("many").len(), MAX_LINES_PER_OUTCOME);
     let told = lines::of_stop(&world.name);
     let number = |key: &str| value(&told, key).parse::<usize>().expect("a number");
     assert_eq!((number("cut"), number("without_line")), (count, 20), "{told}");
--- a/daemons/gateway/tests/limits.rs
+++ b/daemons/gateway/tests/limits.rs
@@ -72,14 +72,14 @@
 #[tokio::test]
 async fn a_call_waits_until_it_is_known_what_others_admitted() {
     let state = state();
-    state.put_in_force(settings());
+    state.apply_settings(settings());
     let waiting = tokio::spawn({
         let state = state.clone();
         async move { state.first_totals(&account(), LARGE, LONG, LONG).await }
     });
     tokio::time::sleep(Duration::from_millis(50)).await;
     assert!(!waiting.is_finished(), "nobody has told any totals");
-    state.learn(nowhere(), &used_up());
+    state.apply_reply(nowhere(), &used_up());
     waiting.await.expect("it doesn't panic");
     state.admit(&account(), 100.0).expect_err("the account is over its limit");
 }
@@ -88,7 +88,7 @@
 #[tokio::test]
 async fn a_call_that_the_presumed_share_covers_does_not_wait() {
     let state = state();
-    state.put_in_force(settings());
+    state.apply_settings(settings());
     state.first_totals(&account(), 10.0, Millis::MAX, Millis::MAX).await;
     state.admit(&account(), 10.0).expect("its part of the burst is there");
 }
@@ -97,8 +97,8 @@
 #[tokio::test]
 async fn totals_that_come_before_the_settings_count() {
     let state = state();
-    state.learn(nowhere(), &used_up());
-    state.put_in_force(settings());
+    state.apply_reply(nowhere(), &used_up());
+    state.apply_settings(settings());
     state.first_totals(&account(), LARGE, LONG, LONG).await;
     state.admit(&account(), 100.0).expect_err("the account is over its limit");
 }
@@ -108,8 +108,8 @@
 async fn an_account_that_nobody_reported_after_a_restart_counts_as_used() {
     let state = state();
     let totals = Totals { age: Millis::ZERO, entries: 8, untold_s: 8.0, accounts: Vec::new() };
-    state.learn(nowhere(), &LinkReply { totals: Some(totals), ..used_up() });
-    state.put_in_force(settings());
+    state.apply_reply(nowhere(), &LinkReply { totals: Some(totals), ..used_up() });
+    state.apply_settings(settings());
     state.admit(&account(), LARGE).expect_err("it may have used all that it is owed");
 }
 
@@ -117,7 +117,7 @@
 #[tokio::test]
 async fn calls_are_admitted_by_the_share_while_nobody_tells_totals() {
     let state = state();
-    state.put_in_force(settings());
+    state.apply_settings(settings());
     state.first_totals(&account(), LARGE, LONG, Millis::ZERO).await;
     state.admit(&account(), 10.0).expect("its part of the burst is there");
 }
--- a/daemons/gateway/tests/settings.rs
+++ b/daemons/gateway/tests/settings.rs
@@ -10,8 +10,8 @@
 
 use parking_lot::Mutex;
 use sill_base::{Map, Millis, Name, Secret};
-use sill_gateway::feed::Feed;
 use sill_gateway::link::Link;
+use sill_gateway::settings_fetcher::SettingsFetcher;
 use sill_gateway::state::State;
 use sill_gateway::{Gateway, GatewayCfg};
 use sill_net::{PeerError, PeerServer, PeerServerBuilder};
@@ -368,7 +368,7 @@
     let link = Arc::new(Link::new(state.clone()));
     let manifest = source.cut.lock().manifest.clone();
     link.offers().offer(manifest, server.address());
-    runtime.spawn(Feed::new(state.clone(), link).run());
+    runtime.spawn(SettingsFetcher::new(state.clone(), link).run());
     let table = runtime.block_on(state.first_table(Millis(30_000)));
     assert_eq!(table.map(|table| table.revision), Some(1));
 }
