--- a/daemons/gateway/src/answer.rs
+++ b/daemons/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Makes the caller's answer of an endpoint's.
+//! Turns an endpoint's answer into the caller's response.
 
 use http::response::Parts;
 use http::{HeaderMap, Response, header};
@@ -16,15 +16,17 @@
 use crate::summary::CallSummary;
 use crate::termination::FinalPhase;
 
-/// Bytes of an answer that is held until it is whole. Short calls have a few kilobytes; longer answers fail,
-/// as the memory of a small instance must not depend on how many of them come in its last seconds.
+/// Size limit in bytes of an answer that is buffered until it is complete. Short calls have a few
+/// kilobytes. Longer answers fail, because the memory use of a small instance must not depend on
+/// how many of them arrive in its last seconds.
 const MAX_HELD_BYTES: usize = 256 << 10;
 
-/// Passes an answer on.
+/// Relays an answer to the caller, as it arrives or once it is complete.
 ///
-/// The head of a stream waits for the first part of its body. An endpoint may begin a stream and be gone
-/// before its first event; with the head on its way, the caller would get a success without content that
-/// breaks off, and nobody could answer any more. The two leave together, so the first event is no later.
+/// The head of a stream is held back until the first part of its body arrives. An endpoint may
+/// start a stream and fail before its first event. If the head had already been sent, the caller
+/// would get a success without content that breaks off, and no error response would be possible.
+/// Head and first part are sent together, so the first event is not delayed.
 pub async fn relay_answer(
     mut summary: CallSummary,
     attempt: Attempt,
@@ -40,7 +42,7 @@
     let may_resume =
         is_stream && (call.route.route.kind == RouteKind::ResumableStream || is_movable(&call));
     if may_resume {
-        // What comes from another endpoint may be longer.
+        // A continuation from another endpoint may have a different length.
         parts.headers.remove(header::CONTENT_LENGTH);
     }
     if !call.pool.is_engine && parts.status.is_success() {
@@ -75,17 +77,18 @@
     }
 }
 
-/// Returns whether the end of a stop may cut a plain answer that is short enough to be held instead.
+/// Returns whether the end of a stop may cut a plain answer that is short enough to be buffered
+/// instead.
 fn may_be_cut(relay: &Relay, call: &Call, state: &State) -> bool {
     let is_short = relay.size_hint().exact().is_some_and(|size| size <= MAX_HELD_BYTES as u64);
     is_short && state.planned_stop.may_cut(call.due)
 }
 
-/// Passes an answer on once it is whole.
+/// Relays an answer once it is complete.
 ///
-/// Nothing bounds the call but the end of the process. Passed on as it comes, its answer could be cut in the
-/// middle, and its caller might not send it again. So the caller has all of it, or is told that the outcome is
-/// unknown.
+/// Only the end of the process bounds the call. If the answer were relayed as it arrives, it could
+/// be cut in the middle, and its caller may not be able to repeat the call. The caller therefore
+/// gets the complete answer, or a failure that says that the outcome is unknown.
 async fn relay_whole(parts: Parts, mut relay: Relay, state: &State) -> Response<AnyBody> {
     let body = tokio::select! {
         biased;
@@ -104,7 +107,7 @@
         && is_event_stream(&parts.headers)
 }
 
-/// Only events tell where a stream can go on.
+/// Only event streams carry ids from which a stream can be resumed.
 fn is_event_stream(headers: &HeaderMap) -> bool {
     let kind = headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok());
     kind.is_some_and(|kind| kind.starts_with(EVENT_STREAM))
--- a/daemons/gateway/src/cfg.rs
+++ b/daemons/gateway/src/cfg.rs
@@ -8,45 +8,46 @@
 
 use crate::dialect::Dialect;
 
-/// Checked settings of an entry instance.
+/// Checked settings of an entry instance. They are fixed for the life of the process, except for
+/// the seeds.
 #[derive(Debug, Clone)]
 pub struct GatewayCfg {
-    /// Its name.
+    /// The instance's name.
     pub name: Name,
-    /// Its failure domain.
+    /// The instance's failure domain.
     pub domain: Name,
-    /// Where callers reach it.
+    /// The address that callers connect to.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// The address of the balancer's readiness checks.
     pub listen_ready: SocketAddr,
-    /// The path by which it asks.
+    /// The path of the readiness checks.
     pub ready_path: Name,
-    /// Where metrics are served.
+    /// The address at which metrics are served.
     pub listen_metrics: SocketAddr,
-    /// Where control instances are reached by their peers, to begin with.
+    /// Peer addresses of control instances that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// The key that our own processes share.
+    /// The key shared by all processes of the system.
     pub cluster_key: Secret,
-    /// How calls carry what is needed to route them.
+    /// Decodes calls and answers, and writes the headers for endpoints and callers.
     pub dialect: Arc<dyn Dialect>,
-    /// How far limits may be passed.
+    /// How far client accounts may exceed their limits.
     pub limits: LimitBounds,
     /// Bounds on retries.
     pub retries: RetryBounds,
-    /// How long an endpoint serves after it has said that it leaves, where it names no time.
+    /// How long a leaving endpoint keeps serving, unless it announces another time.
     pub endpoint_notice: Millis,
-    /// The length of a window of usage.
+    /// The length of a usage window.
     pub usage_window: Millis,
-    /// How a planned stop goes.
+    /// Timing of a planned stop.
     pub stop: StopCfg,
 }
 
-/// How a planned stop goes.
+/// Timing of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopCfg {
-    /// Time for which new connections are still taken, until the balancer has noticed.
+    /// Time for which new connections are still accepted, until the balancer has noticed the stop.
     pub notice: Millis,
-    /// Time from the signal after which what still runs is cut. To tell of it, the process needs up to
-    /// 0.4 s more.
+    /// Time from the stop signal until running calls are cut. Sending the errors for them takes up
+    /// to 0.4 s more.
     pub limit: Millis,
 }
--- a/daemons/gateway/src/cli.rs
+++ b/daemons/gateway/src/cli.rs
@@ -13,42 +13,47 @@
 use crate::daemon::Gateway;
 use crate::sill_dialect::SillDialect;
 
-/// Retries for each request, and beyond that in ten seconds, over all entry instances.
+/// Retries per request, and the allowance on top of that in ten seconds, over all entry instances.
 const RETRIES: RetryBounds = RetryBounds { share: 0.1, allowance: 50.0 };
 
-/// How long endpoints serve after they said that they leave.
+/// How long endpoints keep serving after they announced that they leave.
 const ENDPOINT_NOTICE: Millis = Millis(2000);
 
-/// The length of a window of usage.
+/// The length of a usage window.
 const USAGE_WINDOW: Millis = Millis(5000);
 
-/// `sill-gateway`.
+/// The command line of `sill-gateway`.
 pub const GATEWAY: Program = Program {
     name: "sill-gateway",
-    about: "an entry instance for routes: takes callers' calls and sends them to endpoints",
+    about: "an entry instance for routes: accepts calls and sends them to endpoints",
     operands: "",
     flags: &[
         Flag::one("name", "NAME", "name of this instance"),
         Flag::one("domain", "NAME", "its failure domain"),
-        Flag::one("listen", "IP:PORT", "where callers reach it"),
-        Flag::one("listen-ready", "IP:PORT", "where the balancer asks for /readyz"),
-        Flag::one("listen-metrics", "IP:PORT", "where /metrics is served"),
-        Flag::many("control", "IP:PORT", "a control instance, where its peers reach it"),
-        Flag::one("cluster-key-file", "FILE", "file with the key our own processes share"),
-        Flag::with_default("limit-slack", "N", "0", "what may come on top of each account's limit"),
+        Flag::one("listen", "IP:PORT", "address for callers"),
+        Flag::one("listen-ready", "IP:PORT", "address of the balancer's /readyz checks"),
+        Flag::one("listen-metrics", "IP:PORT", "address at which /metrics is served"),
+        Flag::many("control", "IP:PORT", "peer address of a control instance"),
+        Flag::one("cluster-key-file", "FILE", "file with the key shared by all processes"),
+        Flag::with_default("limit-slack", "N", "0", "amount allowed beyond each account's limit"),
         Flag::with_default(
             "drain-notice-ms",
             "N",
             "3000",
             "time until the balancer notices a stop",
         ),
-        Flag::with_default("drain-limit-ms", "N", "30000", "time after which a stop cuts calls"),
+        Flag::with_default(
+            "drain-limit-ms",
+            "N",
+            "30000",
+            "time after which a stop cuts running calls",
+        ),
         Flag::with_default("log-level", "LEVEL", "info", "error, warn, info, debug or trace"),
     ],
 };
 
 impl GatewayCfg {
-    /// Checks flags and variables.
+    /// Reads the settings from flags and variables, and checks them.
     ///
     /// # Errors
     ///
@@ -91,7 +96,7 @@
     }
 }
 
-/// Runs the daemon until it is asked to stop.
+/// Runs the daemon until it receives a stop signal.
 ///
 /// # Errors
 ///
--- a/daemons/gateway/src/daemon.rs
+++ b/daemons/gateway/src/daemon.rs
@@ -1,4 +1,5 @@
-//! Starts the parts of an entry instance for routes, and stops them; `docs/design/stops.md` has the phases of a stop.
+//! Starts and stops the parts of an entry instance for routes. `docs/design/stops.md` describes the
+//! phases of a stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,36 +21,38 @@
 use crate::state::State;
 use crate::termination::{FinalPhase, StopOutcome};
 
-/// Bytes of a caller's headers. Settings may ask for less, which the library cannot follow later.
+/// Size limit of a caller's headers in bytes. Settings may ask for less, but the HTTP
+/// library can't change the limit later.
 const MAX_HEADER_BYTES: usize = 32 << 10;
 
-/// Time that a caller's connection may stay unused. Callers use them for up to 12 s.
+/// Time after which an unused connection of a caller is closed. Callers reuse connections for up to
+/// 12 s.
 const CALLER_IDLE_TIMEOUT: Millis = Millis(15_000);
 
-/// Time after which a caller's connection is given up that no longer acknowledges.
+/// Time without acknowledgements after which a caller's connection is dropped.
 const CALLER_UNACKNOWLEDGED_TIMEOUT: Millis = Millis(10_000);
 
-/// How often unused connections are looked at.
+/// Interval at which expired idle connections are closed.
 const IDLE_CLEANUP_INTERVAL: Millis = Millis(1000);
 
-/// How often a stop looks whether all is done.
+/// Interval at which a stop checks whether all calls have finished.
 const STOP_POLL_INTERVAL: Millis = Millis(50);
 
-/// Time before the end of a stop at which calls that still wait for their answers are answered, so that
-/// these can be written on an instance with a twelfth of a core.
+/// Time before the end of a stop at which calls that still wait for their answers get an error
+/// response. It suffices to write these on an instance with a twelfth of a core.
 const LAST_ANSWERS_TIME: Millis = Millis(200);
 
-/// Time after the end of a stop in which what is cut may be told; it is used only while connections are
-/// open. 320 streams were cut and told within 54 ms by a debug build on a busy machine; an instance with
-/// a twelfth of a core needs longer.
+/// Time after the end of a stop in which cut connections are closed with an error; it is used only
+/// while connections are open. A debug build on a busy machine cut 320 streams within 54 ms; an
+/// instance with a twelfth of a core needs longer.
 const CUT_NOTIFY_TIME: Millis = Millis(250);
 
 /// A running entry instance.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Where callers reach it.
+    /// The address that callers connect to.
     pub address: SocketAddr,
-    /// Where the balancer asks.
+    /// The address of the balancer's readiness checks.
     pub ready_address: SocketAddr,
     state: Arc<State>,
     link: Arc<Link>,
@@ -58,11 +61,11 @@
 }
 
 impl Gateway {
-    /// Starts to serve; must be called inside a tokio runtime.
+    /// Binds the listeners and starts to serve; must be called inside a tokio runtime.
     ///
     /// # Errors
     ///
-    /// Fails when an address can't be used.
+    /// Fails when an address can't be bound.
     pub fn start(cfg: GatewayCfg) -> Result<Self> {
         let listener = TcpListener::from_std(bind(cfg.listen)?)?;
         let ready = TcpListener::from_std(bind(cfg.listen_ready)?)?;
@@ -90,30 +93,30 @@
         Ok(Self { address, ready_address, state, link, stop, accept_task })
     }
 
-    /// Takes in other seeds.
+    /// Replaces the seed addresses of control instances.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         event!(Info, "seeds_changed", seeds = seeds.len());
         self.link.set_seeds(seeds);
     }
 
-    /// Stops without cutting off a call, as long as the limit allows.
+    /// Stops without cutting a call, as far as the time limit allows.
     pub async fn stop(self) {
         self.stop_late(Millis::ZERO).await;
     }
 
-    /// Does the same for a signal that came a while ago.
+    /// Stops like [`Gateway::stop`] for a signal that arrived `delay` ago.
     ///
-    /// Whoever sent it kills the process some time after the signal. Were the limit counted from now, a
-    /// stop that begins late would be ended by the kill, and calls be cut that were begun in the belief that
-    /// there was time for them.
+    /// The sender of the signal kills the process a fixed time after it. If the limit counted from
+    /// now, a stop that starts late would be ended by the kill, and calls that were admitted
+    /// because there seemed to be time for them would be cut.
     pub async fn stop_late(mut self, delay: Millis) {
         let started_at = self.state.clock.now();
         let cfg = self.state.cfg.stop;
         let time_left = cfg.limit - delay;
-        // The balancer notices from now on; it could not before.
+        // The balancer can notice the stop only from now on.
         let notice = cfg.notice.min(time_left);
         let cut_at = started_at + time_left;
-        // What is admitted has all of its time until it is answered in any case.
+        // Admitted calls have until `ends_at` to get their answers, whatever the notice.
         let times =
             StopTimes { noticed_at: started_at + notice, ends_at: cut_at - LAST_ANSWERS_TIME };
         let open = self.state.open_calls().older;
@@ -121,7 +124,7 @@
         self.state.planned_stop.start(times);
         self.drain_calls(times).await;
         self.close_listener().await;
-        // Those that came with the last look.
+        // Waits for connections that were accepted since the last check.
         self.wait_until_closed(times.ends_at).await;
         self.state.termination.enter(FinalPhase::LastAnswers);
         self.wait_until_closed(self.state.clock.now() + LAST_ANSWERS_TIME).await;
@@ -130,7 +133,7 @@
         self.log_stop(started_at);
     }
 
-    /// Takes and ends calls until nothing is open, or the time is up.
+    /// Serves open and new calls until no connection is open or the time is up.
     async fn drain_calls(&self, times: StopTimes) {
         let mut plan = StopPlan::new(times);
         loop {
@@ -147,8 +150,8 @@
         }
     }
 
-    /// Closes the listener. A connection that comes after the last look would be cut with its call read
-    /// and sent on.
+    /// Closes the listener. A connection accepted after the last check would be cut after its call
+    /// was read and sent to an endpoint.
     async fn close_listener(&mut self) {
         self.state.planned_stop.refuse_all();
         self.set_stop(Stop::Over);
@@ -159,7 +162,7 @@
         self.stop.send_if_modified(|current| std::mem::replace(current, stop) != stop);
     }
 
-    /// Waits until no caller's connection is open, or until `at`.
+    /// Waits until all callers' connections are closed, at most until `at`.
     async fn wait_until_closed(&self, at: Millis) {
         while self.state.callers.all() > 0 {
             let time_left = at - self.state.clock.now();
@@ -196,7 +199,7 @@
     h1::serve(listener, cfg, stop, open, move |req, _| serve::serve_call(state.clone(), req)).await;
 }
 
-/// Answers the balancer and whoever reads metrics.
+/// Serves readiness checks and metrics.
 async fn serve_internal(state: Arc<State>, listener: TcpListener) {
     h1::serve_pages(listener, move |path| page(&state, path)).await;
 }
--- a/daemons/gateway/src/dialect.rs
+++ b/daemons/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How calls and answers carry what the entry instance needs to know.
+//! How calls and answers encode what the entry instance needs for routing.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -12,89 +12,90 @@
 
 use crate::failure::Failure;
 
-/// What a call says of itself, decoded once.
+/// The routing information of a call, decoded once from its head.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct CallHead {
-    /// The caller's name for this attempt; empty if it gave none.
+    /// The caller's id of this attempt; empty if the caller sent none.
     pub attempt: Name,
-    /// The host that it asks for.
+    /// The requested host, possibly with a port.
     pub host: Name,
-    /// How long the caller waits.
+    /// How long the caller waits for the complete answer.
     pub deadline: Option<Millis>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<Name>,
-    /// What is known of its prompt; none for a call without one.
+    /// The size and prefix of the prompt; none for a call without a prompt.
     pub prompt: Option<Prompt>,
 }
 
-/// What goes along to an endpoint.
+/// What an endpoint is sent along with a call.
 #[derive(Debug, Clone)]
 pub struct Forward<'a> {
-    /// The time that is left.
+    /// The time until the call's deadline.
     pub time_left: Millis,
-    /// The endpoint that is meant.
+    /// The endpoint that the call is addressed to; any other refuses it.
     pub endpoint: &'a Name,
-    /// The caller's account.
+    /// The caller's client account.
     pub account: Option<&'a Name>,
-    /// Its rank; 0 goes first.
+    /// The call's priority rank; 0 is served first.
     pub urgency: u8,
-    /// The last event that the caller has, if a stream is resumed.
+    /// The id of the last event that the caller received, if a stream is resumed.
     pub last_event: Option<&'a str>,
-    /// Where the memory of the run comes from, if it was moved.
-    pub memory: Option<&'a MovedMemory>,
+    /// The source of the run's KV cache, if the run was migrated.
+    pub memory: Option<&'a MigratedMemory>,
 }
 
-/// The memory of a run that an engine has stopped, copied to another one.
+/// The KV cache of a stopped run that was copied to another engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MovedMemory {
-    /// The engine that ran it.
+pub struct MigratedMemory {
+    /// The engine on which the run was started.
     pub source: SocketAddr,
-    /// Names the memory there.
+    /// The handle of the KV cache at the source engine.
     pub handle: Name,
 }
 
-/// What the head of an endpoint's answer says.
+/// The class of an endpoint's answer, by its status and headers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerClass {
-    /// It is the endpoint's answer to this call.
+    /// The endpoint's own answer to this call.
     Answer,
-    /// The endpoint failed at the call.
+    /// The endpoint failed to process the call.
     Failed,
-    /// The endpoint is full and has not run the call.
+    /// The endpoint is at capacity and has not run the call.
     Full,
     /// The endpoint has not run the call for another reason.
     NotRun,
-    /// The address is another endpoint's, which has not run the call.
+    /// The address now belongs to another endpoint, which has not run the call.
     WrongEndpoint,
-    /// It is no proper answer to this call.
+    /// The answer is malformed or belongs to another call.
     Improper,
 }
 
 /// The load that an endpoint reports with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: u32,
 }
 
-/// A way of writing all this in headers.
+/// Encodes and decodes routing information in HTTP headers.
 pub trait Dialect: Debug + Send + Sync {
-    /// Reads what a call says.
+    /// Decodes the head of a call.
     fn read(&self, parts: &Parts) -> CallHead;
 
-    /// Turns a caller's headers into those for an endpoint.
+    /// Turns a caller's headers into the headers for an endpoint.
     fn forward(&self, headers: &mut HeaderMap, forward: &Forward<'_>);
 
-    /// Reads the head of an answer to the attempt.
+    /// Classifies the answer to an attempt by its status and headers.
     fn classify(&self, attempt: &Name, status: StatusCode, headers: &HeaderMap) -> AnswerClass;
 
-    /// Reads the load that comes with an answer.
+    /// Returns the load that the endpoint reported with an answer.
     fn load(&self, headers: &HeaderMap) -> Option<ReportedLoad>;
 
-    /// Makes the request that has an engine copy the memory of a run to another engine, or what is new
-    /// of it since the last time, and stop the run if it is to; none where engines can't.
+    /// Builds the request by which an engine copies a run's KV cache to another engine, or what was
+    /// added since the last copy. With `stop_run` the engine stops the run first. Returns none if
+    /// engines don't support it.
     fn copy_run(
         &self,
         _attempt: &Name,
@@ -104,23 +105,23 @@
         None
     }
 
-    /// Reads the name of the memory out of the answer to it.
+    /// Returns the handle of the copied KV cache from the answer to [`Dialect::copy_run`].
     fn memory_handle(&self, _status: StatusCode, _body: &[u8]) -> Option<Name> {
         None
     }
 
-    /// Writes what callers are to know of a failure of ours.
+    /// Writes the headers that describe a failure of the entry instance to the caller.
     fn failure(&self, headers: &mut HeaderMap, failure: &Failure);
 }
 
-/// Returns the text of a header.
+/// Returns the value of a header, if it is present and valid text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Sets a header.
+/// Sets a header, replacing earlier values. A value that is not valid in a header is left out.
 pub fn set(headers: &mut HeaderMap, name: HeaderName, value: &str) {
-    // Names and numbers of ours are always fit for a header.
+    // Names and numbers of the system are always valid in a header.
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
--- a/daemons/gateway/src/dispatch.rs
+++ b/daemons/gateway/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Finds an endpoint for a call and makes the attempts.
+//! Chooses an endpoint for a call and sends the attempts.
 
 use std::sync::Arc;
 
@@ -14,21 +14,21 @@
 use sill_route::{Outcome, RefusalReason};
 
 use crate::answer;
-use crate::dialect::{AnswerClass, Forward, MovedMemory};
+use crate::dialect::{AnswerClass, Forward, MigratedMemory};
 use crate::serve::Call;
 use crate::state::State;
 use crate::summary::CallSummary;
 use crate::termination::FinalPhase;
 
-/// Time for which a connection may have been unused before a call is sent on it that must not run
-/// twice. The longer it was unused, the likelier the endpoint closes it just now, and whether the
-/// call was run could then not be told.
+/// Longest time that a connection may have been idle if a call is sent on it that must not run
+/// twice. The longer the idle time, the likelier it is that the endpoint is closing the connection
+/// at this moment, and then it is unknown whether the call ran.
 const MAX_IDLE_NON_REPEATABLE: Millis = Millis(1500);
 
-/// An attempt that runs; it is counted at its endpoint until it is over.
+/// A running attempt. It counts towards its endpoint's load until it is finished or dropped.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Where it runs.
+    /// The endpoint chosen for the attempt, and why.
     pub placement: Placement,
     state: Arc<State>,
     call: Arc<Call>,
@@ -36,32 +36,32 @@
     is_over: bool,
 }
 
-/// Where a stream goes on.
+/// The point at which a stream is resumed.
 #[derive(Debug, Default, Clone)]
 pub struct Resumption {
-    /// The last event that the caller has.
+    /// The id of the last event that the caller received.
     pub last_event: Option<String>,
-    /// The memory of the run, if it was moved.
-    pub memory: Option<MovedMemory>,
+    /// The run's KV cache, if the run was migrated.
+    pub memory: Option<MigratedMemory>,
 }
 
-// There is one for each call at a time, so its size doesn't matter.
+// At most one exists per call at a time, so its size doesn't matter.
 #[allow(clippy::large_enum_variant)]
-/// What came of one attempt before its answer is passed on.
+/// The result of one attempt before its answer is relayed.
 pub enum AttemptResult {
-    /// An answer to pass on.
+    /// An answer to relay.
     Answer(Attempt, Answer),
-    /// None.
+    /// No answer to relay; the attempt is finished.
     Failed(AttemptOutcome),
 }
 
-/// Makes attempts until one is answered, nothing more can be done or the process ends.
+/// Sends attempts until one is answered, no further attempt is possible or the process ends.
 pub async fn run(state: Arc<State>, call: Arc<Call>) -> Response<AnyBody> {
     let mut summary = CallSummary::new(state.clone(), call.clone());
     let answered = tokio::select! {
         biased;
         answered = send_until_answered(&state, &call, &mut summary) => answered,
-        // Dropped, the attempt ends, and its endpoint is told.
+        // Dropping the attempt closes its connection, so the endpoint cancels the call.
         () = state.termination.wait_for(FinalPhase::LastAnswers) => Err(summary.fail_by_stop()),
     };
     match answered {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Makes attempts until one is answered; otherwise returns what the caller is told.
+/// Sends attempts until one is answered; otherwise returns the error response for the caller.
 async fn send_until_answered(
     state: &Arc<State>,
     call: &Arc<Call>,
@@ -116,16 +116,16 @@
     }
 }
 
-/// Returns whether the process lasts for one more attempt at a call.
+/// Returns whether the process lasts long enough for one more attempt at a call.
 ///
-/// An attempt that is begun too late is cut, or ends with its outcome unknown, though before it the call may
-/// surely not have run, and another entry instance could have taken it.
+/// An attempt that is started too late is cut or ends with an unknown outcome. Before it, the call
+/// is known not to have run, and another entry instance could serve it.
 pub fn has_time_for_attempt(state: &State, call: &Call) -> bool {
     let mode = state.planned_stop.attempt_mode(&call.route.name, call.due);
     mode.is_some_and(|mode| mode == AnswerMode::Passed || call.answer_mode == AnswerMode::Held)
 }
 
-/// Chooses an endpoint and counts the call there.
+/// Chooses an endpoint and counts the attempt towards its load.
 pub fn place_attempt(
     state: &Arc<State>,
     call: &Arc<Call>,
@@ -133,7 +133,7 @@
     exclude: &[Name],
     sends: u32,
 ) -> Result<Attempt, (RefusalReason, Millis)> {
-    // The router tells attempts of one call apart.
+    // The router needs a distinct id for each attempt of a call.
     let name: Name = match sends {
         0 => call.head.attempt.clone(),
         sends => format!("{}/{sends}", call.head.attempt).into(),
@@ -177,7 +177,7 @@
         },
         Ok(Err(SendFailure::NotSent(err))) => attempt.failed(AttemptOutcome::NotSent, &err),
         Ok(Err(SendFailure::Unknown(err))) => attempt.failed(AttemptOutcome::Unknown, &err),
-        Err(_) => attempt.failed(AttemptOutcome::TimedOut, "no answer in time"),
+        Err(_) => attempt.failed(AttemptOutcome::TimedOut, "no answer before the deadline"),
     };
     attempt.finish(match outcome {
         AttemptOutcome::NotSent | AttemptOutcome::Unknown | AttemptOutcome::Failed => {
@@ -217,7 +217,7 @@
 }
 
 impl Attempt {
-    /// Reads the head of an answer. Returns the outcome if the answer is not to be passed on.
+    /// Checks the head of an answer. Returns the outcome if the answer must not be relayed.
     fn check_answer(&mut self, answer: &Answer, progress: &CallProgress) -> Option<AttemptOutcome> {
         let dialect = &self.state.cfg.dialect;
         let (status, headers) = (answer.response.status(), answer.response.headers());
@@ -251,7 +251,7 @@
                 self.state.connections.forget(self.placement.address);
                 Some(self.failed(AttemptOutcome::WrongEndpoint, status_text))
             }
-            AnswerClass::Improper => Some(self.failed(AttemptOutcome::Unknown, "improper answer")),
+            AnswerClass::Improper => Some(self.failed(AttemptOutcome::Unknown, "invalid answer")),
         }
     }
 
@@ -276,29 +276,29 @@
         outcome
     }
 
-    /// Returns the state of the entry instance.
+    /// The shared state of the entry instance.
     pub fn state(&self) -> &Arc<State> {
         &self.state
     }
 
-    /// Returns the call.
+    /// The call that the attempt serves.
     pub fn call(&self) -> &Arc<Call> {
         &self.call
     }
 
-    /// Takes in that the first part of the answer came.
+    /// Records that the first part of the answer arrived.
     pub fn record_first_part(&self, now: Millis) {
         self.call.pool.pool.lock().record_first_part(now, &self.placement, &self.name);
     }
 
-    /// Counts that the call began to run for its account.
+    /// Counts the call towards its client account's usage; called when the call starts to run.
     pub fn count_usage(&self) {
         if let Some(account) = &self.call.account {
             self.state.count_usage(&account.name);
         }
     }
 
-    /// Ends the attempt.
+    /// Removes the attempt from its endpoint's load. Only the first outcome counts.
     pub fn finish(&mut self, outcome: Outcome) {
         if !std::mem::replace(&mut self.is_over, true) {
             let now = self.state.clock.now();
@@ -308,7 +308,7 @@
 }
 
 impl Drop for Attempt {
-    /// A caller that leaves ends the attempt wherever it stands.
+    /// A caller that disconnects cancels the attempt in any state.
     fn drop(&mut self) {
         self.finish(Outcome::Cancelled);
     }
--- a/daemons/gateway/src/failure.rs
+++ b/daemons/gateway/src/failure.rs
@@ -1,4 +1,4 @@
-//! Answers of the entry instance's own.
+//! Error responses of the entry instance itself.
 
 use http::{HeaderValue, Response, StatusCode, header};
 use sill_base::{Millis, Name};
@@ -8,38 +8,38 @@
 use crate::dialect::Dialect;
 use crate::state::State;
 
-/// Why a call has no answer of an endpoint.
+/// The reason why a call gets no answer from an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Failure {
-    /// Why.
+    /// The error code, which determines the status.
     pub code: ErrorCode,
-    /// When the caller may come back.
+    /// The time after which the caller may retry; none if it is unknown.
     pub retry_after: Option<Millis>,
 }
 
 impl Failure {
-    /// Makes a failure that names no time to come back.
+    /// Creates a failure without a retry time.
     pub const fn new(code: ErrorCode) -> Self {
         Self { code, retry_after: None }
     }
 
-    /// Makes a failure after which the caller may come back.
+    /// Creates a failure after which the caller may retry.
     pub const fn with_retry_after(code: ErrorCode, retry_after: Millis) -> Self {
         Self { code, retry_after: Some(retry_after) }
     }
 
-    /// Returns the status of the answer.
+    /// Returns the HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         StatusCode::from_u16(self.code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
     }
 
-    /// Returns whether the call has certainly not run.
+    /// Returns whether the call is known not to have run.
     pub const fn is_not_run(&self) -> bool {
         !matches!(self.code, ErrorCode::UpstreamFailed | ErrorCode::DeadlinePassed)
     }
 
-    /// Makes the answer to a call; where the entry instance stops, the last one on its connection. On the
-    /// same connection the caller would come back to this instance.
+    /// Builds the response to a call. During a stop it is the last one on its connection: on the
+    /// same connection the caller would retry at this instance.
     pub fn to_response(&self, state: &State, attempt: &Name) -> Response<AnyBody> {
         let mut response = self.build_response(&*state.cfg.dialect, attempt);
         if state.planned_stop.has_begun() {
--- a/daemons/gateway/src/lib.rs
+++ b/daemons/gateway/src/lib.rs
@@ -1,9 +1,10 @@
-//! The entry instance for routes: takes callers' requests, sends them to endpoints of the route's
-//! service, and passes the answers on byte for byte as they come.
+//! The entry instance for routes: accepts callers' requests, sends them to endpoints of the route's
+//! service, and relays the answers byte for byte as they arrive.
 //!
-//! Data goes one way: [`serve`] reads and admits a call, [`dispatch`] finds an endpoint and makes the
-//! attempts, [`answer`] and [`relay`] pass the answer on. [`link`] keeps up with the control instances, [`feed`] fetches
-//! settings from them.
+//! [`serve`] reads and admits a call, [`dispatch`] chooses an endpoint and sends the attempts, and
+//! [`answer`] and [`relay`] relay the answer. [`migration`] moves runs off reclaimed engines.
+//! [`link`] polls the control instances, and [`settings_fetcher`] fetches settings from them.
+//! [`planned_stop`] and [`termination`] bound calls during a stop.
 
 pub mod answer;
 pub mod cfg;
@@ -26,6 +27,6 @@
 
 pub use cfg::GatewayCfg;
 pub use daemon::Gateway;
-pub use dialect::{AnswerClass, CallHead, Dialect, Forward, MovedMemory};
+pub use dialect::{AnswerClass, CallHead, Dialect, Forward, MigratedMemory};
 pub use failure::Failure;
 pub use sill_dialect::SillDialect;
--- a/daemons/gateway/src/link.rs
+++ b/daemons/gateway/src/link.rs
@@ -1,7 +1,8 @@
-//! Keeps up with the control instances.
+//! Polls the control instances for endpoints, totals and settings.
 //!
-//! Two of them are followed at a time. One that is cut off from the others, or stands still, tells
-//! nothing new and doesn't know it; an endpoint that leaves would go on getting requests.
+//! Two of them are followed at a time. A control instance that is partitioned from the others or
+//! hangs sends no updates and doesn't notice it; with it alone, a leaving endpoint would continue
+//! to get requests.
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 use std::net::SocketAddr;
@@ -17,29 +18,29 @@
 use crate::settings_fetcher::RevisionOffers;
 use crate::state::State;
 
-/// Control instances that are followed at a time.
+/// Number of control instances that are followed at a time.
 pub const FOLLOWED_CONTROLS: usize = 2;
 
-/// How long a poll waits for news: reports go along with it, and totals by which limits are shared
-/// come back.
+/// How long a control instance holds a poll open while it has no changes. Each poll carries a
+/// report and returns the totals by which limits are shared.
 const POLL_WAIT: Millis = Millis(250);
 
-/// How long a poll may take on top of its wait.
+/// How long a poll may take beyond [`POLL_WAIT`].
 const POLL_TIMEOUT_MARGIN: Millis = Millis(600);
 
-/// Pause after a poll that failed.
+/// Pause after a failed poll.
 const RETRY_PAUSE: Millis = Millis(100);
 
-/// Time for which a control instance that failed is asked only if no other is left.
+/// Time for which a failed control instance is followed only if there is no other.
 const FAILURE_BACKOFF: Millis = Millis(5000);
 
-/// Time without word of a leader after which another control instance is followed.
+/// Time without a leader after which another control instance is followed.
 const LEADERLESS_TIMEOUT: Millis = Millis(1000);
 
-/// Pause between two polls of one control instance, so that many changes share one answer.
+/// Pause after a poll that returned changes, so that many changes share one answer.
 const CHANGE_POLL_PAUSE: Millis = Millis(20);
 
-/// The control instances as this entry instance knows them.
+/// Follows control instances, and keeps the list of those that are known.
 #[derive(Debug)]
 pub struct Link {
     state: Arc<State>,
@@ -51,15 +52,15 @@
     offers: RevisionOffers,
 }
 
-/// Why a control instance is not followed any more.
+/// Why a control instance is no longer followed.
 struct FollowEnd {
-    /// Whether it answered before.
+    /// Whether it had answered a poll before.
     was_followed: bool,
     reason: String,
 }
 
 impl Link {
-    /// Makes a link that knows the seeds.
+    /// Creates a link that knows only the seeds.
     pub fn new(state: Arc<State>) -> Self {
         let seeds = Mutex::new(state.cfg.seeds.clone());
         Self {
@@ -73,12 +74,12 @@
         }
     }
 
-    /// Returns where settings that control instances have are offered.
+    /// Returns the newest revision of the settings offered by control instances.
     pub fn offers(&self) -> &RevisionOffers {
         &self.offers
     }
 
-    /// Returns the control instances, those that are followed first.
+    /// Returns all known control instances, the followed ones first.
     pub fn sources(&self) -> Vec<SocketAddr> {
         let followed: Vec<SocketAddr> =
             self.followed_controls.lock().iter().flatten().copied().collect();
@@ -87,12 +88,12 @@
         all
     }
 
-    /// Takes in other seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.seeds.lock() = seeds;
     }
 
-    /// Follows one control instance after another, as one of [`FOLLOWED_CONTROLS`].
+    /// Follows one control instance after another in one of the [`FOLLOWED_CONTROLS`] slots.
     pub async fn follow(self: Arc<Self>, slot: usize) {
         loop {
             let Some(address) = self.pick(slot) else {
@@ -100,7 +101,8 @@
                 continue;
             };
             let FollowEnd { was_followed, reason } = self.follow_one(address).await;
-            // While this instance is cut off it tries all of them, again and again.
+            // An instance that is partitioned tries all of them repeatedly, so this is not a
+            // warning.
             if was_followed {
                 let followed = &self.state.metrics.followed_controls;
                 followed.dec();
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Polls a control instance until it fails or knows no leader.
+    /// Polls a control instance until it fails or reports no leader for too long.
     async fn follow_one(&self, address: SocketAddr) -> FollowEnd {
         let client =
             PeerClient::new(address, &self.state.cfg.cluster_key, POLL_WAIT + POLL_TIMEOUT_MARGIN);
@@ -154,7 +156,7 @@
             if reply.is_led {
                 *since = now;
             } else if now - *since > LEADERLESS_TIMEOUT && self.has_other(address) {
-                return end(true, "it knows no leader".to_owned());
+                return end(true, "it has reported no leader for too long".to_owned());
             }
             self.pause_after_changes(&reply).await;
         }
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Returns whether another one is known that did not fail lately.
+    /// Returns whether another control instance is known that has not failed recently.
     fn has_other(&self, address: SocketAddr) -> bool {
         let now = self.state.clock.now();
         let failures = self.failures.lock();
@@ -191,8 +193,9 @@
         all
     }
 
-    /// Picks one that is not followed yet: one that did not fail lately, by preference one of the
-    /// own failure domain for the first and of another for the rest.
+    /// Picks a control instance that is not followed in another slot. Those that have not failed
+    /// recently come first, then those of the own failure domain for the first slot and of other
+    /// failure domains for the others.
     fn pick(&self, slot: usize) -> Option<SocketAddr> {
         let now = self.state.clock.now();
         let candidates = self.candidates();
@@ -207,7 +210,7 @@
             let failed_at =
                 failures.get(address).filter(|at| now - **at <= FAILURE_BACKOFF).copied();
             let is_preferred = own_domain(address) == (slot == 0);
-            // Spread over those that are equal, so that not all follow the same one.
+            // Spreads the entry instances over equally ranked control instances.
             let tie_break = hash_choice(&self.state.cfg.name, address);
             (failed_at.unwrap_or_default(), !is_preferred, tie_break)
         };
--- a/daemons/gateway/src/metrics.rs
+++ b/daemons/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Numbers for the metrics address.
+//! Prometheus metrics of an entry instance.
 
 use eyre::Result;
 use prometheus::{
@@ -10,40 +10,41 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Calls by outcome.
+    /// Number of calls by outcome.
     pub calls: IntCounterVec,
-    /// Attempts by outcome.
+    /// Number of failed attempts by outcome.
     pub attempts: IntCounterVec,
-    /// Amounts that limits let in, in their units, by the reason.
+    /// Units admitted under limits, by the reason for admission.
     pub admitted_units: CounterVec,
-    /// Connections to endpoints that were opened.
+    /// Connections opened to endpoints, by service.
     pub connects: IntCounterVec,
-    /// Time to the first part of an answer.
+    /// Seconds from the head of a call to the first part of its answer.
     pub first_part: Histogram,
-    /// Time to the end of an answer.
+    /// Seconds from the head of a call to the end of its answer.
     pub whole_answer: Histogram,
-    /// Time before the first send.
+    /// Seconds from the head of a call until it is first sent to an endpoint.
     pub before_send: Histogram,
-    /// The revision of the settings in force.
+    /// The revision of the settings in force; 0 before the first.
     pub revision: IntGauge,
-    /// Time from when a control instance cut a revision into pieces until it is in force here.
+    /// Seconds from when a control instance cut a revision into pieces until it is in force here.
     pub settings_age: Histogram,
-    /// Control instances that answer this one's polls.
+    /// Number of control instances that answer this instance's polls.
     pub followed_controls: IntGauge,
-    /// Time from when an endpoint that took calls said that it leaves or ends until it is known here.
+    /// Seconds from when a ready endpoint announced its departure, or ended, until it is known
+    /// here.
     pub departure_age: Histogram,
-    /// Open connections of callers.
+    /// Number of open connections of callers.
     pub caller_connections: IntGauge,
-    /// Unused connections to endpoints.
+    /// Number of idle connections to endpoints.
     pub idle_connections: IntGauge,
 }
 
 impl Metrics {
-    /// Makes the metrics.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
     ///
-    /// Fails when two have the same name.
+    /// Fails when two metrics have the same name.
     pub fn new() -> Result<Self> {
         let registry = Registry::new();
         let counters = |name: &str, help: &str, label: &str| -> Result<IntCounterVec> {
@@ -103,7 +104,7 @@
         })
     }
 
-    /// Returns all metrics as text.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
--- a/daemons/gateway/src/migration.rs
+++ b/daemons/gateway/src/migration.rs
@@ -1,8 +1,8 @@
-//! Runs that are moved away from an engine before it is taken back.
+//! Migrates runs off an engine before it is reclaimed.
 //!
-//! A stream that may not be resumed is lost with its engine, and its prompt, mostly the longest ones,
-//! is computed in vain. Engines can stop such a run and copy its memory to another one, which goes on
-//! with it; the platform's notice of two seconds is enough.
+//! A stream that can't be resumed is lost with its engine, and its prompt, often one of the
+//! longest, has been computed in vain. Engines can stop such a run and copy its KV cache to another
+//! engine, which continues the run. The platform's notice of two seconds is long enough for this.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,59 +12,61 @@
 use sill_base::{Millis, Name, event};
 use sill_dispatch::Placement;
 
-use crate::dialect::MovedMemory;
+use crate::dialect::MigratedMemory;
 use crate::dispatch::{self, Attempt};
 use crate::serve::Call;
 use crate::state::State;
 
-/// How long before its engine is gone a run begins to be moved. Most runs end before; the memory of the
-/// rest takes 15 ms each, one after the other, for some twenty of them at an engine.
+/// How long before the end of its engine a run starts to be migrated. Most runs finish before that.
+/// The KV cache of each remaining one takes 15 ms, one after the other, for some twenty runs at an
+/// engine.
 const MIGRATION_LEAD: Millis = Millis(1000);
 
-/// How long a move may take; after that the engine is gone.
+/// Time limit of a migration; after that the engine is gone.
 const MIGRATION_TIMEOUT: Millis = Millis(950);
 
-/// Time for which a connection for such a call may have been unused.
+/// Longest time that a connection may have been idle if a copy request is sent on it.
 const MAX_CONNECTION_IDLE: Millis = Millis(2000);
 
-/// A run that was moved, and the attempt that goes on with it.
+/// A migrated run and the attempt that continues it.
 pub struct MigratedRun {
-    /// Counted at the engine that has the memory now.
+    /// The attempt at the engine that now has the KV cache.
     pub attempt: Attempt,
-    /// Where the memory came from.
-    pub memory: MovedMemory,
+    /// The KV cache and the engine it was copied from.
+    pub memory: MigratedMemory,
 }
 
-/// When a run is moved, and its move.
+/// The state of a run's migration: not due, in progress or copied.
 #[derive(Default)]
 pub struct RunMigration {
-    /// Done when the run has to be moved away from its engine.
+    /// Resolves when the run has to leave its engine; none once that has happened.
     due: Option<BoxFuture<'static, ()>>,
     transfer: Option<MemoryTransfer>,
 }
 
-/// A move that has begun.
+/// A migration that was started.
 pub enum MemoryTransfer {
-    /// The memory of the run is being copied.
+    /// The KV cache of the run is being copied.
     Copying(BoxFuture<'static, Option<MigratedRun>>),
-    /// It is copied; the old stream is still to end.
+    /// The KV cache is copied; the old stream has not ended yet.
     Copied(Box<MigratedRun>),
 }
 
 impl RunMigration {
-    /// Makes the one of a run that may be moved.
+    /// Creates the migration of an attempt's run, to start when its engine is about to end.
     pub fn of(attempt: &Attempt) -> Self {
         let (state, call) = (attempt.state().clone(), attempt.call().clone());
         let endpoint = attempt.placement.endpoint.clone();
         Self { due: Some(Box::pin(due(state, call, endpoint))), transfer: None }
     }
 
-    /// Starts to move the run once that is due, and goes on with it.
+    /// Starts the migration once it is due, and drives it.
     pub fn poll(&mut self, cx: &mut Context<'_>, attempt: &Attempt, sends: u32) {
         if self.due.as_mut().is_some_and(|due| due.as_mut().poll(cx).is_ready()) {
             self.due = None;
-            // The process ends before the engine does, so a move can't save the stream. The engine copies one
-            // memory after the other, and would have less time for the runs of other entry instances.
+            // The process ends before the engine does, so a migration can't save the stream. The
+            // engine copies one KV cache after the other, and would have less time for the runs of
+            // other entry instances.
             if attempt.state().planned_stop.ends_within(MIGRATION_LEAD) {
                 return;
             }
@@ -81,19 +83,19 @@
         }
     }
 
-    /// Returns whether only the end of the old stream is still to come.
+    /// Returns whether the copy is complete and only the old stream has to end.
     pub const fn is_copied(&self) -> bool {
         matches!(self.transfer, Some(MemoryTransfer::Copied(_)))
     }
 
-    /// Takes the move out, if it has begun.
+    /// Takes the migration out, if it was started.
     pub fn take(&mut self) -> Option<MemoryTransfer> {
         self.transfer.take()
     }
 }
 
 impl MemoryTransfer {
-    /// Waits for the end of the move.
+    /// Waits until the KV cache is copied; none if the migration failed.
     pub async fn finish(self) -> Option<MigratedRun> {
         match self {
             Self::Copying(copying) => copying.await,
@@ -102,18 +104,18 @@
     }
 }
 
-/// Waits until a run has to be moved away from its engine.
+/// Waits until a run has to leave its engine.
 async fn due(state: Arc<State>, call: Arc<Call>, endpoint: Name) {
     let at = call.pool.wait_for_departure(&endpoint).await;
     let time_left = at - MIGRATION_LEAD - state.clock.now();
     tokio::time::sleep(time_left.into()).await;
 }
 
-/// Has the engine copy the memory of the run to another one, and then stop the run.
+/// Has the engine copy the run's KV cache to another engine, and then stop the run.
 ///
-/// The first copy takes up to 0.8 s behind those of other runs, while the run goes on. The second one
-/// copies what came since, so the stream pauses for some 30 ms; stopped before the first, it paused for
-/// longer than callers of streams accept.
+/// The first copy takes up to 0.8 s behind those of other runs, while the run continues. The second
+/// one copies what was added since, so the stream pauses for some 30 ms. Stopping the run before
+/// the first copy made the pause longer than callers of streams accept.
 async fn migrate(
     state: Arc<State>,
     call: Arc<Call>,
@@ -132,13 +134,14 @@
         Ok::<_, String>((handle, state.clock.now() - copied_at))
     };
     let copies = tokio::time::timeout(MIGRATION_TIMEOUT.into(), copies).await;
-    let copies = copies.unwrap_or_else(|_| Err("no answer in time".to_owned()));
+    let copies =
+        copies.unwrap_or_else(|_| Err("copy not complete within the time limit".to_owned()));
     let (id, to) = (&call.head.attempt, &attempt.placement.endpoint);
     let ms = state.clock.now() - started_at;
     match copies {
         Ok((handle, pause)) => {
             event!(Info, "run_moved", id = id, from = endpoint, to = to, ms = ms, paused = pause);
-            Some(MigratedRun { attempt, memory: MovedMemory { source, handle } })
+            Some(MigratedRun { attempt, memory: MigratedMemory { source, handle } })
         }
         Err(why) => {
             event!(Warn, "run_not_moved", id = id, from = endpoint, to = to, why = why, ms = ms);
@@ -155,7 +158,8 @@
     stop_run: bool,
 ) -> Result<Name, String> {
     let dialect = &state.cfg.dialect;
-    let req = dialect.copy_run(&call.head.attempt, to, stop_run).ok_or("engines can't")?;
+    let req =
+        dialect.copy_run(&call.head.attempt, to, stop_run).ok_or("engines can't copy runs")?;
     let (status, body) = state.connections.fetch(source, req, MAX_CONNECTION_IDLE).await?;
     dialect.memory_handle(status, &body).ok_or_else(|| status.to_string())
 }
--- a/daemons/gateway/src/planned_stop.rs
+++ b/daemons/gateway/src/planned_stop.rs
@@ -1,4 +1,4 @@
-//! What a planned stop means for calls: which are begun, and how their answers are passed on.
+//! Admission of calls during a planned stop, and how their answers are relayed.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,7 +7,7 @@
 use sill_base::{Clock, Millis, Name, event};
 use sill_dispatch::{AnswerMode, CallTimes, StopTimes};
 
-/// The planned stop of this entry instance, if it was asked for, and what calls take.
+/// The planned stop of this entry instance, if it was requested, and the durations of recent calls.
 #[derive(Debug)]
 pub struct PlannedStop {
     clock: Clock,
@@ -16,17 +16,17 @@
     call_times: Mutex<CallTimes>,
 }
 
-/// A call that is not begun, as it may outlast the process.
+/// Why a call is not admitted: it may outlast the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InsufficientTime {
     /// Time until the instance ends.
     pub time_left: Millis,
-    /// What calls of its route usually take; none if too little is known.
+    /// How long calls of the route usually take; none if there are too few samples.
     pub usual_duration: Option<Millis>,
 }
 
 impl PlannedStop {
-    /// Makes the one of an instance that goes on.
+    /// Creates the state of an instance for which no stop was requested.
     pub fn new(clock: Clock) -> Self {
         Self {
             clock,
@@ -36,27 +36,28 @@
         }
     }
 
-    /// Returns whether the instance is about to stop.
+    /// Returns whether a stop was requested.
     pub fn has_begun(&self) -> bool {
         self.times.get().is_some()
     }
 
-    /// Has the balancer send callers elsewhere. What still runs at the end is cut.
+    /// Starts the stop: the instance is no longer ready for the balancer, and calls still running
+    /// at the end are cut.
     pub fn start(&self, times: StopTimes) {
         self.times.get_or_init(|| times);
     }
 
-    /// Has all calls refused from now on: those that are open are waited for.
+    /// Refuses all new calls from now on. Open calls are still completed.
     pub fn refuse_all(&self) {
         self.refuses_all.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether the instance ends within a span.
+    /// Returns whether the instance ends within `span` from now.
     pub fn ends_within(&self, span: Millis) -> bool {
         self.times.get().is_some_and(|stop| stop.ends_at <= self.clock.now() + span)
     }
 
-    /// Returns how a new call that must be over by `due` begins here.
+    /// Returns how a new call with deadline `due` is answered if it is admitted.
     ///
     /// # Errors
     ///
@@ -91,23 +92,25 @@
         Ok(mode)
     }
 
-    /// Returns how an attempt at a call that must be over by `due` begins here, if it may.
+    /// Returns how an attempt at a call with deadline `due` is answered; none if it may not be
+    /// started.
     pub fn attempt_mode(&self, route: &Name, due: Millis) -> Option<AnswerMode> {
         let Some(stop) = self.times.get() else { return Some(AnswerMode::Passed) };
         self.call_times.lock().answer_mode(self.clock.now(), route, due, *stop)
     }
 
-    /// Returns whether a call that must be over by `due` may still run when the instance ends.
+    /// Returns whether a call with deadline `due` may still be running when the instance ends.
     pub fn may_cut(&self, due: Millis) -> bool {
         self.stop_before(due).is_some()
     }
 
-    /// Returns the stop if the instance ends before `due`.
+    /// Returns the stop times if the instance ends before `due`.
     fn stop_before(&self, due: Millis) -> Option<&StopTimes> {
         self.times.get().filter(|stop| due > stop.ends_at)
     }
 
-    /// Returns how a stream goes on of which the caller has nothing yet, once its first part has come.
+    /// Returns how a stream is continued after its first part arrived, before the caller has any of
+    /// it.
     pub fn stream_mode(&self, id: &Name, route: &Name, due: Millis, first: Millis) -> AnswerMode {
         let Some(stop) = self.stop_before(due) else { return AnswerMode::Passed };
         let now = self.clock.now();
@@ -128,12 +131,12 @@
         forecast.mode
     }
 
-    /// Takes in the whole time of a call.
+    /// Records the duration of a call, up to the end of its answer.
     pub fn record_call(&self, route: &Name, whole: Millis) {
         self.call_times.lock().record_call(self.clock.now(), route, whole);
     }
 
-    /// Takes in the time until the first part of a call's answer.
+    /// Records the time until the first part of a call's answer.
     pub fn record_first_part(&self, route: &Name, first: Millis) {
         self.call_times.lock().record_first_part(self.clock.now(), route, first);
     }
--- a/daemons/gateway/src/relay.rs
+++ b/daemons/gateway/src/relay.rs
@@ -1,4 +1,5 @@
-//! Passes an answer on to the caller as it comes, and goes on elsewhere where a stream may be resumed.
+//! Relays an answer to the caller as it arrives, and resumes a stream at another endpoint where
+//! possible.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -26,56 +27,56 @@
 use crate::summary::CallSummary;
 use crate::termination::FinalPhase;
 
-/// An answer on its way.
+/// The body of an answer while it is relayed to the caller.
 pub struct Relay {
     state: Arc<State>,
     call: Arc<Call>,
     summary: CallSummary,
     progress: CallProgress,
     source: Source,
-    /// Set for streams that may go on at another endpoint.
+    /// Tracks the last complete event; set for streams that may be resumed at another endpoint.
     events: Option<EventTracker>,
     due: Pin<Box<Sleep>>,
-    /// Done when the end of the process cuts the answer.
+    /// Resolves when the end of the process cuts the answer.
     cut_by_stop: BoxFuture<'static, ()>,
-    /// The move of the run away from its engine, while the rest of its old stream comes in.
+    /// The migration of the run off its engine, while its old stream still arrives.
     migration: RunMigration,
     has_begun: bool,
-    /// The first part, until the head of the answer is on its way.
+    /// The first part, until the head of the answer is sent.
     buffered_part: Option<Bytes>,
-    /// Why the answer ends, once what came before is on its way to the caller.
+    /// The error that ends the answer once all earlier parts are sent to the caller.
     pending_error: Option<BodyError>,
 }
 
-// There is one for each call, so its size doesn't matter.
+// One exists per call, so its size doesn't matter.
 #[allow(clippy::large_enum_variant)]
-/// Where the answer comes from.
+/// Where the next part of the answer comes from.
 enum Source {
-    /// An endpoint.
+    /// The answer of an endpoint.
     Endpoint(EndpointAnswer),
-    /// Another endpoint is sought that goes on.
+    /// A resumed stream, whose endpoint has not answered yet.
     Resuming(BoxFuture<'static, Option<EndpointAnswer>>),
-    /// Nothing more comes.
+    /// No more parts follow.
     Ended,
 }
 
-/// An answer that comes from an endpoint.
+/// An answer that arrives from an endpoint.
 pub struct EndpointAnswer {
-    /// What is still to come.
+    /// The parts that have not been read yet.
     pub body: Incoming,
-    /// The attempt that it answers.
+    /// The attempt that produced the answer.
     pub attempt: Attempt,
-    /// The connection on which it comes.
+    /// The connection that carries the answer; it is reused after a complete answer.
     pub connection: Option<Returnable>,
 }
 
-/// Returns whether a run is to be moved, as one that can't be resumed from its events alone.
+/// Returns whether a run is migrated, because it can't be resumed from its events alone.
 pub fn is_movable(call: &Call) -> bool {
     call.route.route.kind == RouteKind::Stream && call.pool.can_move
 }
 
 impl Relay {
-    /// Makes the body of an answer; `goes_on` is whether it may go on at another endpoint.
+    /// Creates the body of an answer; `may_resume` is whether another endpoint may continue it.
     pub fn new(
         summary: CallSummary,
         answer: EndpointAnswer,
@@ -105,18 +106,18 @@
         }
     }
 
-    /// Waits for the first part and holds it until the head of the answer is on its way.
+    /// Waits for the first part and buffers it until the head of the answer is sent.
     ///
     /// # Errors
     ///
-    /// Fails when the answer breaks off before.
+    /// Fails when the answer breaks off before its first part.
     pub async fn buffer_first_part(&mut self) -> Result<(), BodyError> {
         let first = poll_fn(|cx| Pin::new(&mut *self).poll_frame(cx)).await;
         self.buffered_part = first.transpose()?.and_then(|frame| frame.into_data().ok());
         Ok(())
     }
 
-    /// Waits for the whole answer, of `limit` bytes at most.
+    /// Waits for the complete answer, of at most `limit` bytes.
     ///
     /// # Errors
     ///
@@ -128,13 +129,13 @@
             body.extend_from_slice(&data);
             if body.len() > limit {
                 self.source = Source::Ended;
-                return Err("too long to be held".into());
+                return Err("answer too long to be buffered".into());
             }
         }
         Ok(body)
     }
 
-    /// Ends a call none of whose answer was passed on.
+    /// Fails a call of whose answer nothing was sent to the caller.
     pub fn fail(&mut self) -> Response<AnyBody> {
         let code = match self.state.clock.now() < self.call.due {
             true => ErrorCode::UpstreamFailed,
@@ -143,9 +144,9 @@
         self.summary.fail(Failure::new(code))
     }
 
-    /// Ends a call none of whose answer was passed on when the process ends.
+    /// Fails a call of whose answer nothing was sent to the caller when the process ends.
     pub fn fail_by_stop(&mut self) -> Response<AnyBody> {
-        // The endpoint is told.
+        // Dropping the answer closes its connection, so the endpoint cancels the call.
         self.source = Source::Ended;
         self.summary.fail_by_stop()
     }
@@ -156,7 +157,8 @@
         }
     }
 
-    /// The old stream of a run that is being moved broke off. Goes on with the run where its memory is.
+    /// Continues a run at the engine that has its KV cache, after its old stream broke off. Returns
+    /// whether it does.
     fn resume_after_migration(&mut self) -> bool {
         let Some(transfer) = self.migration.take() else { return false };
         self.summary.set_outcome("cut");
@@ -190,7 +192,7 @@
         }
     }
 
-    /// The endpoint's answer is whole.
+    /// Completes the call: the endpoint's answer is complete.
     fn finish(&mut self) {
         if let Source::Endpoint(mut answer) = std::mem::replace(&mut self.source, Source::Ended) {
             answer.attempt.finish(Outcome::Finished);
@@ -201,7 +203,8 @@
         }
     }
 
-    /// The endpoint's answer broke off. Returns whether it may go on elsewhere.
+    /// Ends an attempt whose answer broke off, and resumes the stream elsewhere if allowed. Returns
+    /// whether it does.
     fn try_resume(&mut self, err: &hyper::Error) -> bool {
         let Source::Endpoint(mut answer) = std::mem::replace(&mut self.source, Source::Ended)
         else {
@@ -217,8 +220,9 @@
         self.progress.record(AttemptOutcome::Unknown);
         let Some(events) = &mut self.events else { return false };
         events.drop_partial();
-        // A stream that has begun is better off wherever it goes on: without that it is cut now. One without
-        // a first event can still be answered as a failure, which its caller may repeat elsewhere.
+        // A stream that has started is resumed even if it may outlast the process: otherwise it
+        // would be cut now. One without a first event can still be answered with a failure, and its
+        // caller may retry elsewhere.
         let has_time = self.has_begun || dispatch::has_time_for_attempt(&self.state, &self.call);
         let may_retry_elsewhere = is_resumable && next == NextStep::Retry && has_time;
         if !may_retry_elsewhere || !self.state.may_retry(&self.call.pool.service) {
@@ -233,9 +237,10 @@
         true
     }
 
-    /// Has the answer end as one that is not whole.
+    /// Ends the answer as incomplete, with an error after the parts sent so far.
     fn fail_with(&mut self, cx: &Context<'_>, err: BodyError) {
-        // Told at once, the server would drop the parts that it has not written yet.
+        // If the error were returned at once, the server would drop parts that it has not written
+        // yet.
         self.pending_error = Some(err);
         cx.waker().wake_by_ref();
     }
@@ -263,7 +268,8 @@
                     self.fail_with(cx, err.into());
                     return Poll::Pending;
                 }
-                // The engine has stopped the run; ended in good order or not, its stream is not whole.
+                // The engine has stopped the run, so its stream is incomplete even if it ended
+                // cleanly.
                 None if self.migration.is_copied() => {
                     self.resume_after_migration();
                     return Poll::Pending;
@@ -292,13 +298,13 @@
             }
             None => {
                 self.source = Source::Ended;
-                Poll::Ready(Err("no other endpoint goes on with the stream".into()))
+                Poll::Ready(Err("no other endpoint resumed the stream".into()))
             }
         }
     }
 }
 
-/// Has another endpoint go on after the last event that the caller has.
+/// Has another endpoint continue a stream after the last event that the caller received.
 async fn resume(
     state: Arc<State>,
     call: Arc<Call>,
@@ -348,12 +354,12 @@
         if this.due.as_mut().poll(cx).is_ready() {
             this.source = Source::Ended;
             this.summary.set_outcome("out_of_time");
-            return Poll::Ready(Some(Err("the time of the call is up".into())));
+            return Poll::Ready(Some(Err("the deadline of the call has passed".into())));
         }
         if this.cut_by_stop.as_mut().poll(cx).is_ready() {
             this.source = Source::Ended;
             this.summary.mark_cut_by_stop();
-            this.fail_with(cx, "the instance stops".into());
+            this.fail_with(cx, "the entry instance is stopping".into());
             return Poll::Pending;
         }
         this.poll_migration(cx);
@@ -393,7 +399,8 @@
 }
 
 impl Drop for Relay {
-    /// The server stops to ask once it has all bytes that the answer's length names.
+    /// The server stops polling once it has all bytes of the answer's length, so the end is
+    /// recorded here.
     fn drop(&mut self) {
         if let Source::Endpoint(answer) = &self.source
             && self.buffered_part.is_none()
--- a/daemons/gateway/src/serve.rs
+++ b/daemons/gateway/src/serve.rs
@@ -19,64 +19,65 @@
 use crate::state::{PoolState, State};
 use crate::termination::{FinalPhase, StopOutcome};
 
-/// Bytes of a body where settings name no bound.
+/// Size limit of a body in bytes if the settings name none.
 const MAX_BODY: usize = 4 << 20;
 
-/// When to come back to an instance that knows no settings yet; it learns them in half a second.
+/// Retry time of an instance that has no settings yet; it receives them within half a second.
 const RETRY_WITHOUT_SETTINGS: Millis = Millis(1000);
 
-/// Time that a call waits for the first settings, and for the first totals: control instances that start together with this one
-/// need as long until they have elected a leader.
+/// Time that a call waits for the first settings, and for the first totals. Control instances that
+/// start together with this instance take as long to elect a leader.
 const START_WAIT: Millis = Millis(1200);
 
-/// The part of a caller's time that it waits at most for either, so that there is enough left to be
-/// served.
+/// A call waits for either at most one part in this many of the time until its deadline, so that
+/// enough is left to serve it.
 const START_WAIT_DIVISOR: u64 = 4;
 
-/// When to come back for a service that has no endpoint yet.
+/// Retry time for a service that has no endpoint yet.
 const RETRY_WITHOUT_ENDPOINT: Millis = Millis(1000);
 
-/// When to come back after a refusal by an instance that stops. A new connection mostly goes to another one.
+/// Retry time after a refusal by a stopping instance. A new connection usually reaches another one.
 ///
-/// Told to wait until this instance is back, callers lost fewer requests but more time: with 57 and then 75
-/// of 83 instances stopping at once, 582 were lost in place of 2,021, and 46,567 answered within their
-/// targets in place of 48,055; to callers a late answer is worth a tenth.
+/// When callers were told to wait until this instance is back, they lost fewer requests but more
+/// time: with 57 and then 75 of 83 instances stopping at once, 582 requests were lost instead of
+/// 2,021, but 46,567 were answered within their targets instead of 48,055. To callers a late answer
+/// is worth a tenth.
 pub const RETRY_ELSEWHERE_AFTER: Millis = Millis(50);
 
 /// An admitted call.
 #[derive(Debug)]
 pub struct Call {
-    /// What it says of itself.
+    /// The routing information from the call's head.
     pub head: CallHead,
-    /// Its method.
+    /// The HTTP method, sent on unchanged.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query, sent on unchanged.
     pub uri: Uri,
-    /// Its headers.
+    /// The caller's headers, before the dialect adapts them for an endpoint.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
-    /// Its route.
+    /// The route that matched host and path.
     pub route: Arc<RouteEntry>,
-    /// Its account.
+    /// The client account of the caller's key; none for an anonymous call.
     pub account: Option<Arc<AccountEntry>>,
-    /// What it takes of the account's limit.
+    /// The units taken from the account's limit; refunded if the call does not run.
     pub amount: f64,
-    /// The endpoints of its service.
+    /// The endpoints of the service that was drawn for the call.
     pub pool: Arc<PoolState>,
-    /// Its prompt; empty for a call without one.
+    /// The prompt; empty for a call without one.
     pub prompt: Arc<Prompt>,
-    /// Its rank; 0 goes first.
+    /// The priority rank; 0 is served first.
     pub urgency: u8,
-    /// When its head had been read.
+    /// When the head of the call was read.
     pub received_at: Millis,
-    /// When its answer must be whole.
+    /// The deadline for the complete answer.
     pub due: Millis,
-    /// How its answer is passed on.
+    /// Whether the answer is relayed as it arrives or once it is complete.
     pub answer_mode: AnswerMode,
 }
 
-/// Answers a caller.
+/// Reads, admits and serves one call, and returns the response.
 pub async fn serve_call(state: Arc<State>, req: Request<Incoming>) -> Response<AnyBody> {
     let received_at = state.clock.now();
     let (parts, body) = req.into_parts();
@@ -86,9 +87,10 @@
     }
     let attempt = head.attempt.clone();
     let admitted = tokio::select! {
-        // What comes after the last answers began is refused before it is sent anywhere.
+        // Once the last answers are being sent, a call is refused before it is sent to an endpoint.
         biased;
-        () = state.termination.wait_for(FinalPhase::LastAnswers) => Err(Refusal::by_stop(&state, "not read by the end".to_owned())),
+        () = state.termination.wait_for(FinalPhase::LastAnswers) =>
+            Err(Refusal::by_stop(&state, "request not read completely before the end of the stop".to_owned())),
         admitted = admit(&state, head, parts, body, received_at) => admitted,
     };
     match admitted {
@@ -97,13 +99,13 @@
     }
 }
 
-/// A call that was not admitted, with what decided it.
+/// The refusal of a call that was not admitted, with the reason.
 struct Refusal {
     failure: Failure,
     route: Name,
     account: Name,
     reason: &'static str,
-    /// What decided it, where that is more than the call itself.
+    /// The figures behind the decision, beyond the call itself.
     inputs: String,
 }
 
@@ -114,7 +116,7 @@
         Self { failure: Failure::new(code), route: none.clone(), account: none, reason, inputs }
     }
 
-    /// Makes the refusal of a call for which the process doesn't last.
+    /// Creates the refusal of a call that may outlast the process.
     fn by_stop(state: &State, inputs: String) -> Self {
         state.termination.record(StopOutcome::Refused);
         let failure = Failure::with_retry_after(ErrorCode::NoCapacity, RETRY_ELSEWHERE_AFTER);
@@ -165,19 +167,20 @@
     let timeout = route.route.timeout_ms;
     let time_left = head.deadline.map_or(timeout, |deadline| deadline.min(timeout));
     let due = received_at + time_left;
-    // Begun too late, the call would be cut off in the middle, and could not be sent again.
+    // A call that is admitted too late would be cut in the middle, and could not be repeated.
     let answer_mode =
         state.planned_stop.admit(&head.attempt, &route.name, due).map_err(|refusal| {
             let InsufficientTime { time_left, usual_duration } = refusal;
             let (due, usual_duration) = (due - received_at, usual_duration.unwrap_or_default());
             let inputs = format!(
-                "{time_left} ms until the end, {due} ms for the call, usually {usual_duration}"
+                "{time_left} ms to the end, {due} ms to the deadline, usually {usual_duration} ms"
             );
             Refusal { route: route.name.clone(), ..Refusal::by_stop(state, inputs) }
         })?;
     let amount = limit_units(&head, account.as_deref());
     if let Some(account) = &account {
-        // An instance that has just started doesn't know what it admitted before, nor what others do.
+        // An instance that has just started doesn't know what it admitted before, nor what others
+        // admit.
         state.first_totals(&account.name, amount, start_wait(&head), START_WAIT).await;
     }
     if let Some(account) = &account
@@ -210,8 +213,9 @@
     })
 }
 
-/// Returns the settings in force. An instance that has just started knows none for half a second;
-/// a caller that it refused would come back a second later, when it could long have been served.
+/// Returns the settings in force. An instance that has just started has none for half a second. A
+/// caller that it refused would retry a second later, although it could have been served long
+/// before.
 async fn settings(state: &State, head: &CallHead) -> Option<Arc<RouteTable>> {
     if let Some(table) = state.table() {
         return Some(table);
@@ -219,13 +223,13 @@
     state.first_table(start_wait(head)).await
 }
 
-/// Returns how long a call waits for what an instance that has just started is not told yet.
+/// Returns how long a call waits for data that an instance that has just started lacks.
 fn start_wait(head: &CallHead) -> Millis {
     let time_left = head.deadline.unwrap_or(Millis::MAX);
     Millis(time_left.0 / START_WAIT_DIVISOR).min(START_WAIT)
 }
 
-/// Finds the route by host, with or without its port, and path.
+/// Finds the route by path and host, with or without the host's port.
 fn find_route(table: &RouteTable, head: &CallHead, parts: &Parts) -> Option<Arc<RouteEntry>> {
     let path = parts.uri.path();
     let bare_host = head.host.split_once(':').map(|(host, _)| host);
@@ -260,7 +264,7 @@
     }
 }
 
-/// Returns what a call takes of its account's limit.
+/// Returns the units that a call takes from its account's limit: tokens, or 1 per request.
 fn limit_units(head: &CallHead, account: Option<&AccountEntry>) -> f64 {
     let Some(account) = account else { return 0.0 };
     let limit = account.account.limit.unwrap_or_default();
--- a/daemons/gateway/src/settings_fetcher.rs
+++ b/daemons/gateway/src/settings_fetcher.rs
@@ -1,8 +1,8 @@
-//! Fetches settings, piece by piece, from whichever control instance has them.
+//! Fetches settings in pieces from any control instance that has them.
 //!
-//! The polls tell of what a new revision is made; its pieces come on a way of their own. A piece that has
-//! come is kept whatever happens to the rest, and waiting is bounded for each answer, not for the whole:
-//! on a slow link large settings come late, but they come.
+//! Polls return the manifest of a new revision; its pieces are fetched separately. Received pieces
+//! are kept when a fetch fails, and the timeout applies to each answer instead of the whole fetch:
+//! over a slow link large settings arrive late, but they arrive.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,32 +17,33 @@
 use crate::link::Link;
 use crate::state::State;
 
-/// Pieces that are asked for in one call; as many of them come as fit in its answer.
+/// Number of pieces requested in one call; the answer has as many of them as fit.
 const PIECES_PER_REQUEST: usize = 64;
 
-/// How long one answer may take. It holds 32 kB.
+/// Timeout of one answer, which holds 32 kB.
 const REPLY_TIMEOUT: Millis = Millis(1000);
 
 /// Pause after all control instances failed.
 const RETRY_PAUSE: Millis = Millis(100);
 
-/// Time without the wanted settings after which it is logged what they wait for, and again.
+/// Time without the wanted settings after which their progress is logged, and the interval of
+/// further log lines.
 const LATE_LOG_INTERVAL: Millis = Millis(1000);
 
-/// A revision, and who told of it.
+/// A revision and the control instance that offered it.
 #[derive(Debug, Clone)]
 struct RevisionOffer {
     manifest: Manifest,
     from: SocketAddr,
 }
 
-/// Takes offers of revisions.
+/// Holds the newest revision that a control instance offered.
 #[derive(Debug)]
 pub struct RevisionOffers {
     newest: watch::Sender<Option<RevisionOffer>>,
 }
 
-/// Fetches the newest revision that was offered.
+/// Fetches the newest offered revision and puts it in force.
 #[derive(Debug)]
 pub struct SettingsFetcher {
     state: Arc<State>,
@@ -53,7 +54,7 @@
     stats: FetchStats,
 }
 
-/// What is told of a fetch in its log lines.
+/// Figures about a fetch for its log lines.
 #[derive(Debug, Clone, Default)]
 struct FetchStats {
     started_at: Millis,
@@ -71,7 +72,7 @@
 }
 
 impl RevisionOffers {
-    /// Takes in of what a revision is made, from the control instance that tells it.
+    /// Offers a revision by its manifest. Only one newer than the last offer has an effect.
     pub fn offer(&self, manifest: Manifest, from: SocketAddr) {
         self.newest.send_if_modified(|newest| {
             let current = newest.as_ref().map(|current| current.manifest.revision);
@@ -85,17 +86,17 @@
 }
 
 impl SettingsFetcher {
-    /// Makes a feed that has nothing.
+    /// Creates a fetcher that has no pieces yet.
     pub fn new(state: Arc<State>, link: Arc<Link>) -> Self {
         let mut offers = link.offers().newest.subscribe();
-        // What was offered before counts as new: it is not offered again, and without it an instance would refuse
-        // all calls until the next change.
+        // An earlier offer counts as new: it is not repeated, and without it the instance would
+        // refuse all calls until the next change.
         offers.mark_changed();
         let (assembly, clients) = (SettingsAssembly::default(), Map::default());
         Self { state, link, offers, assembly, clients, stats: FetchStats::default() }
     }
 
-    /// Fetches what is offered and puts it in force, until the offers end.
+    /// Fetches offered revisions and puts them in force, until the sender of offers is dropped.
     pub async fn run(mut self) {
         while self.offers.changed().await.is_ok() {
             let from = self.take_offer();
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Makes the newest offer the wanted revision, and returns who told of it.
+    /// Makes the newest offer the wanted revision, and returns who offered it.
     fn take_offer(&mut self) -> Option<SocketAddr> {
         let RevisionOffer { manifest, from } = self.offers.borrow_and_update().clone()?;
         let now = self.state.clock.now();
@@ -116,7 +117,8 @@
         Some(from)
     }
 
-    /// Fetches what the wanted revision lacks; a newer one that is offered meanwhile takes its place.
+    /// Fetches the missing pieces of the wanted revision. A newer offer in the meantime replaces
+    /// it.
     async fn fetch(&mut self, mut from: Option<SocketAddr>) -> Option<CompleteSettings> {
         let mut late_at = self.stats.started_at + LATE_LOG_INTERVAL;
         let mut failed_sources = Vec::new();
@@ -150,8 +152,8 @@
         }
     }
 
-    /// Picks who is asked next: who told of the revision or answered last, then who is followed, then
-    /// all others.
+    /// Picks the next control instance to ask: the one that offered the revision or answered last,
+    /// then the followed ones, then all others.
     fn next_source(
         &self,
         from: Option<SocketAddr>,
@@ -161,7 +163,7 @@
         from.filter(has_not_failed).or_else(|| self.link.sources().into_iter().find(has_not_failed))
     }
 
-    /// Asks for pieces, and returns whether any came.
+    /// Requests pieces, and returns whether any valid one arrived.
     async fn request_pieces(&mut self, source: SocketAddr, mut missing: Vec<PieceId>) -> bool {
         missing.truncate(PIECES_PER_REQUEST);
         let key = &self.state.cfg.cluster_key;
@@ -170,7 +172,7 @@
         let reply = match client.call(&PiecesAsk { pieces: missing }).await {
             Ok(reply) => reply,
             Err(err) => {
-                // Its connection may be dead without a word.
+                // The connection may be dead without an error, so the next request opens a new one.
                 self.clients.remove(&source);
                 self.stats.last_error = format!("{source}: {err}");
                 return false;
@@ -186,11 +188,11 @@
                 }
                 Err(err) => self.reject_piece(source, &err),
             }
-            // Calls are answered in between.
+            // Lets calls be served in between.
             tokio::task::yield_now().await;
         }
         if reply.pieces.is_empty() {
-            self.stats.last_error = format!("{source}: it has none of the pieces");
+            self.stats.last_error = format!("{source}: it has none of the requested pieces");
         }
         is_progress
     }
@@ -229,12 +231,12 @@
         let (revision, pieces) = (manifest.revision.0, parts.len());
         let previous = self.state.table().map_or(0, |table| table.revision);
         let started_at = self.state.clock.now();
-        // Calls are answered while a large table is made.
+        // Calls are served while a large table is built.
         let join = move || RouteTable::join(revision, &parts);
         let Ok(table) = tokio::task::spawn_blocking(join).await else { return };
         self.state.apply_settings(Arc::new(table));
         let now = self.state.clock.now();
-        // Clocks of instances run apart by a few milliseconds, so it may seem negative.
+        // Clocks of instances differ by a few milliseconds, so the difference may be below zero.
         let age = self.state.true_time() - manifest.cut_at;
         self.state.metrics.settings_age.observe(age.0 as f64 / 1000.0);
         event!(
--- a/daemons/gateway/src/sill_dialect.rs
+++ b/daemons/gateway/src/sill_dialect.rs
@@ -1,4 +1,4 @@
-//! The product's own headers.
+//! The product's own header format.
 
 use http::request::Parts;
 use http::{HeaderMap, HeaderName, StatusCode, header};
--- a/daemons/gateway/src/state.rs
+++ b/daemons/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of an entry instance share, each under its own lock.
+//! The state shared by the parts of an entry instance, each under its own lock.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -25,78 +25,78 @@
 use crate::planned_stop::PlannedStop;
 use crate::termination::Termination;
 
-/// Time that a new connection to an endpoint may take. Between failure domains it takes 3 ms; a
-/// first packet that was lost is sent again after a second, which is too late for most calls.
+/// Timeout for connecting to an endpoint. A connection between failure domains takes 3 ms. A lost
+/// first packet is sent again after a second, which is too late for most calls.
 const CONNECT_TIMEOUT: Millis = Millis(250);
 
-/// Time after which a connection is given up that no longer acknowledges.
+/// Time without acknowledgements after which a connection to an endpoint is dropped.
 const UNACKNOWLEDGED_TIMEOUT: Millis = Millis(3000);
 
-/// Time for which an unused connection is kept to an endpoint that names none.
+/// Time for which an idle connection is kept if the endpoint announces no limit.
 const DEFAULT_IDLE_TIMEOUT: Millis = Millis(10_000);
 
-/// Part of the time that an endpoint names which is not used.
+/// Time by which an idle connection is closed before the limit that its endpoint announces.
 const IDLE_MARGIN: Millis = Millis(1000);
 
 /// Time for which the departure of an endpoint is remembered.
 const DEPARTURE_TTL: Millis = Millis(60_000);
 
-/// Part by which the learned speed of engines moves before it is logged again.
+/// Relative change of the learned engine speed after which it is logged again.
 const SPEED_LOG_CHANGE: f64 = 0.1;
 
-/// How long the load that an endpoint told is reported. Reports go out four times a second; what one of them
-/// lost on its way is in the next.
+/// Age up to which a load reported by an endpoint is sent to control instances. Reports are sent
+/// four times a second, so a load lost with one report is in the next.
 const LOAD_REPORT_AGE: Millis = Millis(600);
 
-/// Span over which rates for the leader are averaged.
+/// Time span over which rates reported to the leader are averaged.
 const RATE_SPAN: Millis = Millis(2000);
 
-/// An entry instance's own state.
+/// The state of an entry instance.
 #[derive(Debug)]
 pub struct State {
-    /// Its settings.
+    /// The settings the instance was started with.
     pub cfg: GatewayCfg,
-    /// Its clock.
+    /// The steady clock of the process.
     pub clock: Clock,
-    /// Its life.
+    /// The incarnation, which tells restarts under the same name apart.
     pub incarnation: Incarnation,
-    /// Its metrics.
+    /// The metrics served to operators.
     pub metrics: Metrics,
-    /// Connections to endpoints.
+    /// The pool of connections to endpoints.
     pub connections: Connections,
-    /// Open connections of callers.
+    /// Counts open connections of callers.
     pub callers: Arc<OpenConnections>,
-    /// How calls end that a stop doesn't wait for.
+    /// Ends the calls that a stop doesn't wait for.
     pub termination: Termination,
-    /// Its planned stop.
+    /// The planned stop, and the call durations it depends on.
     pub planned_stop: PlannedStop,
     table: watch::Sender<Option<Arc<RouteTable>>>,
     pools: RwLock<Map<Name, Arc<PoolState>>>,
     shares: Mutex<LimitShares>,
     has_totals: watch::Sender<bool>,
-    /// When the first settings came.
+    /// When the first settings came into force.
     first_settings_at: OnceLock<Millis>,
     budgets: Mutex<RetryBudgets>,
     usage: Mutex<UsageCounter>,
-    /// True time of day less the steady clock, in milliseconds.
+    /// True time of day minus the steady clock, in milliseconds.
     time_offset: AtomicU64,
 }
 
-/// The endpoints of a service, and what is counted of its calls.
+/// The endpoints of a service, and rates of its calls.
 #[derive(Debug)]
 pub struct PoolState {
-    /// The service.
+    /// The name of the service.
     pub service: Name,
-    /// The endpoints.
+    /// The endpoints and their loads.
     pub pool: Mutex<Pool>,
-    /// Whether they are model engines.
+    /// Whether the endpoints are model engines.
     pub is_engine: bool,
-    /// Whether runs can be moved between them.
+    /// Whether runs can be migrated between the endpoints.
     pub can_move: bool,
     rates: Mutex<Rates>,
-    /// Prompt tokens that an engine reads in a second, as they were last logged.
+    /// Prefill speed of an engine in tokens per second as last logged.
     logged_speed: Mutex<f64>,
-    /// When endpoints that leave are gone.
+    /// When leaving endpoints will be gone.
     departures: Mutex<Map<Name, Millis>>,
     departure_count: watch::Sender<u64>,
 }
@@ -108,7 +108,7 @@
 }
 
 impl State {
-    /// Makes the state of an instance that knows nothing yet.
+    /// Creates the state of an instance without settings or endpoints.
     ///
     /// # Errors
     ///
@@ -142,12 +142,12 @@
         })
     }
 
-    /// Returns the settings in force, if any are known.
+    /// Returns the settings in force; none before the first arrived.
     pub fn table(&self) -> Option<Arc<RouteTable>> {
         self.table.borrow().clone()
     }
 
-    /// Returns the settings in force, once any are known.
+    /// Waits for the first settings, at most for `timeout`, and returns the settings in force.
     pub async fn first_table(&self, timeout: Millis) -> Option<Arc<RouteTable>> {
         let mut tables = self.table.subscribe();
         let first = tables.wait_for(|table| table.is_some());
@@ -155,8 +155,8 @@
         first.ok()?.ok()?.clone()
     }
 
-    /// Waits until it is known what all entry instances admit, if a call needs that, and no longer than a time
-    /// after the first settings: while there is no leader nobody tells it.
+    /// Waits for the totals of all entry instances if a call needs them, at most for `timeout` and
+    /// until `after_settings` after the first settings: without a leader nobody sends totals.
     pub async fn first_totals(
         &self,
         account: &Name,
@@ -174,34 +174,35 @@
         let _ = tokio::time::timeout(time_left.min(timeout).into(), totals).await;
     }
 
-    /// Returns the endpoints of a service.
+    /// Returns the endpoints of a service; none if neither settings nor endpoints have named it.
     pub fn pool(&self, service: &Name) -> Option<Arc<PoolState>> {
         self.pools.read().get(service).cloned()
     }
 
-    /// Returns whether callers should be sent here.
+    /// Returns whether the balancer should send callers to this instance.
     pub fn is_ready(&self) -> bool {
         let has_endpoints =
             || self.pools.read().values().any(|pool| pool.pool.lock().ready_count() > 0);
         !self.planned_stop.has_begun() && self.table.borrow().is_some() && has_endpoints()
     }
 
-    /// Returns the open connections of callers.
+    /// Returns how many connections of callers are open, from before and after the stop request.
     pub fn open_calls(&self) -> OpenCalls {
         OpenCalls { older: self.callers.older(), later: self.callers.later() }
     }
 
-    /// Returns true time of day.
+    /// Returns the true time of day, as the control instances last reported it.
     pub fn true_time(&self) -> Millis {
         self.clock.now() + Millis(self.time_offset.load(Ordering::Relaxed))
     }
 
-    /// Takes in what the control instance at an address tells.
+    /// Applies a poll reply of the control instance at `from`.
     pub fn apply_reply(&self, from: SocketAddr, reply: &LinkReply) {
         let now = self.clock.now();
         self.time_offset.store((reply.true_time - now).0, Ordering::Relaxed);
         for fact in &reply.endpoints {
-            // Without a leader it may be cut off, and hears less than others.
+            // A control instance without a leader may be partitioned, and miss heartbeats that
+            // others receive.
             if fact.state != EndpointState::Silent || reply.is_led {
                 self.apply_fact(now, from, fact);
             }
@@ -239,7 +240,7 @@
         );
     }
 
-    /// Logs and counts how limits were applied since the last time.
+    /// Logs and counts admissions under limits since the last call.
     fn log_limits(&self, now: Millis) {
         let (estimates, admitted, (entries, age)) = {
             let mut shares = self.shares.lock();
@@ -300,7 +301,7 @@
         let is_engine = engine.is_some();
         let mut pools = self.pools.write();
         let existing = pools.get(service);
-        // What endpoints say comes before settings do, and doesn't tell whether they are engines.
+        // Endpoints may be known before the settings, which say whether the endpoints are engines.
         if let Some(existing) = existing.filter(|existing| existing.is_engine || !is_engine) {
             return existing.clone();
         }
@@ -372,37 +373,37 @@
         );
     }
 
-    /// Admits a call of an account, or tells when to come back.
+    /// Admits a call under its account's limit.
     ///
     /// # Errors
     ///
-    /// Fails with the time to wait where the account is over its limit.
+    /// Fails with the retry time if the account is over its limit.
     pub fn admit(&self, account: &Name, amount: f64) -> Result<(), OverLimit> {
         self.shares.lock().admit(self.clock.now(), account, amount)
     }
 
-    /// Gives back what a call took that did not run.
+    /// Returns the units of a call that did not run to its account.
     pub fn refund(&self, account: &Name, amount: f64) {
         self.shares.lock().refund(self.clock.now(), account, amount);
     }
 
-    /// Counts a request that begins to run now.
+    /// Counts a request that starts to run now towards its account's usage.
     pub fn count_usage(&self, account: &Name) {
         let window = window_of(self.true_time(), self.cfg.usage_window);
         self.usage.lock().count(window, account);
     }
 
-    /// Counts a request for a service, which earns a part of a retry.
+    /// Counts a request for a service, which adds a fraction of a retry to the service's budget.
     pub fn count_request(&self, service: &Name) {
         self.budgets.lock().count_request(self.clock.now(), service);
     }
 
-    /// Returns whether a retry may be sent to a service, and counts it if so.
+    /// Takes a retry from the service's budget; returns false if it is used up.
     pub fn may_retry(&self, service: &Name) -> bool {
         self.budgets.lock().may_retry(self.clock.now(), service)
     }
 
-    /// Reports usage, demand and work for the control instances.
+    /// Builds the next report of usage, demand and load for the control instances.
     pub fn report(&self, sequence: u64) -> EntryReport {
         let now = self.clock.now();
         self.log_limits(now);
@@ -436,7 +437,7 @@
 }
 
 impl PoolState {
-    /// Takes in when an endpoint that leaves is gone.
+    /// Records when a leaving endpoint will be gone.
     fn record_departure(&self, now: Millis, endpoint: &Name, at: Millis) {
         let mut departures = self.departures.lock();
         departures.retain(|_, at| now - *at < DEPARTURE_TTL);
@@ -445,7 +446,7 @@
         self.departure_count.send_modify(|count| *count += 1);
     }
 
-    /// Waits until an endpoint has said that it leaves, and returns when it is gone.
+    /// Waits until an endpoint announces its departure, and returns when it will be gone.
     pub async fn wait_for_departure(&self, endpoint: &Name) -> Millis {
         let mut departure_count = self.departure_count.subscribe();
         loop {
@@ -458,17 +459,18 @@
         }
     }
 
-    /// Counts prompt tokens that an endpoint has to compute.
+    /// Counts prompt tokens that an endpoint has to compute because they are not in its prefix
+    /// cache.
     pub fn count_fresh_tokens(&self, now: Millis, tokens: u64) {
         self.rates.lock().fresh_tokens.add(now, RATE_SPAN, tokens as f64);
     }
 
-    /// Counts a request that was refused for want of room.
+    /// Counts a request that was refused because no endpoint had capacity.
     pub fn count_refusal(&self, now: Millis) {
         self.rates.lock().refused.add(now, RATE_SPAN, 1.0);
     }
 
-    /// Logs what was learned of the engines, once it has moved by [`SPEED_LOG_CHANGE`].
+    /// Logs the learned engine speed once it changed by more than [`SPEED_LOG_CHANGE`].
     fn log_speed(&self, speed: EngineSpeed) {
         let mut logged = self.logged_speed.lock();
         let (before, now) = (*logged, speed.prefill_tokens_per_s);
--- a/daemons/gateway/src/summary.rs
+++ b/daemons/gateway/src/summary.rs
@@ -1,4 +1,4 @@
-//! The line that tells of a call when it is over.
+//! The log line of a finished call.
 
 use std::sync::Arc;
 
@@ -15,24 +15,25 @@
 use crate::state::State;
 use crate::termination::{FinalPhase, StopOutcome};
 
-/// When to come back after a refusal that names no time itself.
+/// Retry time after a refusal that names none itself.
 const DEFAULT_RETRY_AFTER: Millis = Millis(500);
 
-/// The outcome of a call that nothing else has ended.
+/// The outcome of a call unless another one is set.
 const CALLER_LEFT: &str = "caller_left";
 
-/// The outcome of a call whose answer the end of the process cut.
+/// The outcome of a call whose answer was cut by the end of the process.
 const CUT_BY_STOP: &str = "cut_by_stop";
 
-/// The outcome of a call that waited for its answer at the end of the process.
+/// The outcome of a call that still waited for its answer at the end of the process.
 const FAILED_BY_STOP: &str = "failed_by_stop";
 
-/// What is logged of a call when it is over.
+/// Collects what is logged and counted when the call ends; the line is written on drop.
 #[derive(Debug)]
 pub struct CallSummary {
     state: Arc<State>,
     call: Arc<Call>,
-    /// How it ended; a caller that leaves is not there to be told.
+    /// How the call ended. It is [`CALLER_LEFT`] at first, as nothing reports a caller's
+    /// disconnect.
     outcome: &'static str,
     status: u16,
     endpoint: Name,
@@ -43,7 +44,7 @@
 }
 
 impl CallSummary {
-    /// Begins the line of a call that was admitted.
+    /// Creates the summary of an admitted call.
     pub fn new(state: Arc<State>, call: Arc<Call>) -> Self {
         Self {
             state,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Notes where the call is sent.
+    /// Records that the call is sent to an endpoint.
     pub fn record_send(&mut self, placement: &Placement, now: Millis) {
         if self.send_count == 0 {
             let waited = (now - self.call.received_at).as_secs_f64();
@@ -69,18 +70,18 @@
         self.reason.clone_from(&placement.reason);
     }
 
-    /// Notes another endpoint that goes on with the answer.
+    /// Records that another endpoint continues the answer.
     pub fn record_resume(&mut self, placement: &Placement) {
         self.send_count += 1;
         self.endpoint = placement.endpoint.clone();
     }
 
-    /// Notes the status that the caller gets.
+    /// Sets the HTTP status that the caller gets.
     pub fn set_status(&mut self, status: u16) {
         self.status = status;
     }
 
-    /// Notes a part of the answer.
+    /// Records a part of the answer, of `bytes` bytes.
     pub fn record_part(&mut self, now: Millis, bytes: usize) {
         if self.first_part.is_none() {
             self.first_part = Some(now);
@@ -90,27 +91,27 @@
         self.bytes += bytes as u64;
     }
 
-    /// Notes how the call ended.
+    /// Sets how the call ended.
     pub fn set_outcome(&mut self, outcome: &'static str) {
         self.outcome = outcome;
     }
 
-    /// Notes that the end of the process cuts the answer.
+    /// Sets the outcome of an answer that the end of the process cuts.
     pub fn mark_cut_by_stop(&mut self) {
         self.outcome = CUT_BY_STOP;
     }
 
-    /// Ends a call that waits for the first part of its answer when the process ends.
+    /// Fails a call that still waits for the first part of its answer when the process ends.
     ///
-    /// It is at an endpoint, or on its way there, so nobody can tell whether it runs. Cut, its caller would
-    /// know neither that nor where the fault was.
+    /// The call is at an endpoint or on its way there, so it is unknown whether it runs. If its
+    /// connection were just closed, its caller would know neither that nor which side failed.
     pub fn fail_by_stop(&mut self) -> Response<AnyBody> {
         let response = self.fail(Failure::new(ErrorCode::UpstreamFailed));
         self.outcome = FAILED_BY_STOP;
         response
     }
 
-    /// Ends a call for which the process doesn't last for another attempt.
+    /// Ends a call that the process has no time to attempt again.
     pub fn end_without_retry(&mut self, progress: &CallProgress) -> Response<AnyBody> {
         self.reason = "stopping".to_owned();
         if progress.possible_runs > 0 {
@@ -120,7 +121,7 @@
         self.fail(Failure::with_retry_after(ErrorCode::NoCapacity, RETRY_ELSEWHERE_AFTER))
     }
 
-    /// Ends a call that found no endpoint.
+    /// Ends a call for which no endpoint was available.
     pub fn refuse(
         &mut self,
         progress: &CallProgress,
@@ -128,7 +129,7 @@
         wait: Millis,
     ) -> Response<AnyBody> {
         self.reason = format!("{reason:?}");
-        // After an attempt that may have run, a refusal must not say that the call has not run.
+        // After an attempt that may have run, the response must not say that the call has not run.
         let failure = match progress.possible_runs {
             0 => Failure::with_retry_after(ErrorCode::NoCapacity, wait),
             _ => Failure::new(ErrorCode::UpstreamFailed),
@@ -136,7 +137,7 @@
         self.fail(failure)
     }
 
-    /// Ends a call after an attempt, unless another one follows.
+    /// Ends a call after a failed attempt; returns none if the call is retried.
     pub fn response_after(
         &mut self,
         next: NextStep,
@@ -154,7 +155,7 @@
         Some(self.fail(failure))
     }
 
-    /// Ends a call with an answer of the entry instance's own.
+    /// Ends a call with an error response of the entry instance itself.
     pub fn fail(&mut self, failure: Failure) -> Response<AnyBody> {
         if failure.is_not_run()
             && let Some(account) = &self.call.account
@@ -168,18 +169,20 @@
 }
 
 impl Drop for CallSummary {
-    /// Logs the call however it ended, a caller that left included.
+    /// Logs the call whatever its outcome, including a caller's disconnect.
     fn drop(&mut self) {
         let (state, call) = (&self.state, &self.call);
         let now = state.clock.now();
         if self.outcome == CALLER_LEFT && state.termination.has_begun(FinalPhase::Cut) {
-            // Dropped with the process: its caller had stopped reading, and nothing asked for more.
+            // The answer is dropped with the process: its caller had stopped reading, so it was not
+            // polled and never saw the end.
             self.outcome = CUT_BY_STOP;
         }
         state.metrics.calls.with_label_values(&[self.outcome]).inc();
         let first = self.first_part.map(|first| first - call.received_at);
-        // One that its caller left, or that failed, tells nothing of how long an answer takes. Endpoints that
-        // fail fast would have a stopping instance begin calls that it must cut.
+        // A call that failed or whose caller left says nothing about how long an answer takes. If
+        // endpoints that fail fast counted, a stopping instance would start calls that it then has
+        // to cut.
         if matches!(self.outcome, "answered" | "out_of_time") {
             state.planned_stop.record_call(&call.route.name, now - call.received_at);
         }
--- a/daemons/gateway/src/termination.rs
+++ b/daemons/gateway/src/termination.rs
@@ -1,38 +1,38 @@
-//! The end of a planned stop: what is still open is ended in a way that its caller and the on-call
-//! engineer can tell from a fault.
+//! The end of a planned stop: calls that are still open are ended so that callers and on-call
+//! engineers can tell this from a fault.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use tokio::sync::watch;
 
-/// Lines on calls that the stop ended, for each way. The log must not take the moment that is left from the
-/// calls that are still to be ended; the rest is counted.
+/// Number of log lines for calls ended by the stop, per outcome. Logging must not take the short
+/// time needed to end the remaining calls; further ones are only counted.
 pub const MAX_LINES_PER_OUTCOME: usize = 300;
 
-/// How near the end of the process is.
+/// How close the end of the process is.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FinalPhase {
-    /// Calls go on.
+    /// Calls are served.
     #[default]
     Open,
-    /// What waits for the first byte of its answer is answered.
+    /// Calls that wait for the first byte of their answers get an error response.
     LastAnswers,
-    /// What still runs is cut.
+    /// Calls that are still running are cut.
     Cut,
 }
 
-/// How a call was ended by the stop.
+/// How the stop ended a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopOutcome {
-    /// Told that it has not run.
+    /// The caller got a response that says that the call has not run.
     Refused,
-    /// Told that its outcome is unknown.
+    /// The caller got a response that says that the outcome is unknown.
     Failed,
-    /// In the middle of its answer, or with its caller not reading.
+    /// The answer was cut, or its caller had stopped reading.
     Cut,
 }
 
-/// The phase, for all who wait for it, and what it ended.
+/// The current phase, for all tasks that wait for it, and the number of calls ended per outcome.
 #[derive(Debug, Default)]
 pub struct Termination {
     phase: watch::Sender<FinalPhase>,
@@ -42,17 +42,17 @@
 }
 
 impl Termination {
-    /// Begins a phase.
+    /// Enters a phase and wakes all tasks that wait for it.
     pub fn enter(&self, phase: FinalPhase) {
         self.phase.send_replace(phase);
     }
 
-    /// Returns whether a phase has begun.
+    /// Returns whether a phase, or a later one, was entered.
     pub fn has_begun(&self, phase: FinalPhase) -> bool {
         *self.phase.borrow() >= phase
     }
 
-    /// Waits until a phase has begun.
+    /// Waits until a phase, or a later one, is entered.
     pub fn wait_for(&self, phase: FinalPhase) -> impl Future<Output = ()> + Send + use<> {
         let mut phases = self.phase.subscribe();
         async move {
@@ -62,19 +62,19 @@
         }
     }
 
-    /// Counts a call that the stop ended; returns whether it gets a line.
+    /// Counts a call ended by the stop; returns whether a line is logged for it.
     pub fn record(&self, outcome: StopOutcome) -> bool {
         self.counter(outcome).fetch_add(1, Ordering::Relaxed) < MAX_LINES_PER_OUTCOME
     }
 
-    /// Returns how many calls the stop ended so.
+    /// Returns how many calls the stop ended with an outcome.
     pub fn count(&self, outcome: StopOutcome) -> usize {
         self.counter(outcome).load(Ordering::Relaxed)
     }
 
-    /// Returns how many of them have no line.
+    /// Returns how many calls ended by the stop have no log line.
     pub fn unlogged(&self) -> usize {
-        // Each refusal has a line like all others, which the queue of the log bounds.
+        // Every refusal has a log line; the queue of the log bounds those.
         let outcomes = [StopOutcome::Failed, StopOutcome::Cut];
         outcomes
             .iter()
