--- a/daemons/gateway/src/serve.rs
+++ b/daemons/gateway/src/serve.rs
@@ -90,7 +90,7 @@
         // Once the last answers are being sent, a call is refused before it is sent to an endpoint.
         biased;
         () = state.termination.wait_for(FinalPhase::LastAnswers) =>
-            Err(Refusal::by_stop(&state, "request not read completely before the end of the stop".to_owned())),
+            Err(Refusal::by_stop(&state, "request incomplete at the end of the stop".to_owned())),
         admitted = admit(&state, head, parts, body, received_at) => admitted,
     };
     match admitted {
--- a/daemons/gateway/tests/ending.rs
+++ b/daemons/gateway/tests/ending.rs
@@ -1,4 +1,4 @@
-//! What callers get, and an on-call engineer reads, of calls that meet the end of an entry instance.
+//! What callers receive, and what the log says, of calls that are open at the end of a stop.
 
 #[allow(dead_code)] // The tests of the end use a part of it.
 mod support;
@@ -17,10 +17,10 @@
     Act, Got, World, answer_of, exchange, head, not_run, request_as, wait_until_ready_is,
 };
 
-/// Time from the signal to the end in these tests.
+/// Time from the stop signal to the end in these tests.
 const LIMIT: Millis = Millis(700);
 
-/// Longer than any stop here.
+/// Longer than any stop in these tests.
 const LONG: Duration = Duration::from_secs(20);
 
 const STREAM: &str = "content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n";
@@ -29,7 +29,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Sends a call, and returns once an endpoint has it.
+/// Sends a call, and returns once an endpoint received it.
 fn begin(world: &World, path: &str, id: &str) -> JoinHandle<Got> {
     begin_with(world, path, id, "")
 }
@@ -49,7 +49,7 @@
     callers
 }
 
-/// Begins a stop, and returns once the balancer can tell.
+/// Starts a stop, and returns once the readiness check fails.
 fn begin_to_stop(mut world: World) -> JoinHandle<World> {
     let ready_address = world.ready_address;
     let stop = thread::spawn(move || {
@@ -71,7 +71,7 @@
     caller
 }
 
-/// Returns whether an endpoint that hangs has its connection closed within half a second.
+/// Returns whether the connection of a hanging endpoint is closed within half a second.
 fn is_told_to_stop(world: &World) -> bool {
     (0..50).any(|_| {
         thread::sleep(Duration::from_millis(10));
@@ -79,8 +79,9 @@
     })
 }
 
-/// A stream is longer than the time that an entry instance has for its stop, and is cut in the middle.
-/// Its caller reports an id. Without a line on it nobody could tell the stop from an endpoint that broke.
+/// A stream is longer than the time that an entry instance has for its stop, and is cut in the
+/// middle. Its caller reports an id. Without a log line for it a stop could not be told from a
+/// broken endpoint.
 #[test]
 fn the_log_tells_which_answers_a_stop_cut() {
     lines::keep();
@@ -98,9 +99,9 @@
     assert_eq!(value(&lines::of_stop(&world.name), "cut"), "1");
 }
 
-/// Calls still wait for the first byte of their answers when the time of a stop is up. With the process their
-/// connections ended: a caller could not tell whether its call had run, nor an engineer why it has no
-/// answer. They may have run, so no answer may say that they have not.
+/// Calls still wait for the first byte of their answers when the time of a stop is up. If their
+/// connections just ended with the process, callers could not know whether their calls had run, nor
+/// engineers why they got no answer. They may have run, so no response may say that they have not.
 #[test]
 fn what_waits_at_the_end_of_a_stop_is_answered() {
     struct Case {
@@ -134,8 +135,8 @@
     }
 }
 
-/// A caller is still sending its request when the time of a stop is up. Nothing of it went to an endpoint,
-/// so the caller is told that it has not run, and goes elsewhere.
+/// A caller is still sending its request when the time of a stop is up. No part of it was sent to
+/// an endpoint, so the response must say that it has not run, and the caller can retry elsewhere.
 #[test]
 fn a_request_that_is_not_whole_at_the_end_of_a_stop_has_not_run() {
     lines::keep();
@@ -156,9 +157,10 @@
     assert_eq!(world.endpoints[0].requests(), 0);
 }
 
-/// An endpoint fails a call while the entry instance stops, and another attempt could outlast the process: its
-/// caller would lose what another entry instance could have done for it, or see a stream cut. It is told
-/// at once how things stand. Where the caller's deadline comes first, the call is still sent again.
+/// An endpoint fails a call while the entry instance stops, and another attempt could outlast the
+/// process: the caller would lose a retry at another entry instance, or see a stream cut. It must
+/// get a response at once that says whether the call may have run. If the caller's deadline is
+/// before the end of the process, the call is still retried.
 #[test]
 fn an_attempt_that_would_outlast_the_process_is_not_begun() {
     struct Case {
@@ -203,14 +205,16 @@
         let is_refused = case.status == 503;
         assert_eq!(head.contains("sill-not-run: true"), is_refused, "{}: {head}", case.name);
         assert_eq!(head.contains("retry-after: "), is_refused, "{}: {head}", case.name);
-        // An endpoint's answer may come before the balancer has noticed; connections are kept until then.
+        // An endpoint's answer may arrive before the balancer has noticed the stop; connections are
+        // kept open until then.
         let is_own = matches!(case.status, 502 | 503);
         assert!(!is_own || head.contains("connection: close"), "{}: {head}", case.name);
     }
 }
 
-/// An endpoint crashes in the middle of a stream that may be resumed, at an entry instance that stops. Not
-/// gone on with, the stream would be cut at once; so it goes on, also where it might outlast the process.
+/// An endpoint crashes in the middle of a resumable stream, at an entry instance that stops.
+/// Without a resumption the stream would be cut at once, so it is resumed even if it might outlast
+/// the process.
 #[test]
 fn a_stream_that_has_begun_is_resumed_during_a_stop() {
     let first = format!("{}{}", head(STREAM), chunk("id: 1\ndata: a\n\n"));
@@ -229,8 +233,9 @@
     assert!(got.is_whole);
 }
 
-/// The engine of a stream is taken back, but the entry instance ends before it does. A move could not save
-/// the stream; at the engine it would hold up the moves of runs of other entry instances, which it can.
+/// The engine of a stream is reclaimed, but the entry instance ends before the engine does. A
+/// migration could not save the stream, and would delay the migrations of runs of other entry
+/// instances at the engine.
 #[test]
 fn a_run_that_ends_with_the_process_is_not_moved() {
     let part = format!("{}{}", head(STREAM), chunk("id: 1\ndata: a\n\n"));
@@ -244,7 +249,7 @@
     let facts = world.facts.clone();
     let leaving = world.first_leaves_in(limit);
     let stop = begin_to_stop(world);
-    // The stop has begun before the entry instance hears of this, so it ends before the engine does.
+    // The stop starts before the entry instance receives this, so it ends before the engine does.
     *facts.lock() = leaving;
     let got = caller.join().expect("an answer");
     let world = stop.join().expect("it stops");
@@ -253,8 +258,8 @@
     assert_eq!(value(&lines::of_call("stays")[0], "outcome"), "cut_by_stop");
 }
 
-/// An entry instance with hundreds of open streams comes to its end. A line on each would take the moment
-/// that is left from those that are still to be told; the rest is counted.
+/// The time of a stop is up with hundreds of streams open. A log line for each would take the
+/// little time left from those that have not been ended yet, so further ones are only counted.
 #[test]
 fn the_lines_on_cut_answers_have_a_bound() {
     lines::keep();
@@ -263,7 +268,8 @@
     let acts = vec![Act::AnswerAndCloseLater(part, LONG); count];
     let mut world = World::stopping_within(LIMIT, vec![acts]);
     let mut callers = Vec::new();
-    // Engines take so many at once; one after the other, the first would reach their deadlines.
+    // Engines have a limited number of slots; one call after the other would let the first ones
+    // reach their deadlines.
     while callers.len() < count {
         callers.extend(begin_together(&world, "/stream/x", "many", 8));
     }
@@ -276,9 +282,9 @@
     assert_eq!((number("cut"), number("without_line")), (count, 20), "{told}");
 }
 
-/// A caller has stopped reading in the middle of a long answer, so the server asks for no more of it and the
-/// answer is not told of the end. Its line comes when it is dropped with the process, and must not say that
-/// the caller left.
+/// A caller has stopped reading in the middle of a long answer, so the server doesn't poll the
+/// answer and it never sees the end of the stop. Its line is logged when it is dropped with the
+/// process, and must not say that the caller left.
 #[test]
 fn an_answer_that_nobody_reads_is_told_as_cut() {
     lines::keep();
@@ -290,7 +296,8 @@
     let mut caller = TcpStream::connect(world.address).expect("it listens");
     let text = request_as("unread", "/idempotent/x", "");
     caller.write_all(text.as_bytes()).expect("it is read");
-    // The endpoint needs a while for an answer of this size; without a part of it the call would wait for its first byte.
+    // The endpoint needs some time for an answer of this size; until a part of it arrives, the call
+    // would count as waiting for its first byte.
     caller.peek(&mut [0]).expect("the answer begins");
     world.stop();
     drop(world);
--- a/daemons/gateway/tests/ending_mix.rs
+++ b/daemons/gateway/tests/ending_mix.rs
@@ -1,4 +1,4 @@
-//! Stops of an entry instance in the middle of all sorts of calls.
+//! Planned stops of an entry instance in the middle of random calls.
 
 #[allow(dead_code)] // The tests of stops use a part of it.
 mod support;
@@ -20,11 +20,11 @@
 const COME_BACK: Duration = Duration::from_millis(20);
 const BEFORE_STOP: Duration = Duration::from_millis(300);
 
-/// A call as its caller saw it.
+/// A call as seen by its caller.
 struct Call {
     id: String,
     kind: &'static str,
-    /// `None` where the connection ended before the head of an answer.
+    /// `None` if the connection ended before the head of an answer.
     got: Option<Got>,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Makes calls on kept connections until the instance takes no more.
+/// Sends calls on reused connections until the instance accepts no more or the time is up.
 fn make_calls(address: SocketAddr, seed: u64, name: &str, until: Instant) -> Vec<Call> {
     let mut rng = random::seeded(seed);
     let mut calls = Vec::new();
@@ -80,7 +80,7 @@
                     .is_some_and(|got| got.head.to_lowercase().contains("connection: close"));
             calls.push(Call { id, kind, got });
             if !goes_on {
-                // As a caller does that comes back.
+                // A caller pauses before it connects again.
                 thread::sleep(COME_BACK);
                 break;
             }
@@ -89,9 +89,10 @@
     calls
 }
 
-/// An entry instance stops while callers go on using their connections, and endpoints answer, refuse, break
-/// off and hang. Whatever meets what, a call that was begun has an answer, one that may not be repeated runs
-/// once, one that was refused as not run never runs, and each cut has a line that tells why.
+/// An entry instance stops while callers reuse their connections, and endpoints answer, refuse,
+/// break off and hang. In any combination, each call that was started must get an answer, one that
+/// may not be repeated must run once, one refused as not run must never run, and each cut must have
+/// a log line with the reason.
 #[test]
 fn no_stop_loses_repeats_or_belies_a_call() {
     lines::keep();
@@ -116,7 +117,7 @@
     thread::sleep(BEFORE_STOP);
     let ran: Vec<_> = world.endpoints.iter().map(|endpoint| endpoint.ran.clone()).collect();
     world.stop();
-    // Ends what is still open, as the end of the process does.
+    // Drops what is still open, as the end of the process does.
     drop(world);
     let calls: Vec<Call> =
         callers.into_iter().flat_map(|caller| caller.join().expect("it ends")).collect();
@@ -151,7 +152,7 @@
     assert!(got.is_whole || is_explained(id), "cut, and nobody can tell why: {}", told());
 }
 
-/// Returns whether a call's line says why its answer was cut.
+/// Returns whether the log line of a call says why its answer was cut.
 fn is_explained(id: &str) -> bool {
     let lines = lines::of_call(id);
     let line = lines.iter().find(|line| line.starts_with("event=call "));
--- a/daemons/gateway/tests/flags.rs
+++ b/daemons/gateway/tests/flags.rs
@@ -2,7 +2,8 @@
 
 use std::process::Command;
 
-/// An operator who is told one fault at a time starts the program once for each of them.
+/// If only the first missing flag were reported, an operator would have to start the program once
+/// for each of them.
 #[test]
 fn all_missing_flags_are_reported_together() {
     let run = Command::new(env!("CARGO_BIN_EXE_sill-gateway")).env_clear().output();
--- a/daemons/gateway/tests/limits.rs
+++ b/daemons/gateway/tests/limits.rs
@@ -13,7 +13,7 @@
 use sill_wire::link::{AccountTotal, Cursor, LinkReply, Totals};
 
 const RATE: f64 = 1000.0;
-/// More than the part of the limit that an instance presumes to have.
+/// More than the part of the limit that an instance assumes to be its share.
 const LARGE: f64 = 500.0;
 const LONG: Millis = Millis(60_000);
 
@@ -52,7 +52,7 @@
     Arc::new(RouteTable::of(1, &Document { accounts, ..Document::default() }))
 }
 
-/// Tells that all entry instances have used all that the account is owed.
+/// Returns totals by which all entry instances have used up the account's limit.
 fn used_up() -> LinkReply {
     let admitted = RATE * 9.0;
     let used = AccountTotal { account: account(), admitted, ..AccountTotal::default() };
@@ -68,7 +68,8 @@
     }
 }
 
-/// An instance that has just started admits out of a full bucket what all others have used up already.
+/// An instance that has just started would admit from a full bucket what all others have used up
+/// already.
 #[tokio::test]
 async fn a_call_waits_until_it_is_known_what_others_admitted() {
     let state = state();
@@ -84,7 +85,8 @@
     state.admit(&account(), 100.0).expect_err("the account is over its limit");
 }
 
-/// After a restart of all instances totals come a second later; small calls would all be late for them.
+/// After a restart of all instances totals arrive a second later; small calls would all be delayed
+/// until then.
 #[tokio::test]
 async fn a_call_that_the_presumed_share_covers_does_not_wait() {
     let state = state();
@@ -93,7 +95,8 @@
     state.admit(&account(), 10.0).expect("its part of the burst is there");
 }
 
-/// Totals come before the first settings do: forgotten, all accounts would count as unused until the next ones.
+/// Totals arrive before the first settings. If they were dropped, all accounts would count as
+/// unused until the next totals.
 #[tokio::test]
 async fn totals_that_come_before_the_settings_count() {
     let state = state();
@@ -103,7 +106,8 @@
     state.admit(&account(), 100.0).expect_err("the account is over its limit");
 }
 
-/// After a restart of all instances no report names an account whose calls all wait: it would count as unused.
+/// After a restart of all instances no report names an account whose calls all wait, so it would
+/// count as unused.
 #[tokio::test]
 async fn an_account_that_nobody_reported_after_a_restart_counts_as_used() {
     let state = state();
@@ -113,7 +117,7 @@
     state.admit(&account(), LARGE).expect_err("it may have used all that it is owed");
 }
 
-/// While no control instance leads, nobody tells totals, and callers would wait for them in vain.
+/// Without a leading control instance no totals are sent, and callers would wait for them in vain.
 #[tokio::test]
 async fn calls_are_admitted_by_the_share_while_nobody_tells_totals() {
     let state = state();
--- a/daemons/gateway/tests/relay.rs
+++ b/daemons/gateway/tests/relay.rs
@@ -1,4 +1,4 @@
-//! What callers get of answers that are whole, cut, late or someone else's.
+//! What callers receive of answers that are complete, cut, late or for another call.
 
 #[allow(dead_code)] // The tests of answers use a part of it.
 mod support;
@@ -13,8 +13,8 @@
 use sill_base::Millis;
 use support::{Act, World, answer_of, exchange, head, not_run, request, wait_until_ready_is};
 
-/// An endpoint breaks off in the middle of an answer. An entry instance that ended its own answer in
-/// good order would have the caller take half of a report for the whole of it.
+/// An endpoint breaks off in the middle of an answer. If the entry instance ended its own answer
+/// cleanly, the caller would take half of a report for a complete one.
 #[test]
 fn a_cut_answer_is_cut_for_the_caller_too() {
     struct Case {
@@ -47,7 +47,8 @@
     }
 }
 
-/// An answer without a length ends with its connection. Ended in good order it is whole.
+/// An answer without a length ends with its connection, and is complete if the connection is closed
+/// cleanly.
 #[test]
 fn an_answer_without_a_length_is_whole_when_its_connection_ends_in_order() {
     let world = World::start(vec![vec![Act::AnswerAndClose(format!("{}whole", head("")))]]);
@@ -55,8 +56,8 @@
     assert_eq!((got.status, got.body.as_slice(), got.is_whole), (200, b"whole".as_slice(), true));
 }
 
-/// What callers send and endpoints answer goes through unchanged, on connections that are used again;
-/// the caller's key stays here.
+/// Requests and answers must be relayed unchanged, on connections that are reused; the caller's key
+/// must not reach an endpoint.
 #[test]
 fn calls_and_answers_go_through_unchanged() {
     let acts = (0..3).map(|i| Act::Answer(answer_of(&format!("answer {i}")))).collect();
@@ -64,7 +65,7 @@
     for i in 0..3 {
         let got = world.call("/idempotent/a?b=c");
         assert_eq!(got.body, format!("answer {i}").into_bytes());
-        // The connection goes back to the others once the end of the answer was seen.
+        // The connection returns to the pool once the end of the answer was read.
         thread::sleep(Duration::from_millis(50));
     }
     let seen = world.endpoints[0].seen.lock().clone();
@@ -77,8 +78,8 @@
     }
 }
 
-/// An endpoint sends a second answer after the first. The next call on that connection would get it,
-/// and a clerk the report of another case.
+/// An endpoint sends a second answer after the first. The next call on that connection would get
+/// it, and a clerk the report of another case.
 #[test]
 fn an_answer_to_another_call_is_never_passed_on() {
     let twice = format!("{}{}", answer_of("mine"), answer_of("not mine"));
@@ -95,8 +96,9 @@
     }
 }
 
-/// The connection to an endpoint ends after the call was sent. The call may have run; run a second time
-/// it would send the same notice twice, and refused as not run the caller would send it again itself.
+/// The connection to an endpoint ends after the call was sent. The call may have run: a second run
+/// would send the same notice twice, and after a refusal as not run the caller would repeat it
+/// itself.
 #[test]
 fn what_may_have_run_is_neither_repeated_nor_called_not_run() {
     struct Case {
@@ -114,7 +116,7 @@
         let answers = vec![Act::Answer(answer_of("whole")); 20];
         let world = World::start(vec![vec![Act::AnswerAndClose(String::new())], answers]);
         let all_runs = || world.endpoints.iter().map(|e| e.requests()).sum::<usize>();
-        // Which of the two is asked is left to the choice; sooner or later it is the one that fails.
+        // Placement chooses one of the two; calls are repeated until it is the failing one.
         let (got, runs) = loop {
             let before = all_runs();
             let got = world.call(case.path);
@@ -127,8 +129,8 @@
     }
 }
 
-/// An endpoint is full, or another one has its address by now. It says that the call has not run, so
-/// another endpoint gets it, whatever its kind.
+/// An endpoint is full, or its address now belongs to another one. It says that the call has not
+/// run, so another endpoint must get it, whatever the kind of its route.
 #[test]
 fn a_call_that_has_not_run_goes_to_another_endpoint() {
     for status in ["503 Service Unavailable", "421 Misdirected Request"] {
@@ -143,7 +145,8 @@
     }
 }
 
-/// All endpoints are full. The caller is told at once that its call has not run and when to come back.
+/// All endpoints are full. The response must say at once that the call has not run, and when to
+/// retry.
 #[test]
 fn a_refusal_says_that_the_call_has_not_run_and_when_to_come_back() {
     let refuse = || vec![Act::Answer(not_run("503 Service Unavailable")); 4];
@@ -154,8 +157,8 @@
     assert!(got.head.contains("retry-after: "), "{}", got.head);
 }
 
-/// An endpoint crashes in the middle of an event of a stream that may be resumed. Another endpoint goes
-/// on after the last whole event; the caller sees one stream without a gap or a repeat.
+/// An endpoint crashes in the middle of an event of a resumable stream. Another endpoint must
+/// continue after the last complete event; the caller sees one stream without a gap or a repeat.
 #[test]
 fn a_resumable_stream_goes_on_at_another_endpoint() {
     let stream = "content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n";
@@ -185,8 +188,8 @@
     assert!(resumed.contains(&"last-event-id: 2".to_owned()), "{resumed:?}");
 }
 
-/// The platform takes back the engine that a stream comes from. The stream may not be resumed, so it
-/// would be lost with a prompt of thousands of tokens, although two seconds are left to move it.
+/// The platform reclaims the engine that a stream comes from. The stream can't be resumed, so it
+/// would be lost with a prompt of thousands of tokens, although two seconds are left to migrate it.
 #[test]
 fn a_run_is_moved_before_its_engine_is_taken_back() {
     let stream = "content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n";
@@ -216,8 +219,8 @@
     assert!(new.contains(&memory) && new.contains(&"last-event-id: 1".to_owned()), "{new:?}");
 }
 
-/// A caller closes its connection while an endpoint works on its call. The endpoint must stop: nobody
-/// waits for the answer, and others wait for the place.
+/// A caller closes its connection while an endpoint works on its call. The endpoint must stop:
+/// nobody waits for the answer, and other calls wait for the slot.
 #[test]
 fn the_endpoint_is_told_when_the_caller_leaves() {
     let world = World::start(vec![vec![Act::Hang]]);
@@ -231,7 +234,8 @@
     panic!("the endpoint still works on a call whose caller left");
 }
 
-/// Calls that no settings allow are refused here; none of them reaches an endpoint.
+/// Calls that the settings don't allow must be refused by the entry instance, and reach no
+/// endpoint.
 #[test]
 fn what_settings_do_not_allow_reaches_no_endpoint() {
     let world = World::start(vec![vec![Act::Answer(answer_of("x"))]]);
@@ -247,8 +251,8 @@
     assert_eq!(world.endpoints[0].requests(), 0);
 }
 
-/// An entry instance that has just started knows no settings. It must not answer 404 for routes that
-/// exist; it says that the call has not run and when to come back.
+/// An entry instance that has just started has no settings. It must not answer 404 for routes that
+/// exist, but say that the call has not run and when to retry.
 #[test]
 fn without_settings_calls_are_refused_as_not_run() {
     let world = World::without_settings();
@@ -257,8 +261,8 @@
     assert!(got.head.contains("retry-after: "), "{}", got.head);
 }
 
-/// A planned stop comes while an answer is on its way. The answer is passed on to its end, and the
-/// caller is told that the connection ends after it.
+/// A planned stop starts while an answer is on its way. The complete answer must be relayed, and
+/// its head must say that the connection closes after it.
 #[test]
 fn a_planned_stop_cuts_no_answer() {
     let slow = Act::AnswerLater(answer_of("whole"), Duration::from_millis(800));
@@ -274,10 +278,10 @@
     assert!(got.head.to_lowercase().contains("connection: close"), "{}", got.head);
 }
 
-/// An entry instance that stops still gets calls: callers keep their connections, and the balancer sends
-/// new ones where too few others are in rotation. A call that may last longer than the instance would be
-/// cut in the middle of its answer. It is refused at once, as not run, and its caller goes elsewhere; a
-/// call that ends in time is still served.
+/// A stopping entry instance still gets calls: callers keep their connections, and the balancer
+/// sends new ones if too few others are in rotation. A call that may last longer than the instance
+/// would be cut in the middle of its answer. It must be refused at once as not run, so that its
+/// caller retries elsewhere; a call that ends in time must still be served.
 #[test]
 fn a_call_that_would_outlast_a_stopping_instance_is_not_begun() {
     let answer = || Act::AnswerLater(answer_of("whole"), Duration::from_millis(800));
@@ -305,16 +309,16 @@
     assert_eq!(world.endpoints[0].requests(), 2, "the long one was not sent");
 }
 
-/// Pause of a caller between two calls. Without one, some connection is always open, the stop lasts until
-/// its limit, and the endpoint runs out of answers.
+/// Pause of a caller between two calls. Without one, some connection is always open, the stop lasts
+/// until its limit, and the endpoint runs out of answers.
 const CALLER_PAUSE: Duration = Duration::from_millis(10);
 
-/// Callers that connect at the same time.
+/// Number of callers that connect at the same time.
 const CALLERS: usize = 6;
 
-/// A balancer still sends callers to an instance in the moment in which it has found nothing left to wait
-/// for. A connection that it takes after that look is cut by the end of the process: its call has been
-/// sent on to an endpoint and run, and its caller has no answer.
+/// A balancer still sends callers to an instance that has just found no open connection. A
+/// connection accepted after that check is cut by the end of the process: its call was sent to an
+/// endpoint and run, and its caller has no answer.
 #[test]
 fn an_instance_that_has_stopped_takes_no_connection() {
     let mut world = World::start(vec![vec![Act::Answer(answer_of("whole")); 10_000]]);
@@ -357,9 +361,9 @@
     assert_eq!(served.load(Ordering::Relaxed), runs, "a call ran and its caller has no answer");
 }
 
-/// The platform has sent SIGTERM, and an instance with a small part of a core, or one that was still
-/// starting, comes to it seconds later. Were its limit counted from then, the platform would kill it before
-/// that, and everything that it still waits for would break off without a word.
+/// The platform has sent SIGTERM, and an instance with a fraction of a core, or one that was still
+/// starting, handles it seconds later. If the limit counted from then, the platform would kill the
+/// instance before it, and all open calls would end without a response.
 #[test]
 fn a_stop_that_begins_late_still_ends_in_time() {
     let mut world = World::start(vec![vec![Act::Hang]]);
@@ -378,9 +382,9 @@
     assert!(took < Duration::from_secs(4), "the limit counts from the signal: {took:?}");
 }
 
-/// An endpoint begins a stream and is gone, or falls silent, before its first event. Passed on at once, the
-/// head would promise an answer that never comes: the caller sees a success without content that breaks
-/// off, and can't tell it from one that was cut in the middle.
+/// An endpoint starts a stream and fails, or hangs, before its first event. If the head were
+/// relayed at once, it would promise an answer that never arrives: the caller sees a success
+/// without content that breaks off, and can't tell it from one that was cut in the middle.
 #[test]
 fn a_stream_without_a_first_event_is_answered_as_a_failure() {
     struct Case {
@@ -411,7 +415,7 @@
         let whole = vec![Act::Answer(answer_of("whole")); 20];
         let world = World::start(vec![vec![case.act], whole]);
         let all_runs = || world.endpoints.iter().map(|e| e.requests()).sum::<usize>();
-        // Which of the two is asked is left to the choice; sooner or later it is the one that fails.
+        // Placement chooses one of the two; calls are repeated until it is the failing one.
         let (got, runs) = loop {
             let before = all_runs();
             let text = request(case.path, "sill-deadline-ms: 600\r\n");
@@ -430,9 +434,10 @@
     }
 }
 
-/// An entry instance without open connections ends its planned stop, and a call comes at that moment. Taken
-/// after the last look at open connections, it was sent on, ran, and was cut by the end of the process. Once
-/// the stop is over, no connection is taken any more.
+/// An entry instance without open connections ends its planned stop, and a call arrives at that
+/// moment. When it was accepted after the last check for open connections, it was sent to an
+/// endpoint, ran, and was cut by the end of the process. After the stop no connection may be
+/// accepted.
 #[test]
 fn no_connection_is_taken_once_a_stop_is_over() {
     let mut world = World::start(vec![vec![Act::Answer(answer_of("late"))]]);
--- a/daemons/gateway/tests/settings.rs
+++ b/daemons/gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings on their way to an entry instance, over links that are slow, break or garble.
+//! Settings on their way to an entry instance, over links that are slow, fail or corrupt data.
 
 #[allow(dead_code)] // The tests of settings use a part of it.
 mod support;
@@ -24,24 +24,24 @@
 use support::{CLUSTER_KEY, cfg, exchange, fact, request};
 use tokio::runtime::Runtime;
 
-/// How long a test waits before it counts as hung.
+/// Time after which a test fails as hung.
 const HUNG: Duration = Duration::from_secs(30);
 
-/// Longer than a poll may take, with its wait.
+/// Longer than a poll may take, including its wait.
 const LONGER_THAN_A_POLL: Duration = Duration::from_millis(900);
 
-/// What a control instance does about an ask for pieces.
+/// How a control instance handles requests for pieces.
 #[derive(Debug, Clone, Default)]
 struct Way {
-    /// How long each answer takes.
+    /// Delay of each answer.
     slow: Duration,
-    /// Pieces in one answer.
+    /// Number of pieces in one answer.
     pieces: usize,
-    /// Answers after which it refuses all others.
+    /// Number of answers after which further requests fail.
     breaks_after: Option<usize>,
-    /// Pieces that are garbled when they first go out.
+    /// Pieces that are corrupted the first time they are sent.
     garbles: Vec<PieceId>,
-    /// Bytes a millisecond that the link carries, where it is narrow.
+    /// Bandwidth of the link in bytes per millisecond; none for no limit.
     link: Option<u64>,
 }
 
@@ -50,13 +50,13 @@
 struct Source {
     cut: Mutex<Cut>,
     way: Mutex<Way>,
-    /// Pieces that it handed out whole.
+    /// How often each piece was sent intact.
     sent: Mutex<Map<PieceId, usize>>,
     answers: Mutex<usize>,
     others: Mutex<Vec<ControlPlace>>,
-    /// What it has heard of endpoints, in order.
+    /// The endpoint facts it sends, in order.
     facts: Mutex<Vec<EndpointFact>>,
-    /// Pieces that were sent when a poll showed that all facts have come.
+    /// Number of different pieces sent when a poll first confirmed all facts.
     sent_when_known: Mutex<Option<usize>>,
 }
 
@@ -117,7 +117,7 @@
         Ok(reply)
     }
 
-    /// Waits for as long as an answer takes on the link.
+    /// Waits for as long as the answer takes to cross the link.
     async fn cross(&self, answer: serde_json::Result<Vec<u8>>) {
         let Some(link) = self.way.lock().link else { return };
         let bytes = answer.expect("it can be written").len() as u64;
@@ -152,13 +152,13 @@
         Ok(reply)
     }
 
-    /// Checks that no piece was handed out whole more than once.
+    /// Asserts that no piece was sent intact more than once.
     fn check_each_came_once(&self) {
         let sent = self.sent.lock();
         assert!(sent.values().all(|times| *times == 1), "pieces came twice: {sent:?}");
     }
 
-    /// Tells a newer revision from now on.
+    /// Offers a newer revision from now on.
     fn change(&self, revision: u64, document: &Document) {
         *self.cut.lock() = Cut::of(revision, document);
     }
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Returns whether calls of a route are let in; without endpoints they get 503.
+    /// Returns whether calls of a route are admitted; without endpoints they get 503.
     fn knows(&self, route: usize) -> bool {
         exchange(self.address, &request(&format!("/p{route}/x"), "")).status == 503
     }
@@ -251,10 +251,11 @@
 
 #[test]
 fn settings_that_take_longer_than_a_poll_come_all_the_same() {
-    // Thousands of routes cross a narrow link. If the whole tree has to come before the next poll is due,
-    // it is thrown away and asked for again, and a restarted instance refuses all calls for ever.
+    // Thousands of routes cross a narrow link. If the complete tree had to arrive before the next
+    // poll, it would be discarded and requested again, and a restarted instance would refuse all
+    // calls forever.
     let document = document(600);
-    // Far below what one answer may take, also on a busy machine.
+    // Far below the timeout of one answer, also on a busy machine.
     let slow = Duration::from_millis(150);
     let source = Source::new(&document, Way { slow, pieces: 1, ..Way::default() });
     let answers = source.cut.lock().pieces.len() as u32;
@@ -267,7 +268,7 @@
 
 #[test]
 fn a_departure_is_known_while_large_settings_cross_a_narrow_link() {
-    // An endpoint that has left gets calls for as long as its departure waits behind a large change.
+    // An endpoint that has left would get calls while its departure waits behind a large change.
     let source = Source::new(&document(1), Way { pieces: 1, link: Some(10), ..Way::default() });
     let world = World::start(vec![source.clone()]);
     world.wait_for(1);
@@ -286,8 +287,8 @@
 
 #[test]
 fn a_fetch_that_breaks_in_the_middle_goes_on_elsewhere() {
-    // The control instance that serves the settings is killed after a part of them. What came must not
-    // be fetched again; a caller notices nothing but a little more time.
+    // The control instance that serves the settings is killed after some of the pieces. Received
+    // pieces must not be fetched again; callers only notice a slightly longer start.
     let document = document(600);
     let first = Way { pieces: 2, breaks_after: Some(2), ..Way::default() };
     let second = Way { pieces: 100, ..Way::default() };
@@ -301,8 +302,8 @@
 
 #[test]
 fn a_garbled_piece_is_fetched_again_alone() {
-    // One piece comes damaged. Settings that nobody wrote must not be in force, and the other pieces must
-    // not be asked for again.
+    // One piece arrives corrupt. Settings that nobody wrote must not come into force, and the other
+    // pieces must not be requested again.
     let document = document(600);
     let source = Source::new(&document, Way { pieces: 100, ..Way::default() });
     let id = source.cut.lock().manifest.pieces[4].clone();
@@ -315,8 +316,9 @@
 
 #[test]
 fn a_series_of_large_changes_ends_in_the_newest() {
-    // Each change adds hundreds of routes, and the next one comes before the last is fetched. The newest
-    // must be in force in the end, and what the versions share must have come once.
+    // Each change adds hundreds of routes, and the next one follows before the last is fetched. The
+    // newest must be in force in the end, and pieces shared by the revisions must be sent only
+    // once.
     let source = Source::new(
         &document(300),
         Way { slow: Duration::from_millis(30), pieces: 3, ..Way::default() },
@@ -334,8 +336,8 @@
 
 #[test]
 fn a_piece_that_is_at_hand_nowhere_leaves_the_settings_in_force() {
-    // A control instance tells of a revision whose pieces it lost with a restart. Calls must go on by the
-    // settings in force until a revision comes that can be had.
+    // A control instance offers a revision whose pieces it lost in a restart. Calls must be served
+    // under the settings in force until a complete revision is available.
     let source = Source::new(&document(100), Way { pieces: 100, ..Way::default() });
     let world = World::start(vec![source]);
     world.wait_for(1);
@@ -356,9 +358,9 @@
 
 #[test]
 fn settings_that_are_told_before_anyone_fetches_are_fetched() {
-    // A control instance answers the first poll before the part that fetches settings has started, which takes
-    // several threads and a busy machine. It tells of a revision once; the instance must not miss it, or it
-    // refuses all calls until the next change.
+    // A control instance answers the first poll before the fetcher has started, which takes several
+    // threads and a busy machine. It offers a revision only once; if the fetcher missed it, the
+    // instance would refuse all calls until the next change.
     let source = Source::new(&document(10), Way { pieces: 100, ..Way::default() });
     let runtime = Runtime::new().expect("a runtime");
     let _guard = runtime.enter();
--- a/daemons/gateway/tests/stops.rs
+++ b/daemons/gateway/tests/stops.rs
@@ -1,4 +1,4 @@
-//! What callers get of an entry instance that stops.
+//! What callers receive from a stopping entry instance.
 
 #[allow(dead_code)] // The tests of stops use a part of it.
 mod support;
@@ -12,15 +12,15 @@
     Act, Got, World, answer_of, exchange, exchange_after, head, request, wait_until_ready_is,
 };
 
-/// Longer than the notice of the test's instance.
+/// Longer than the notice time of the test's instance.
 const UNTIL_NOTICED: Duration = Duration::from_millis(300);
 
-/// A call that keeps the instance waiting until all others of a test are over.
+/// A call that keeps the instance running until all others of a test are done.
 fn long_call() -> Act {
     Act::AnswerLater(answer_of("long"), Duration::from_millis(2500))
 }
 
-/// Stops an instance that has one call open, and returns once the balancer has noticed.
+/// Stops an instance that has one call open, and returns once the notice time is over.
 fn stop_behind_a_long_call(mut world: World) -> (SocketAddr, thread::JoinHandle<World>) {
     let (address, ready_address) = (world.address, world.ready_address);
     let long = thread::spawn(move || exchange(address, &request("/idempotent/x", "")));
@@ -37,10 +37,10 @@
     (address, stop)
 }
 
-/// Most entry instances of a failure domain stop at once, so the balancer goes on sending callers to all of
-/// them. A caller connects to one that has closed its unused connections already, and sends its request a
-/// round trip later, or a few. Its connection was ended without an answer; it tried elsewhere, with the same
-/// outcome, although the instance had seconds left to serve it.
+/// Most entry instances of a failure domain stop at once, so the balancer continues to send callers
+/// to all of them. A caller connects to one that has closed its idle connections already, and sends
+/// its request one or more round trips later. When its connection was closed without an answer, it
+/// retried elsewhere with the same outcome, although the instance had seconds left to serve it.
 #[test]
 fn a_new_connection_to_a_stopping_instance_gets_an_answer() {
     struct Case {
@@ -88,9 +88,10 @@
     assert_eq!(world.endpoints[0].requests(), 4, "the one that may not end was not sent");
 }
 
-/// What an instance took before it stopped is over, and callers still come to it. Were it to take them, its
-/// process would go on for as long as they come; restarted at once, it would serve all of them. They are
-/// refused, though their calls would end in time, and the one that it has begun is answered.
+/// The calls from before a stop are done, and callers still connect. If the instance admitted them,
+/// its process would last for as long as they arrive; restarted at once, it can serve all of them.
+/// They must be refused although they would end in time, and the one that was admitted must be
+/// answered.
 #[test]
 fn an_instance_takes_no_more_once_what_it_took_before_its_stop_is_over() {
     let later = Act::AnswerLater(answer_of("later"), Duration::from_millis(1800));
@@ -98,7 +99,7 @@
     let world = World::start(vec![[vec![long_call(), later], quick].concat()]);
     let seen = world.endpoints[0].seen.clone();
     let (address, stop) = stop_behind_a_long_call(world);
-    // The long call has a second left; this one is still open when it is over.
+    // The long call has a second left; this call is still open when it is done.
     thread::sleep(Duration::from_millis(1200));
     let later = thread::spawn(move || {
         exchange(address, &request("/idempotent/x", "sill-deadline-ms: 2500\r\n"))
@@ -120,11 +121,13 @@
     stop.join().expect("it stops");
 }
 
-/// Calls that an instance must have seen of a route before it begins one late.
+/// Number of calls of a route that an instance must have served before it admits one late in a
+/// stop.
 const SEEN: usize = 25;
 
-/// Answers as many calls as it takes to know a route, each with `act`, and sends one more late in a stop, which
-/// gets `last`. Callers of the others leave before their answers where `leave` is set.
+/// Sends enough calls for the instance to know the route's durations, each with `act`, and one more
+/// late in a stop, which gets `last`. Callers of the earlier ones disconnect before their answers
+/// if `leave` is set.
 fn call_late(path: &'static str, act: Act, leave: bool, last: Act) -> Got {
     let others = [vec![act; SEEN], vec![Act::Hang, last]].concat();
     let world = World::start(vec![others]);
@@ -139,8 +142,8 @@
     got
 }
 
-/// Stops an instance behind an older call, and sends one more a while after that has begun. Returns the answers to
-/// this one and to the older one.
+/// Stops an instance that has an older call open, and sends one more call some time after the stop
+/// started. Returns the answers to the new call and to the older one.
 fn call_in_stop(mut world: World, path: &str, after: Duration) -> (Got, Got) {
     let (address, ready_address) = (world.address, world.ready_address);
     let older = thread::spawn(move || exchange(address, &request("/idempotent/y", "")));
@@ -155,9 +158,9 @@
     (got, older.join().expect("an answer"))
 }
 
-/// Late in a stop an instance begins a call of a route whose calls have been short. This one is longer than all
-/// of them, and the process ends before it. Passed on as it comes, its answer was cut in the middle, and its
-/// caller could neither use it nor send the call again.
+/// Late in a stop an instance admits a call of a route whose calls have been short. This one is
+/// longer than all of them, and the process ends before it. When its answer was relayed as it
+/// arrived, it was cut in the middle, and its caller could neither use it nor repeat the call.
 #[test]
 fn a_call_begun_late_is_answered_whole_or_as_of_unknown_outcome() {
     struct Case {
@@ -199,7 +202,7 @@
     }
 }
 
-/// Answers calls of a route as usual, and sends one more as a stop begins, which gets `last`.
+/// Serves calls of a route with `usual`, and sends one more when a stop starts, which gets `last`.
 fn call_as_a_stop_begins(path: &'static str, usual: Act, last: Act) -> Got {
     let acts = [vec![usual; SEEN], vec![Act::Hang, last]].concat();
     let world = World::stopping_within(Millis(1500), vec![acts]);
@@ -209,8 +212,8 @@
     call_in_stop(world, path, Duration::ZERO).0
 }
 
-/// An instance that has just been asked to stop begins a call whose endpoint has become slow. The answer
-/// outlasts the process; it must not be cut in the middle.
+/// An instance that was just asked to stop admits a call whose endpoint has become slow. The answer
+/// outlasts the process, and must not be cut in the middle.
 #[test]
 fn an_answer_of_a_slow_endpoint_is_not_cut_by_a_stop() {
     struct Case {
--- a/daemons/gateway/tests/support/cut.rs
+++ b/daemons/gateway/tests/support/cut.rs
@@ -1,11 +1,11 @@
-//! Settings in pieces, as a stand-in for a control instance tells them.
+//! Settings cut into pieces, as a control instance serves them.
 
 use sill_base::{Map, Millis};
 use sill_tree::{Document, DocumentText, PieceId, pieces};
 use sill_wire::control::Revision;
 use sill_wire::settings::{Manifest, Piece, PiecesAsk, PiecesReply};
 
-/// One revision in pieces.
+/// One revision of the settings in pieces.
 #[derive(Debug, Clone)]
 pub struct Cut {
     pub manifest: Manifest,
@@ -13,7 +13,7 @@
 }
 
 impl Cut {
-    /// Cuts a document.
+    /// Cuts a document into pieces.
     pub fn of(revision: u64, document: &Document) -> Self {
         let parts = pieces::cut(document).into_iter();
         let pieces = parts.map(|part| Piece::of(DocumentText::of(&part).as_str()));
@@ -25,7 +25,7 @@
         Self { manifest, pieces }
     }
 
-    /// Answers with all pieces that it has.
+    /// Returns those of the requested pieces that it has.
     pub fn reply(&self, ask: &PiecesAsk) -> PiecesReply {
         let found = ask.pieces.iter().filter_map(|id| self.pieces.get(id).cloned());
         PiecesReply { pieces: found.collect() }
--- a/daemons/gateway/tests/support/lines.rs
+++ b/daemons/gateway/tests/support/lines.rs
@@ -1,4 +1,4 @@
-//! The log lines of a test's process.
+//! Captures the log lines of the test process.
 
 use log::{LevelFilter, Log, Metadata, Record};
 use parking_lot::Mutex;
@@ -19,21 +19,21 @@
     fn flush(&self) {}
 }
 
-/// Keeps all lines from now on.
+/// Captures all lines from now on.
 pub fn keep() {
-    // Another test of the process may have set it.
+    // Another test of the process may have set the logger already.
     let _ = log::set_logger(&LINES);
     log::set_max_level(LevelFilter::Info);
 }
 
-/// Returns the lines on one call.
+/// Returns the lines with the id of a call.
 pub fn of_call(id: &str) -> Vec<String> {
     let pair = format!("id={id}");
     let has_id = |line: &&String| line.split(' ').any(|word| word == pair);
     LINES.0.lock().iter().filter(has_id).cloned().collect()
 }
 
-/// Returns the line on the end of an entry instance's stop.
+/// Returns the line logged at the end of an entry instance's stop.
 pub fn of_stop(name: &str) -> String {
     let is_stop = |line: &&String| line.starts_with("event=gateway_stopped ");
     let is_own = |line: &&String| value(line, "name") == name;
@@ -41,7 +41,7 @@
     lines.iter().filter(is_stop).find(is_own).cloned().expect("a stop")
 }
 
-/// Returns the value of a key.
+/// Returns the value of a key in a line; empty if the key is missing.
 pub fn value<'a>(line: &'a str, key: &str) -> &'a str {
     let mut pairs = line.split(' ').filter_map(|word| word.split_once('='));
     pairs.find(|(name, _)| *name == key).map_or("", |(_, value)| value)
--- a/daemons/gateway/tests/support/mod.rs
+++ b/daemons/gateway/tests/support/mod.rs
@@ -33,40 +33,40 @@
 
 use self::cut::Cut;
 
-/// The key that our own processes share.
+/// The key shared by all processes.
 pub const CLUSTER_KEY: &str = "test";
 
-/// A caller's key.
+/// The API key of a caller.
 pub const KEY: &str = "caller-key";
 
-/// How long a test waits for bytes before it counts as hung.
+/// Time that a test waits for bytes before it fails as hung.
 const HUNG: Duration = Duration::from_secs(20);
 
 /// What an endpoint does with one request.
 #[derive(Clone)]
 pub enum Act {
-    /// Sends these bytes and keeps the connection. `{id}` stands for the request's id.
+    /// Sends these bytes and keeps the connection. `{id}` is replaced by the request's id.
     Answer(String),
-    /// Sends these bytes after a while and keeps the connection.
+    /// Sends these bytes after a delay and keeps the connection.
     AnswerLater(String, Duration),
-    /// Sends the first bytes, the others after a while, and keeps the connection.
+    /// Sends the first bytes, the others after a delay, and keeps the connection.
     AnswerInTwo(String, Duration, String),
-    /// Sends these bytes and ends the connection.
+    /// Sends these bytes and closes the connection.
     AnswerAndClose(String),
-    /// Sends these bytes, and ends the connection after a while.
+    /// Sends these bytes, and closes the connection after a delay.
     AnswerAndCloseLater(String, Duration),
-    /// Sends these bytes, and ends the connection once that is set.
+    /// Sends these bytes, and closes the connection once the flag is set.
     AnswerAndCloseWhen(String, Arc<AtomicBool>),
-    /// Sends these bytes once that is set, and keeps the connection.
+    /// Sends these bytes once the flag is set, and keeps the connection.
     AnswerWhen(String, Arc<AtomicBool>),
     /// Sends these bytes and resets the connection.
     AnswerAndReset(String),
-    /// Sends nothing until the connection is closed from the other side.
+    /// Sends nothing until the other side closes the connection.
     Hang,
 }
 
 impl Act {
-    /// Returns whether it says that the request has not run.
+    /// Returns whether the answer says that the request has not run.
     fn is_refusal(&self) -> bool {
         match self {
             Self::Answer(text) | Self::AnswerLater(text, _) | Self::AnswerWhen(text, _) => {
@@ -77,59 +77,59 @@
     }
 }
 
-/// A request as an endpoint got it.
+/// A request as received by an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Seen {
     pub line: String,
     pub headers: Vec<String>,
     pub body: Vec<u8>,
-    /// Which connection it came on.
+    /// The number of the connection that carried the request.
     pub connection: usize,
 }
 
-/// An endpoint that does as it is told, one act for each request.
+/// An endpoint with a scripted action for each request.
 pub struct Endpoint {
     pub address: SocketAddr,
     pub seen: Arc<Mutex<Vec<Seen>>>,
-    /// Ids of the requests that it began to run; one that it refused as not run is not among them.
+    /// Ids of the requests that it started to run; those refused as not run are not included.
     pub ran: Arc<Mutex<Vec<String>>>,
-    /// Connections that the other side closed while the endpoint hung.
+    /// Number of connections that the other side closed while the endpoint hung.
     pub left: Arc<Mutex<usize>>,
 }
 
-/// An entry instance with all that it needs.
+/// An entry instance with its endpoints and control instance.
 pub struct World {
     pub endpoints: Vec<Endpoint>,
     pub address: SocketAddr,
-    /// Its name, one for each.
+    /// The entry instance's name, different in each test.
     pub name: Name,
-    /// Where the balancer asks.
+    /// The address of the readiness checks.
     pub ready_address: SocketAddr,
-    /// What the control instance tells of endpoints.
+    /// The endpoint facts that the control instance sends.
     pub facts: Arc<Mutex<Vec<EndpointFact>>>,
-    /// How often the entry instance has asked for it.
+    /// Number of polls of the entry instance.
     polls: Arc<AtomicUsize>,
     runtime: Runtime,
     gateway: Option<Gateway>,
     _control: PeerServer,
 }
 
-/// An answer as a caller gets it.
+/// An answer as received by a caller.
 #[derive(Debug)]
 pub struct Got {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
-    /// Whether the body came to the end that its framing names.
+    /// Whether the body is complete according to its framing.
     pub is_whole: bool,
 }
 
 /// How an entry instance is started.
 #[derive(Debug, Clone, Copy)]
 struct Start {
-    /// Whether its control instance knows settings.
+    /// Whether its control instance has settings.
     has_settings: bool,
-    /// Whether the last endpoint is not known yet.
+    /// Whether the last endpoint is not announced at first.
     hides_last: bool,
     stop: StopCfg,
 }
@@ -193,7 +193,7 @@
             }
             Act::AnswerLater(text, pause) => {
                 thread::sleep(pause);
-                // Whoever asked may have left meanwhile.
+                // The other side may have closed the connection meanwhile.
                 if stream.write_all(text.replace("{id}", &id).as_bytes()).is_err() {
                     return;
                 }
@@ -227,7 +227,7 @@
             }
             Act::AnswerAndReset(text) => {
                 let _ = stream.write_all(text.replace("{id}", &id).as_bytes());
-                // What was written is to arrive before the reset does.
+                // The written bytes must arrive before the reset does.
                 thread::sleep(Duration::from_millis(200));
                 let socket = socket2::SockRef::from(&stream);
                 socket.set_linger(Some(Duration::ZERO)).expect("it is a socket");
@@ -264,28 +264,29 @@
 }
 
 impl World {
-    /// Starts an entry instance with one route for each kind, and endpoints with their acts.
+    /// Starts an entry instance with one route per kind, and endpoints with their actions.
     pub fn start(acts: Vec<Vec<Act>>) -> Self {
         Self::start_with(acts, Start::default())
     }
 
-    /// Starts one that does not know the last endpoint yet.
+    /// Starts one to which the last endpoint is not announced yet.
     pub fn start_with_hidden(acts: Vec<Vec<Act>>) -> Self {
         Self::start_with(acts, Start { hides_last: true, ..Start::default() })
     }
 
-    /// Starts one whose control instance knows no settings yet.
+    /// Starts one whose control instance has no settings yet.
     pub fn without_settings() -> Self {
         Self::start_with(Vec::new(), Start { has_settings: false, ..Start::default() })
     }
 
-    /// Starts one whose stop ends after `limit`.
+    /// Starts one whose planned stops end after `limit`.
     pub fn stopping_within(limit: Millis, acts: Vec<Vec<Act>>) -> Self {
         let stop = StopCfg { limit, ..Start::default().stop };
         Self::start_with(acts, Start { stop, ..Start::default() })
     }
 
-    /// Starts one whose stop ends after `limit`, and that does not know the last endpoint yet.
+    /// Starts one whose planned stops end after `limit`, and to which the last endpoint is not
+    /// announced yet.
     pub fn stopping_within_with_hidden(limit: Millis, acts: Vec<Vec<Act>>) -> Self {
         let stop = StopCfg { limit, ..Start::default().stop };
         Self::start_with(acts, Start { stop, hides_last: true, ..Start::default() })
@@ -340,17 +341,17 @@
         world
     }
 
-    /// Sends a call on a connection of its own.
+    /// Sends a call on a new connection, and reads the answer.
     pub fn call(&self, path: &str) -> Got {
         exchange(self.address, &request(path, ""))
     }
 
-    /// Sends a call and leaves before the answer.
+    /// Sends a call and disconnects before the answer.
     pub fn call_and_leave(&self, path: &str) {
         self.call_and_leave_after(path, 1);
     }
 
-    /// Sends a call and leaves once the endpoints have had so many.
+    /// Sends a call and disconnects once the endpoints have received `requests` requests.
     pub fn call_and_leave_after(&self, path: &str, requests: usize) {
         let mut stream = TcpStream::connect(self.address).expect("it listens");
         stream.write_all(request(path, "").as_bytes()).expect("it is read");
@@ -360,12 +361,12 @@
         }
     }
 
-    /// Tells that the first endpoint leaves, and of the last one.
+    /// Announces that the first endpoint leaves, and the last endpoint.
     pub fn first_leaves_and_last_appears(&self, leaves_in: Millis) {
         *self.facts.lock() = self.first_leaves_in(leaves_in);
     }
 
-    /// Returns what a control instance tells once the first endpoint leaves and the last one is there.
+    /// Returns the facts sent once the first endpoint leaves and the last one is ready.
     pub fn first_leaves_in(&self, leaves_in: Millis) -> Vec<EndpointFact> {
         let last = self.endpoints.len() - 1;
         let leaving = EndpointFact {
@@ -377,14 +378,14 @@
         vec![leaving, fact(last, self.endpoints[last].address)]
     }
 
-    /// Tells of the last endpoint.
+    /// Announces the last endpoint.
     pub fn show_last(&self) {
         let last = self.endpoints.len() - 1;
         self.facts.lock().push(fact(last, self.endpoints[last].address));
     }
 
-    /// Waits until the entry instance has taken in what its control instance tells now: it asks again only
-    /// then, in two turns at most.
+    /// Waits until the entry instance has applied the current facts of its control instance: only
+    /// then it polls again, from two tasks at most.
     pub fn wait_until_told(&self) {
         let told = self.polls.load(Ordering::Relaxed);
         while self.polls.load(Ordering::Relaxed) < told + 3 {
@@ -397,7 +398,7 @@
         self.stop_late(Millis::ZERO);
     }
 
-    /// Stops it for a signal that came a while ago.
+    /// Stops it for a signal that arrived `late` ago.
     pub fn stop_late(&mut self, late: Millis) {
         if let Some(gateway) = self.gateway.take() {
             self.runtime.block_on(gateway.stop_late(late));
@@ -405,7 +406,7 @@
     }
 }
 
-/// Waits until the balancer gets this answer to its question whether the instance is ready.
+/// Waits until the readiness check returns a status.
 pub fn wait_until_ready_is(status: u16, ready_address: SocketAddr) {
     let ask = "GET /readyz HTTP/1.1\r\nhost: h\r\n\r\n";
     while exchange(ready_address, ask).status != status {
@@ -413,12 +414,12 @@
     }
 }
 
-/// Writes a call.
+/// Formats a call with the id `r-1`.
 pub fn request(path: &str, extra: &str) -> String {
     request_as("r-1", path, extra)
 }
 
-/// Writes a call with an id.
+/// Formats a call with an id.
 pub fn request_as(id: &str, path: &str, extra: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nhost: desk.example\r\nauthorization: Bearer {KEY}\r\n\
@@ -426,17 +427,17 @@
     )
 }
 
-/// Writes the head of an endpoint's answer.
+/// Formats the head of an endpoint's answer.
 pub fn head(extra: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nsill-request-id: {{id}}\r\n{extra}\r\n")
 }
 
-/// Writes a whole answer.
+/// Formats a complete answer.
 pub fn answer_of(body: &str) -> String {
     format!("{}{body}", head(&format!("content-length: {}\r\n", body.len())))
 }
 
-/// Writes an answer that says that the call has not run.
+/// Formats an answer that says that the call has not run.
 pub fn not_run(status: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nsill-request-id: {{id}}\r\nsill-not-run: true\r\n\
@@ -462,7 +463,7 @@
     try_answer(reader).expect("the connection ended before an answer")
 }
 
-/// Reads one answer, unless the connection ends before its head came.
+/// Reads one answer; returns none if the connection ends before its head.
 pub fn try_answer(reader: &mut BufReader<TcpStream>) -> Option<Got> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -508,7 +509,7 @@
     }
 }
 
-/// Makes the settings of an entry instance that knows one control instance.
+/// Builds the settings of an entry instance that has one control instance as its seed.
 pub fn cfg(addresses: &[SocketAddr], control: SocketAddr) -> GatewayCfg {
     GatewayCfg {
         name: format!("entry-{}", addresses[0]).into(),
@@ -587,7 +588,7 @@
     })
 }
 
-/// The product's own headers, and engines whose runs can be moved.
+/// The product's own headers, with engines whose runs can be migrated.
 #[derive(Debug)]
 struct MovingDialect;
 
