--- a/daemons/gateway/tests/flags.rs
+++ b/daemons/gateway/tests/flags.rs
@@ -7,7 +7,7 @@
 #[test]
 fn all_missing_flags_are_reported_together() {
     let run = Command::new(env!("CARGO_BIN_EXE_sill-gateway")).env_clear().output();
-    let run = run.expect("it can be started");
+    let run = run.expect("sill-gateway can be started");
     let text = String::from_utf8_lossy(&run.stderr).into_owned();
     assert_eq!(run.status.code(), Some(2), "{text}");
     let flags = ["name", "domain", "listen", "listen-ready", "listen-metrics", "control"];
--- a/daemons/gateway/tests/limits.rs
+++ b/daemons/gateway/tests/limits.rs
@@ -42,7 +42,7 @@
         usage_window: Millis(5000),
         stop: StopCfg { notice: Millis(100), limit: Millis(5000) },
     };
-    Arc::new(State::new(cfg).expect("it is made"))
+    Arc::new(State::new(cfg).expect("the state can be created"))
 }
 
 fn settings() -> Arc<RouteTable> {
@@ -71,7 +71,7 @@
 /// An instance that has just started would admit from a full bucket what all others have used up
 /// already.
 #[tokio::test]
-async fn a_call_waits_until_it_is_known_what_others_admitted() {
+async fn a_call_waits_for_the_first_totals() {
     let state = state();
     state.apply_settings(settings());
     let waiting = tokio::spawn({
@@ -79,26 +79,26 @@
         async move { state.first_totals(&account(), LARGE, LONG, LONG).await }
     });
     tokio::time::sleep(Duration::from_millis(50)).await;
-    assert!(!waiting.is_finished(), "nobody has told any totals");
+    assert!(!waiting.is_finished(), "the call did not wait for totals");
     state.apply_reply(nowhere(), &used_up());
-    waiting.await.expect("it doesn't panic");
+    waiting.await.expect("the waiting call doesn't panic");
     state.admit(&account(), 100.0).expect_err("the account is over its limit");
 }
 
 /// After a restart of all instances totals arrive a second later; small calls would all be delayed
 /// until then.
 #[tokio::test]
-async fn a_call_that_the_presumed_share_covers_does_not_wait() {
+async fn a_call_within_the_assumed_share_does_not_wait() {
     let state = state();
     state.apply_settings(settings());
     state.first_totals(&account(), 10.0, Millis::MAX, Millis::MAX).await;
-    state.admit(&account(), 10.0).expect("its part of the burst is there");
+    state.admit(&account(), 10.0).expect("the assumed share of the burst is available");
 }
 
 /// Totals arrive before the first settings. If they were dropped, all accounts would count as
 /// unused until the next totals.
 #[tokio::test]
-async fn totals_that_come_before_the_settings_count() {
+async fn totals_received_before_the_settings_count() {
     let state = state();
     state.apply_reply(nowhere(), &used_up());
     state.apply_settings(settings());
@@ -109,19 +109,19 @@
 /// After a restart of all instances no report names an account whose calls all wait, so it would
 /// count as unused.
 #[tokio::test]
-async fn an_account_that_nobody_reported_after_a_restart_counts_as_used() {
+async fn an_unreported_account_counts_as_used_after_a_restart() {
     let state = state();
     let totals = Totals { age: Millis::ZERO, entries: 8, untold_s: 8.0, accounts: Vec::new() };
     state.apply_reply(nowhere(), &LinkReply { totals: Some(totals), ..used_up() });
     state.apply_settings(settings());
-    state.admit(&account(), LARGE).expect_err("it may have used all that it is owed");
+    state.admit(&account(), LARGE).expect_err("the account may have used up its limit");
 }
 
 /// Without a leading control instance no totals are sent, and callers would wait for them in vain.
 #[tokio::test]
-async fn calls_are_admitted_by_the_share_while_nobody_tells_totals() {
+async fn calls_are_admitted_by_the_share_while_no_totals_arrive() {
     let state = state();
     state.apply_settings(settings());
     state.first_totals(&account(), LARGE, LONG, Millis::ZERO).await;
-    state.admit(&account(), 10.0).expect("its part of the burst is there");
+    state.admit(&account(), 10.0).expect("the assumed share of the burst is available");
 }
--- a/daemons/gateway/tests/relay.rs
+++ b/daemons/gateway/tests/relay.rs
@@ -11,85 +11,89 @@
 use std::time::{Duration, Instant};
 
 use sill_base::Millis;
-use support::{Act, World, answer_of, exchange, head, not_run, request, wait_until_ready_is};
+use support::{Action, Harness, answer_of, exchange, head, not_run, request, wait_until_ready_is};
 
 /// An endpoint breaks off in the middle of an answer. If the entry instance ended its own answer
 /// cleanly, the caller would take half of a report for a complete one.
 #[test]
-fn a_cut_answer_is_cut_for_the_caller_too() {
+fn an_incomplete_answer_is_incomplete_for_the_caller_too() {
     struct Case {
         name: &'static str,
-        act: Act,
+        act: Action,
     }
     let cases = [
         Case {
             name: "shorter than its length",
-            act: Act::AnswerAndClose(format!("{}half", head("content-length: 8\r\n"))),
+            act: Action::AnswerAndClose(format!("{}half", head("content-length: 8\r\n"))),
         },
         Case {
             name: "chunks without the last one",
-            act: Act::AnswerAndClose(format!(
+            act: Action::AnswerAndClose(format!(
                 "{}4\r\nhalf\r\n",
                 head("transfer-encoding: chunked\r\n")
             )),
         },
         Case {
             name: "no length, and reset",
-            act: Act::AnswerAndReset(format!("{}half", head(""))),
+            act: Action::AnswerAndReset(format!("{}half", head(""))),
         },
     ];
     for case in cases {
-        let world = World::start(vec![vec![case.act]]);
-        let got = world.call("/stream/x");
+        let harness = Harness::start(vec![vec![case.act]]);
+        let got = harness.call("/stream/x");
         assert_eq!(got.status, 200, "{}", case.name);
         assert_eq!(got.body, b"half", "{}", case.name);
-        assert!(!got.is_whole, "{}: the caller takes it for whole: {}", case.name, got.head);
+        assert!(
+            !got.is_whole,
+            "{}: the incomplete answer looks complete to the caller: {}",
+            case.name, got.head
+        );
     }
 }
 
 /// An answer without a length ends with its connection, and is complete if the connection is closed
 /// cleanly.
 #[test]
-fn an_answer_without_a_length_is_whole_when_its_connection_ends_in_order() {
-    let world = World::start(vec![vec![Act::AnswerAndClose(format!("{}whole", head("")))]]);
-    let got = world.call("/stream/x");
+fn an_answer_without_a_length_is_complete_after_a_clean_close() {
+    let harness = Harness::start(vec![vec![Action::AnswerAndClose(format!("{}whole", head("")))]]);
+    let got = harness.call("/stream/x");
     assert_eq!((got.status, got.body.as_slice(), got.is_whole), (200, b"whole".as_slice(), true));
 }
 
 /// Requests and answers must be relayed unchanged, on connections that are reused; the caller's key
 /// must not reach an endpoint.
 #[test]
-fn calls_and_answers_go_through_unchanged() {
-    let acts = (0..3).map(|i| Act::Answer(answer_of(&format!("answer {i}")))).collect();
-    let world = World::start(vec![acts]);
+fn calls_and_answers_are_relayed_unchanged() {
+    let acts = (0..3).map(|i| Action::Answer(answer_of(&format!("answer {i}")))).collect();
+    let harness = Harness::start(vec![acts]);
     for i in 0..3 {
-        let got = world.call("/idempotent/a?b=c");
+        let got = harness.call("/idempotent/a?b=c");
         assert_eq!(got.body, format!("answer {i}").into_bytes());
         // The connection returns to the pool once the end of the answer was read.
         thread::sleep(Duration::from_millis(50));
     }
-    let seen = world.endpoints[0].seen.lock().clone();
-    for request in &seen {
+    let request_log = harness.endpoints[0].request_log.lock().clone();
+    for request in &request_log {
         assert_eq!(request.line, "POST /idempotent/a?b=c HTTP/1.1");
         assert_eq!(request.body, b"body");
         assert!(request.headers.contains(&"sill-account: clerks".to_owned()), "{request:?}");
         assert!(!request.headers.iter().any(|h| h.starts_with("authorization")), "{request:?}");
-        assert_eq!(request.connection, seen[0].connection, "a new connection for each call");
+        assert_eq!(request.connection, request_log[0].connection, "the connection was not reused");
     }
 }
 
 /// An endpoint sends a second answer after the first. The next call on that connection would get
 /// it, and a clerk the report of another case.
 #[test]
-fn an_answer_to_another_call_is_never_passed_on() {
-    let twice = format!("{}{}", answer_of("mine"), answer_of("not mine"));
-    let foreign = answer_of("not mine").replace("{id}", "r-0");
-    for (name, first) in [("extra", twice), ("late", foreign)] {
-        let mine = || vec![Act::Answer(answer_of("mine")); 4];
-        let acts = [vec![Act::Answer(first)], mine()].concat();
-        let world = World::start(vec![acts, mine()]);
+fn an_answer_to_another_call_is_never_relayed() {
+    let two_answers = format!("{}{}", answer_of("mine"), answer_of("not mine"));
+    let other_answer = answer_of("not mine").replace("{id}", "r-0");
+    for (name, first) in [("extra", two_answers), ("late", other_answer)] {
+        let mine = || vec![Action::Answer(answer_of("mine")); 4];
+        let acts = [vec![Action::Answer(first)], mine()].concat();
+        let harness = Harness::start(vec![acts, mine()]);
         for _ in 0..3 {
-            let got = world.call("/idempotent/x");
+            let got = harness.call("/idempotent/x");
             assert_eq!((got.status, got.body.as_slice()), (200, b"mine".as_slice()), "{name}");
             thread::sleep(Duration::from_millis(50));
         }
@@ -100,7 +104,7 @@
 /// would send the same notice twice, and after a refusal as not run the caller would repeat it
 /// itself.
 #[test]
-fn what_may_have_run_is_neither_repeated_nor_called_not_run() {
+fn a_call_that_may_have_run_is_neither_repeated_nor_reported_as_not_run() {
     struct Case {
         path: &'static str,
         status: u16,
@@ -113,14 +117,14 @@
         Case { path: "/resumable_stream/x", status: 200, runs: 2 },
     ];
     for case in cases {
-        let answers = vec![Act::Answer(answer_of("whole")); 20];
-        let world = World::start(vec![vec![Act::AnswerAndClose(String::new())], answers]);
-        let all_runs = || world.endpoints.iter().map(|e| e.requests()).sum::<usize>();
+        let answers = vec![Action::Answer(answer_of("whole")); 20];
+        let harness = Harness::start(vec![vec![Action::AnswerAndClose(String::new())], answers]);
+        let all_runs = || harness.endpoints.iter().map(|e| e.requests()).sum::<usize>();
         // Placement chooses one of the two; calls are repeated until it is the failing one.
         let (got, runs) = loop {
             let before = all_runs();
-            let got = world.call(case.path);
-            if world.endpoints[0].requests() > 0 {
+            let got = harness.call(case.path);
+            if harness.endpoints[0].requests() > 0 {
                 break (got, all_runs() - before);
             }
         };
@@ -132,13 +136,13 @@
 /// An endpoint is full, or its address now belongs to another one. It says that the call has not
 /// run, so another endpoint must get it, whatever the kind of its route.
 #[test]
-fn a_call_that_has_not_run_goes_to_another_endpoint() {
+fn a_call_that_has_not_run_is_retried_at_another_endpoint() {
     for status in ["503 Service Unavailable", "421 Misdirected Request"] {
         for path in ["/non_idempotent/x", "/stream/x", "/idempotent/x"] {
-            let refuse = vec![Act::Answer(not_run(status)); 4];
-            let world = World::start(vec![refuse, vec![Act::Answer(answer_of("whole")); 4]]);
+            let refuse = vec![Action::Answer(not_run(status)); 4];
+            let harness = Harness::start(vec![refuse, vec![Action::Answer(answer_of("whole")); 4]]);
             for _ in 0..2 {
-                let got = world.call(path);
+                let got = harness.call(path);
                 assert_eq!((got.status, got.body.as_slice()), (200, b"whole".as_slice()), "{path}");
             }
         }
@@ -148,10 +152,10 @@
 /// All endpoints are full. The response must say at once that the call has not run, and when to
 /// retry.
 #[test]
-fn a_refusal_says_that_the_call_has_not_run_and_when_to_come_back() {
-    let refuse = || vec![Act::Answer(not_run("503 Service Unavailable")); 4];
-    let world = World::start(vec![refuse(), refuse(), refuse()]);
-    let got = world.call("/non_idempotent/x");
+fn a_refusal_says_that_the_call_has_not_run_and_when_to_retry() {
+    let refuse = || vec![Action::Answer(not_run("503 Service Unavailable")); 4];
+    let harness = Harness::start(vec![refuse(), refuse(), refuse()]);
+    let got = harness.call("/non_idempotent/x");
     assert_eq!(got.status, 503);
     assert!(got.head.contains("sill-not-run: true"), "{}", got.head);
     assert!(got.head.contains("retry-after: "), "{}", got.head);
@@ -160,85 +164,90 @@
 /// An endpoint crashes in the middle of an event of a resumable stream. Another endpoint must
 /// continue after the last complete event; the caller sees one stream without a gap or a repeat.
 #[test]
-fn a_resumable_stream_goes_on_at_another_endpoint() {
+fn a_resumable_stream_is_resumed_at_another_endpoint() {
     let stream = "content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n";
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let first = ["id: 1\ndata: a\n\n", "id: 2\ndata: b\n\nid: 3\nda"].map(chunk).concat();
     let rest = ["id: 3\ndata: c\n\n", "id: 4\ndata: d\n\n"].map(chunk).concat();
     let crash = format!("{}{first}", head(stream));
     let has_crashed = Arc::<AtomicBool>::default();
-    let crashes = vec![Act::AnswerAndCloseWhen(crash, has_crashed.clone())];
-    let goes_on = vec![Act::Answer(format!("{}{rest}0\r\n\r\n", head(stream)))];
-    let world = World::start_with_hidden(vec![crashes, goes_on]);
-    let address = world.address;
+    let old_actions = vec![Action::AnswerAndCloseWhen(crash, has_crashed.clone())];
+    let resumed_stream = vec![Action::Answer(format!("{}{rest}0\r\n\r\n", head(stream)))];
+    let harness = Harness::start_with_hidden(vec![old_actions, resumed_stream]);
+    let address = harness.address;
     let path = "/resumable_stream/x";
     let caller = thread::spawn(move || exchange(address, &request(path, "")));
-    while world.endpoints[0].requests() == 0 {
+    while harness.endpoints[0].requests() == 0 {
         thread::sleep(Duration::from_millis(10));
     }
-    world.first_leaves_and_last_appears(Millis(10_000));
-    world.wait_until_told();
+    harness.announce_departure_and_last(Millis(10_000));
+    harness.wait_until_facts_applied();
     has_crashed.store(true, Ordering::Relaxed);
-    let got = caller.join().expect("an answer");
+    let got = caller.join().expect("the caller gets an answer");
     let text = String::from_utf8(got.body).expect("text");
     let events = ["id: 1\ndata: a", "id: 2\ndata: b", "id: 3\ndata: c", "id: 4\ndata: d", ""];
     assert_eq!(text, events.join("\n\n"));
     assert!(got.is_whole);
-    let resumed = world.endpoints[1].seen.lock()[0].headers.clone();
+    let resumed = harness.endpoints[1].request_log.lock()[0].headers.clone();
     assert!(resumed.contains(&"last-event-id: 2".to_owned()), "{resumed:?}");
 }
 
 /// The platform reclaims the engine that a stream comes from. The stream can't be resumed, so it
 /// would be lost with a prompt of thousands of tokens, although two seconds are left to migrate it.
 #[test]
-fn a_run_is_moved_before_its_engine_is_taken_back() {
+fn a_run_is_migrated_before_its_engine_is_reclaimed() {
     let stream = "content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n";
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let first = ["id: 1\ndata: a\n\n", "id: 2\nda"].map(chunk).concat();
     let rest = ["id: 2\ndata: b\n\n", "id: 3\ndata: c\n\n"].map(chunk).concat();
-    let copied = || Act::Answer("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nh1".to_owned());
+    let copied = || Action::Answer("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nh1".to_owned());
     let runs = format!("{}{first}", head(stream));
-    let old = vec![Act::AnswerAndCloseLater(runs, Duration::from_millis(1500)), copied(), copied()];
-    let new = vec![Act::Answer(format!("{}{rest}0\r\n\r\n", head(stream)))];
-    let world = World::start_with_hidden(vec![old, new]);
-    let address = world.address;
+    let old_engine =
+        vec![Action::AnswerAndCloseLater(runs, Duration::from_millis(1500)), copied(), copied()];
+    let new_engine = vec![Action::Answer(format!("{}{rest}0\r\n\r\n", head(stream)))];
+    let harness = Harness::start_with_hidden(vec![old_engine, new_engine]);
+    let address = harness.address;
     let caller = thread::spawn(move || exchange(address, &request("/stream/x", "")));
-    while world.endpoints[0].requests() == 0 {
+    while harness.endpoints[0].requests() == 0 {
         thread::sleep(Duration::from_millis(10));
     }
-    world.first_leaves_and_last_appears(Millis(1300));
-    let got = caller.join().expect("an answer");
+    harness.announce_departure_and_last(Millis(1300));
+    let got = caller.join().expect("the caller gets an answer");
     let text = String::from_utf8(got.body).expect("text");
     assert_eq!(text, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
-    assert!(got.is_whole, "the stream was cut");
-    let old: Vec<String> =
-        world.endpoints[0].seen.lock().iter().map(|seen| seen.line.clone()).collect();
+    assert!(got.is_whole, "the migrated stream was cut");
+    let old: Vec<String> = harness.endpoints[0]
+        .request_log
+        .lock()
+        .iter()
+        .map(|request| request.line.clone())
+        .collect();
     assert!(old[1].contains("stops=false") && old[2].contains("stops=true"), "{old:?}");
-    let new = world.endpoints[1].seen.lock()[0].headers.clone();
-    let memory = format!("memory: {}/h1", world.endpoints[0].address);
+    let new = harness.endpoints[1].request_log.lock()[0].headers.clone();
+    let memory = format!("memory: {}/h1", harness.endpoints[0].address);
     assert!(new.contains(&memory) && new.contains(&"last-event-id: 1".to_owned()), "{new:?}");
 }
 
 /// A caller closes its connection while an endpoint works on its call. The endpoint must stop:
 /// nobody waits for the answer, and other calls wait for the slot.
 #[test]
-fn the_endpoint_is_told_when_the_caller_leaves() {
-    let world = World::start(vec![vec![Act::Hang]]);
-    world.call_and_leave("/stream/x");
+fn the_endpoint_is_disconnected_when_the_caller_leaves() {
+    let harness = Harness::start(vec![vec![Action::Hang]]);
+    harness.call_and_disconnect("/stream/x");
     for _ in 0..500 {
-        if *world.endpoints[0].left.lock() == 1 {
+        if *harness.endpoints[0].disconnects.lock() == 1 {
             return;
         }
         thread::sleep(Duration::from_millis(10));
     }
-    panic!("the endpoint still works on a call whose caller left");
+    panic!("the endpoint still works on a call whose caller disconnected");
 }
 
 /// Calls that the settings don't allow must be refused by the entry instance, and reach no
 /// endpoint.
 #[test]
-fn what_settings_do_not_allow_reaches_no_endpoint() {
-    let world = World::start(vec![vec![Act::Answer(answer_of("x"))]]);
+fn calls_that_settings_do_not_allow_reach_no_endpoint() {
+    let harness = Harness::start(vec![vec![Action::Answer(answer_of("x"))]]);
     let no_key = request("/idempotent/x", "").replace("caller-key", "other-key");
     let cases = [
         (request("/elsewhere/x", ""), 404),
@@ -246,17 +255,17 @@
         (no_key, 401),
     ];
     for (text, status) in cases {
-        assert_eq!(exchange(world.address, &text).status, status, "{text}");
+        assert_eq!(exchange(harness.address, &text).status, status, "{text}");
     }
-    assert_eq!(world.endpoints[0].requests(), 0);
+    assert_eq!(harness.endpoints[0].requests(), 0);
 }
 
 /// An entry instance that has just started has no settings. It must not answer 404 for routes that
 /// exist, but say that the call has not run and when to retry.
 #[test]
 fn without_settings_calls_are_refused_as_not_run() {
-    let world = World::without_settings();
-    let got = world.call("/idempotent/x");
+    let harness = Harness::without_settings();
+    let got = harness.call("/idempotent/x");
     assert_eq!(got.status, 503);
     assert!(got.head.contains("retry-after: "), "{}", got.head);
 }
@@ -265,15 +274,15 @@
 /// its head must say that the connection closes after it.
 #[test]
 fn a_planned_stop_cuts_no_answer() {
-    let slow = Act::AnswerLater(answer_of("whole"), Duration::from_millis(800));
-    let mut world = World::start(vec![vec![slow]]);
-    let address = world.address;
+    let slow = Action::AnswerLater(answer_of("whole"), Duration::from_millis(800));
+    let mut harness = Harness::start(vec![vec![slow]]);
+    let address = harness.address;
     let caller = thread::spawn(move || exchange(address, &request("/idempotent/x", "")));
-    while world.endpoints[0].requests() == 0 {
+    while harness.endpoints[0].requests() == 0 {
         thread::sleep(Duration::from_millis(10));
     }
-    world.stop();
-    let got = caller.join().expect("an answer");
+    harness.stop();
+    let got = caller.join().expect("the caller gets an answer");
     assert!(got.is_whole && got.body == b"whole");
     assert!(got.head.to_lowercase().contains("connection: close"), "{}", got.head);
 }
@@ -283,30 +292,40 @@
 /// would be cut in the middle of its answer. It must be refused at once as not run, so that its
 /// caller retries elsewhere; a call that ends in time must still be served.
 #[test]
-fn a_call_that_would_outlast_a_stopping_instance_is_not_begun() {
-    let answer = || Act::AnswerLater(answer_of("whole"), Duration::from_millis(800));
-    let mut world = World::start(vec![vec![answer(), Act::Answer(answer_of("quick"))]]);
-    let (address, ready_address) = (world.address, world.ready_address);
+fn a_call_that_would_outlast_a_stopping_instance_is_refused() {
+    let answer = || Action::AnswerLater(answer_of("whole"), Duration::from_millis(800));
+    let mut harness = Harness::start(vec![vec![answer(), Action::Answer(answer_of("quick"))]]);
+    let (address, ready_address) = (harness.address, harness.ready_address);
     let first = thread::spawn(move || exchange(address, &request("/idempotent/x", "")));
-    while world.endpoints[0].requests() == 0 {
+    while harness.endpoints[0].requests() == 0 {
         thread::sleep(Duration::from_millis(10));
     }
     let stop = thread::spawn(move || {
-        world.stop();
-        world
+        harness.stop();
+        harness
     });
     wait_until_ready_is(503, ready_address);
     let long = exchange(address, &request("/idempotent/x", ""));
     let short = exchange(address, &request("/idempotent/x", "sill-deadline-ms: 3000\r\n"));
-    let world = stop.join().expect("it stops");
-    assert!(first.join().expect("an answer").is_whole, "what ran before is not cut");
-    assert_eq!(long.status, 503, "its route allows 10 s, the instance ends in 5");
+    let harness = stop.join().expect("the entry instance stops");
+    assert!(
+        first.join().expect("the caller gets an answer").is_whole,
+        "the answer to a call from before the stop was cut"
+    );
+    assert_eq!(
+        long.status, 503,
+        "a call with 10 s was not refused by an instance that ends in 5 s"
+    );
     let head = long.head.to_lowercase();
     for part in ["sill-not-run: true", "retry-after: ", "connection: close"] {
         assert!(head.contains(part), "{part} in {head}");
     }
     assert_eq!((short.status, &short.body[..]), (200, &b"quick"[..]));
-    assert_eq!(world.endpoints[0].requests(), 2, "the long one was not sent");
+    assert_eq!(
+        harness.endpoints[0].requests(),
+        2,
+        "number of calls sent: the long one must not be"
+    );
 }
 
 /// Pause of a caller between two calls. Without one, some connection is always open, the stop lasts
@@ -320,17 +339,17 @@
 /// connection accepted after that check is cut by the end of the process: its call was sent to an
 /// endpoint and run, and its caller has no answer.
 #[test]
-fn an_instance_that_has_stopped_takes_no_connection() {
-    let mut world = World::start(vec![vec![Act::Answer(answer_of("whole")); 10_000]]);
-    let (address, over) = (world.address, Arc::new(AtomicBool::new(false)));
-    let served = Arc::new(AtomicUsize::new(0));
-    let callers: Vec<_> = (0..CALLERS).map(|_| (over.clone(), served.clone())).collect();
+fn an_instance_that_has_stopped_accepts_no_connection() {
+    let mut harness = Harness::start(vec![vec![Action::Answer(answer_of("whole")); 10_000]]);
+    let (address, is_over) = (harness.address, Arc::new(AtomicBool::new(false)));
+    let served_count = Arc::new(AtomicUsize::new(0));
+    let callers: Vec<_> = (0..CALLERS).map(|_| (is_over.clone(), served_count.clone())).collect();
     let callers: Vec<_> = callers
         .into_iter()
-        .map(|(over, served)| {
+        .map(|(is_over, served_count)| {
             thread::spawn(move || {
                 let call = request("/non_idempotent/x", "sill-deadline-ms: 2000\r\n");
-                while !over.load(Ordering::Relaxed) {
+                while !is_over.load(Ordering::Relaxed) {
                     let got = TcpStream::connect(address).and_then(|mut stream| {
                         stream.set_read_timeout(Some(Duration::from_secs(20)))?;
                         stream.write_all(call.as_bytes())?;
@@ -340,46 +359,60 @@
                     if got
                         .is_ok_and(|got| got.starts_with("HTTP/1.1 200") && got.ends_with("whole"))
                     {
-                        served.fetch_add(1, Ordering::Relaxed);
+                        served_count.fetch_add(1, Ordering::Relaxed);
                     }
                     thread::sleep(CALLER_PAUSE);
                 }
             })
         })
         .collect();
-    while world.endpoints[0].requests() == 0 {
+    while harness.endpoints[0].requests() == 0 {
         thread::sleep(Duration::from_millis(10));
     }
-    world.stop();
-    let runs = world.endpoints[0].requests();
-    assert!(TcpStream::connect(address).is_err(), "it still takes connections");
+    harness.stop();
+    let runs = harness.endpoints[0].requests();
+    assert!(TcpStream::connect(address).is_err(), "the stopped instance still accepts connections");
     thread::sleep(Duration::from_millis(100));
-    over.store(true, Ordering::Relaxed);
-    callers.into_iter().for_each(|caller| caller.join().expect("no panic"));
-    assert!(runs > 0, "calls were served during the stop");
-    assert_eq!(world.endpoints[0].requests(), runs, "a call was sent on after the end");
-    assert_eq!(served.load(Ordering::Relaxed), runs, "a call ran and its caller has no answer");
+    is_over.store(true, Ordering::Relaxed);
+    callers.into_iter().for_each(|caller| caller.join().expect("the caller thread doesn't panic"));
+    assert!(runs > 0, "no call was served before or during the stop");
+    assert_eq!(
+        harness.endpoints[0].requests(),
+        runs,
+        "a call was sent to the endpoint after the stop"
+    );
+    assert_eq!(
+        served_count.load(Ordering::Relaxed),
+        runs,
+        "a call ran and its caller got no answer"
+    );
 }
 
 /// The platform has sent SIGTERM, and an instance with a fraction of a core, or one that was still
 /// starting, handles it seconds later. If the limit counted from then, the platform would kill the
 /// instance before it, and all open calls would end without a response.
 #[test]
-fn a_stop_that_begins_late_still_ends_in_time() {
-    let mut world = World::start(vec![vec![Act::Hang]]);
-    let mut caller = TcpStream::connect(world.address).expect("it listens");
-    caller.write_all(request("/non_idempotent/x", "").as_bytes()).expect("it is read");
-    while world.endpoints[0].requests() == 0 {
+fn a_stop_that_starts_late_still_ends_in_time() {
+    let mut harness = Harness::start(vec![vec![Action::Hang]]);
+    let mut caller =
+        TcpStream::connect(harness.address).expect("the entry instance accepts connections");
+    caller
+        .write_all(request("/non_idempotent/x", "").as_bytes())
+        .expect("the peer reads the bytes");
+    while harness.endpoints[0].requests() == 0 {
         thread::sleep(Duration::from_millis(10));
     }
     let began = Instant::now();
     // Half a second is left of the five that a stop may last.
-    world.stop_late(Millis(4500));
+    harness.stop_late(Millis(4500));
     let took = began.elapsed();
     let mut got = String::new();
-    caller.read_to_string(&mut got).expect("an answer");
-    assert!(got.starts_with("HTTP/1.1 502"), "a call in flight is answered: {got:?}");
-    assert!(took < Duration::from_secs(4), "the limit counts from the signal: {took:?}");
+    caller.read_to_string(&mut got).expect("the caller gets an answer");
+    assert!(got.starts_with("HTTP/1.1 502"), "the in-flight call got no failure: {got:?}");
+    assert!(
+        took < Duration::from_secs(4),
+        "the limit was not counted from the signal; the stop took: {took:?}"
+    );
 }
 
 /// An endpoint starts a stream and fails, or hangs, before its first event. If the head were
@@ -390,15 +423,15 @@
     struct Case {
         name: &'static str,
         path: &'static str,
-        act: Act,
+        act: Action,
         status: u16,
         runs: usize,
     }
     let begun = || head("content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n");
     let half = || format!("{}6\r\nid: 1\n\r\n", begun());
-    let breaks = || Act::AnswerAndClose(begun());
-    let breaks_in_event = || Act::AnswerAndClose(half());
-    let silent = || Act::AnswerAndCloseLater(begun(), Duration::from_secs(5));
+    let breaks = || Action::AnswerAndClose(begun());
+    let breaks_in_event = || Action::AnswerAndClose(half());
+    let silent = || Action::AnswerAndCloseLater(begun(), Duration::from_secs(5));
     let cases = [
         Case { name: "breaks", path: "/stream/x", act: breaks(), status: 502, runs: 1 },
         Case { name: "resumed", path: "/resumable_stream/x", act: breaks(), status: 200, runs: 2 },
@@ -412,15 +445,15 @@
         Case { name: "silent", path: "/stream/x", act: silent(), status: 504, runs: 1 },
     ];
     for case in cases {
-        let whole = vec![Act::Answer(answer_of("whole")); 20];
-        let world = World::start(vec![vec![case.act], whole]);
-        let all_runs = || world.endpoints.iter().map(|e| e.requests()).sum::<usize>();
+        let whole = vec![Action::Answer(answer_of("whole")); 20];
+        let harness = Harness::start(vec![vec![case.act], whole]);
+        let all_runs = || harness.endpoints.iter().map(|e| e.requests()).sum::<usize>();
         // Placement chooses one of the two; calls are repeated until it is the failing one.
         let (got, runs) = loop {
             let before = all_runs();
             let text = request(case.path, "sill-deadline-ms: 600\r\n");
-            let got = exchange(world.address, &text);
-            if world.endpoints[0].requests() > 0 {
+            let got = exchange(harness.address, &text);
+            if harness.endpoints[0].requests() > 0 {
                 break (got, all_runs() - before);
             }
         };
@@ -439,10 +472,13 @@
 /// endpoint, ran, and was cut by the end of the process. After the stop no connection may be
 /// accepted.
 #[test]
-fn no_connection_is_taken_once_a_stop_is_over() {
-    let mut world = World::start(vec![vec![Act::Answer(answer_of("late"))]]);
-    world.stop();
-    let taken = std::net::TcpStream::connect(world.address);
-    assert!(taken.is_err(), "a call would run that nobody waits for");
-    assert_eq!(world.endpoints[0].requests(), 0);
+fn no_connection_is_accepted_after_an_idle_stop() {
+    let mut harness = Harness::start(vec![vec![Action::Answer(answer_of("late"))]]);
+    harness.stop();
+    let connection = std::net::TcpStream::connect(harness.address);
+    assert!(
+        connection.is_err(),
+        "the stopped instance accepts a connection, so a call would run without a caller"
+    );
+    assert_eq!(harness.endpoints[0].requests(), 0);
 }
--- a/daemons/gateway/tests/support/lines.rs
+++ b/daemons/gateway/tests/support/lines.rs
@@ -20,7 +20,7 @@
 }
 
 /// Captures all lines from now on.
-pub fn keep() {
+pub fn capture() {
     // Another test of the process may have set the logger already.
     let _ = log::set_logger(&LINES);
     log::set_max_level(LevelFilter::Info);
@@ -38,7 +38,7 @@
     let is_stop = |line: &&String| line.starts_with("event=gateway_stopped ");
     let is_own = |line: &&String| value(line, "name") == name;
     let lines = LINES.0.lock();
-    lines.iter().filter(is_stop).find(is_own).cloned().expect("a stop")
+    lines.iter().filter(is_stop).find(is_own).cloned().expect("a line on the stop of this instance")
 }
 
 /// Returns the value of a key in a line; empty if the key is missing.
--- a/daemons/gateway/tests/support/mod.rs
+++ b/daemons/gateway/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! An entry instance between scripted endpoints and a stand-in for a control instance.
 
-pub mod cut;
 pub mod lines;
+pub mod settings_pieces;
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -31,7 +31,7 @@
 use sill_wire::settings::PiecesAsk;
 use tokio::runtime::Runtime;
 
-use self::cut::Cut;
+use self::settings_pieces::SettingsPieces;
 
 /// The key shared by all processes.
 pub const CLUSTER_KEY: &str = "test";
@@ -40,11 +40,11 @@
 pub const KEY: &str = "caller-key";
 
 /// Time that a test waits for bytes before it fails as hung.
-const HUNG: Duration = Duration::from_secs(20);
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What an endpoint does with one request.
 #[derive(Clone)]
-pub enum Act {
+pub enum Action {
     /// Sends these bytes and keeps the connection. `{id}` is replaced by the request's id.
     Answer(String),
     /// Sends these bytes after a delay and keeps the connection.
@@ -65,7 +65,7 @@
     Hang,
 }
 
-impl Act {
+impl Action {
     /// Returns whether the answer says that the request has not run.
     fn is_refusal(&self) -> bool {
         match self {
@@ -79,7 +79,7 @@
 
 /// A request as received by an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub line: String,
     pub headers: Vec<String>,
     pub body: Vec<u8>,
@@ -90,15 +90,15 @@
 /// An endpoint with a scripted action for each request.
 pub struct Endpoint {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+    pub request_log: Arc<Mutex<Vec<ReceivedRequest>>>,
     /// Ids of the requests that it started to run; those refused as not run are not included.
-    pub ran: Arc<Mutex<Vec<String>>>,
+    pub run_ids: Arc<Mutex<Vec<String>>>,
     /// Number of connections that the other side closed while the endpoint hung.
-    pub left: Arc<Mutex<usize>>,
+    pub disconnects: Arc<Mutex<usize>>,
 }
 
 /// An entry instance with its endpoints and control instance.
-pub struct World {
+pub struct Harness {
     pub endpoints: Vec<Endpoint>,
     pub address: SocketAddr,
     /// The entry instance's name, different in each test.
@@ -116,7 +116,7 @@
 
 /// An answer as received by a caller.
 #[derive(Debug)]
-pub struct Got {
+pub struct CallerResponse {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
@@ -126,124 +126,130 @@
 
 /// How an entry instance is started.
 #[derive(Debug, Clone, Copy)]
-struct Start {
+struct StartOptions {
     /// Whether its control instance has settings.
     has_settings: bool,
     /// Whether the last endpoint is not announced at first.
-    hides_last: bool,
+    is_last_hidden: bool,
     stop: StopCfg,
 }
 
-impl Default for Start {
+impl Default for StartOptions {
     fn default() -> Self {
         let stop = StopCfg { notice: Millis(100), limit: Millis(5000) };
-        Self { has_settings: true, hides_last: false, stop }
+        Self { has_settings: true, is_last_hidden: false, stop }
     }
 }
 
 impl Endpoint {
-    fn start(acts: Vec<Act>) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
-        let acts = Arc::new(Mutex::new(VecDeque::from(acts)));
-        let (seen, ran, left) = (Arc::default(), Arc::default(), Arc::default());
+    fn start(actions: Vec<Action>) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
+        let address = listener.local_addr().expect("a bound listener has an address");
+        let actions = Arc::new(Mutex::new(VecDeque::from(actions)));
+        let (request_log, run_ids, disconnects) = (Arc::default(), Arc::default(), Arc::default());
         let endpoint = Self {
             address,
-            seen: Arc::clone(&seen),
-            ran: Arc::clone(&ran),
-            left: Arc::clone(&left),
+            request_log: Arc::clone(&request_log),
+            run_ids: Arc::clone(&run_ids),
+            disconnects: Arc::clone(&disconnects),
         };
         thread::spawn(move || {
             for (number, stream) in listener.incoming().enumerate() {
-                let (acts, seen) = (acts.clone(), seen.clone());
-                let (ran, left) = (ran.clone(), left.clone());
-                let stream: TcpStream = stream.expect("a connection");
-                thread::spawn(move || serve(stream, number, &acts, &seen, &ran, &left));
+                let (actions, request_log) = (actions.clone(), request_log.clone());
+                let (run_ids, disconnects) = (run_ids.clone(), disconnects.clone());
+                let stream: TcpStream = stream.expect("a connection is accepted");
+                thread::spawn(move || {
+                    serve(stream, number, &actions, &request_log, &run_ids, &disconnects)
+                });
             }
         });
         endpoint
     }
 
     pub fn requests(&self) -> usize {
-        self.seen.lock().len()
+        self.request_log.lock().len()
     }
 }
 
 fn serve(
     stream: TcpStream,
     number: usize,
-    acts: &Mutex<VecDeque<Act>>,
-    seen: &Mutex<Vec<Seen>>,
-    ran: &Mutex<Vec<String>>,
-    left: &Mutex<usize>,
+    actions: &Mutex<VecDeque<Action>>,
+    request_log: &Mutex<Vec<ReceivedRequest>>,
+    run_ids: &Mutex<Vec<String>>,
+    disconnects: &Mutex<usize>,
 ) {
-    let mut reader = BufReader::new(stream.try_clone().expect("it can be cloned"));
+    let mut reader = BufReader::new(stream.try_clone().expect("the socket can be cloned"));
     let mut stream = stream;
     while let Some(request) = read_request(&mut reader, number) {
         let id = request.headers.iter().find_map(|h| h.strip_prefix("sill-request-id: "));
         let id = id.unwrap_or_default().to_owned();
-        seen.lock().push(request);
-        let act = acts.lock().pop_front().unwrap_or(Act::Hang);
-        if !act.is_refusal() {
-            ran.lock().push(id.clone());
+        request_log.lock().push(request);
+        let action = actions.lock().pop_front().unwrap_or(Action::Hang);
+        if !action.is_refusal() {
+            run_ids.lock().push(id.clone());
         }
-        match act {
-            Act::Answer(text) => {
-                stream.write_all(text.replace("{id}", &id).as_bytes()).expect("it is read");
+        match action {
+            Action::Answer(text) => {
+                stream
+                    .write_all(text.replace("{id}", &id).as_bytes())
+                    .expect("the peer reads the bytes");
             }
-            Act::AnswerLater(text, pause) => {
+            Action::AnswerLater(text, pause) => {
                 thread::sleep(pause);
                 // The other side may have closed the connection meanwhile.
                 if stream.write_all(text.replace("{id}", &id).as_bytes()).is_err() {
                     return;
                 }
             }
-            Act::AnswerInTwo(first, pause, rest) => {
+            Action::AnswerInTwo(first, pause, remainder) => {
                 let _ = stream.write_all(first.replace("{id}", &id).as_bytes());
                 thread::sleep(pause);
-                let _ = stream.write_all(rest.replace("{id}", &id).as_bytes());
+                let _ = stream.write_all(remainder.replace("{id}", &id).as_bytes());
             }
-            Act::AnswerAndClose(text) => {
+            Action::AnswerAndClose(text) => {
                 let _ = stream.write_all(text.replace("{id}", &id).as_bytes());
                 return;
             }
-            Act::AnswerAndCloseLater(text, pause) => {
+            Action::AnswerAndCloseLater(text, pause) => {
                 let _ = stream.write_all(text.replace("{id}", &id).as_bytes());
                 thread::sleep(pause);
                 return;
             }
-            Act::AnswerAndCloseWhen(text, is_over) => {
+            Action::AnswerAndCloseWhen(text, may_close) => {
                 let _ = stream.write_all(text.replace("{id}", &id).as_bytes());
-                while !is_over.load(Ordering::Relaxed) {
+                while !may_close.load(Ordering::Relaxed) {
                     thread::sleep(Duration::from_millis(10));
                 }
                 return;
             }
-            Act::AnswerWhen(text, is_due) => {
-                while !is_due.load(Ordering::Relaxed) {
+            Action::AnswerWhen(text, may_answer) => {
+                while !may_answer.load(Ordering::Relaxed) {
                     thread::sleep(Duration::from_millis(10));
                 }
-                stream.write_all(text.replace("{id}", &id).as_bytes()).expect("it is read");
+                stream
+                    .write_all(text.replace("{id}", &id).as_bytes())
+                    .expect("the peer reads the bytes");
             }
-            Act::AnswerAndReset(text) => {
+            Action::AnswerAndReset(text) => {
                 let _ = stream.write_all(text.replace("{id}", &id).as_bytes());
                 // The written bytes must arrive before the reset does.
                 thread::sleep(Duration::from_millis(200));
                 let socket = socket2::SockRef::from(&stream);
-                socket.set_linger(Some(Duration::ZERO)).expect("it is a socket");
+                socket.set_linger(Some(Duration::ZERO)).expect("the socket option can be set");
                 return;
             }
-            Act::Hang => {
-                let mut rest = Vec::new();
-                let _ = reader.read_to_end(&mut rest);
-                *left.lock() += 1;
+            Action::Hang => {
+                let mut ignored = Vec::new();
+                let _ = reader.read_to_end(&mut ignored);
+                *disconnects.lock() += 1;
                 return;
             }
         }
     }
 }
 
-fn read_request(reader: &mut BufReader<TcpStream>, connection: usize) -> Option<Seen> {
+fn read_request(reader: &mut BufReader<TcpStream>, connection: usize) -> Option<ReceivedRequest> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
@@ -260,71 +266,77 @@
     let mut body = vec![0; length.map_or(0, |length| length.parse().expect("a number"))];
     reader.read_exact(&mut body).ok()?;
     let line = lines.remove(0);
-    Some(Seen { line, headers: lines, body, connection })
+    Some(ReceivedRequest { line, headers: lines, body, connection })
 }
 
-impl World {
+impl Harness {
     /// Starts an entry instance with one route per kind, and endpoints with their actions.
-    pub fn start(acts: Vec<Vec<Act>>) -> Self {
-        Self::start_with(acts, Start::default())
+    pub fn start(actions: Vec<Vec<Action>>) -> Self {
+        Self::start_with(actions, StartOptions::default())
     }
 
     /// Starts one to which the last endpoint is not announced yet.
-    pub fn start_with_hidden(acts: Vec<Vec<Act>>) -> Self {
-        Self::start_with(acts, Start { hides_last: true, ..Start::default() })
+    pub fn start_with_hidden(actions: Vec<Vec<Action>>) -> Self {
+        Self::start_with(actions, StartOptions { is_last_hidden: true, ..StartOptions::default() })
     }
 
     /// Starts one whose control instance has no settings yet.
     pub fn without_settings() -> Self {
-        Self::start_with(Vec::new(), Start { has_settings: false, ..Start::default() })
+        Self::start_with(
+            Vec::new(),
+            StartOptions { has_settings: false, ..StartOptions::default() },
+        )
     }
 
     /// Starts one whose planned stops end after `limit`.
-    pub fn stopping_within(limit: Millis, acts: Vec<Vec<Act>>) -> Self {
-        let stop = StopCfg { limit, ..Start::default().stop };
-        Self::start_with(acts, Start { stop, ..Start::default() })
+    pub fn start_with_stop_limit(limit: Millis, actions: Vec<Vec<Action>>) -> Self {
+        let stop = StopCfg { limit, ..StartOptions::default().stop };
+        Self::start_with(actions, StartOptions { stop, ..StartOptions::default() })
     }
 
     /// Starts one whose planned stops end after `limit`, and to which the last endpoint is not
     /// announced yet.
-    pub fn stopping_within_with_hidden(limit: Millis, acts: Vec<Vec<Act>>) -> Self {
-        let stop = StopCfg { limit, ..Start::default().stop };
-        Self::start_with(acts, Start { stop, hides_last: true, ..Start::default() })
-    }
-
-    fn start_with(acts: Vec<Vec<Act>>, start: Start) -> Self {
-        let Start { has_settings, hides_last, stop } = start;
-        let endpoints: Vec<Endpoint> = acts.into_iter().map(Endpoint::start).collect();
-        let runtime = Runtime::new().expect("a runtime");
+    pub fn start_with_stop_limit_and_hidden(limit: Millis, actions: Vec<Vec<Action>>) -> Self {
+        let stop = StopCfg { limit, ..StartOptions::default().stop };
+        Self::start_with(
+            actions,
+            StartOptions { stop, is_last_hidden: true, ..StartOptions::default() },
+        )
+    }
+
+    fn start_with(actions: Vec<Vec<Action>>, options: StartOptions) -> Self {
+        let StartOptions { has_settings, is_last_hidden, stop } = options;
+        let endpoints: Vec<Endpoint> = actions.into_iter().map(Endpoint::start).collect();
+        let runtime = Runtime::new().expect("a runtime can be created");
         let _guard = runtime.enter();
         let mut facts: Vec<EndpointFact> =
             endpoints.iter().enumerate().map(|(i, e)| fact(i, e.address)).collect();
-        if hides_last {
+        if is_last_hidden {
             facts.pop();
         }
         let facts = Arc::new(Mutex::new(facts));
-        let told = facts.clone();
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let facts_sent = facts.clone();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
         let mut peers = PeerServerBuilder::new(Secret::new(CLUSTER_KEY));
         let polls = Arc::<AtomicUsize>::default();
-        let polled = polls.clone();
+        let poll_counter = polls.clone();
         peers.answer(move |poll: LinkPoll| {
-            polled.fetch_add(1, Ordering::Relaxed);
-            answer(poll, told.lock().clone(), has_settings)
+            poll_counter.fetch_add(1, Ordering::Relaxed);
+            answer(poll, facts_sent.lock().clone(), has_settings)
         });
-        let cut = Cut::of(1, &document());
+        let pieces = SettingsPieces::of(1, &document());
         peers.answer(move |ask: PiecesAsk| {
-            let reply = cut.reply(&ask);
+            let reply = pieces.reply(&ask);
             async move { Ok(reply) }
         });
-        let control = peers.start(listener).expect("it starts");
-        let addresses = free_addresses(3).expect("ports are free");
+        let control = peers.start(listener).expect("the server starts");
+        let addresses = free_addresses(3).expect("three ports are free");
         let cfg = GatewayCfg { stop, ..cfg(&addresses, control.address()) };
         let name = cfg.name.clone();
-        let gateway = Gateway::start(cfg).expect("it starts");
+        let gateway = Gateway::start(cfg).expect("the server starts");
         let (address, ready_address) = (gateway.address, gateway.ready_address);
         let (gateway, _control) = (Some(gateway), control);
-        let world = Self {
+        let harness = Self {
             endpoints,
             address,
             name,
@@ -338,23 +350,24 @@
         if has_settings {
             wait_until_ready_is(200, addresses[1]);
         }
-        world
+        harness
     }
 
     /// Sends a call on a new connection, and reads the answer.
-    pub fn call(&self, path: &str) -> Got {
+    pub fn call(&self, path: &str) -> CallerResponse {
         exchange(self.address, &request(path, ""))
     }
 
     /// Sends a call and disconnects before the answer.
-    pub fn call_and_leave(&self, path: &str) {
-        self.call_and_leave_after(path, 1);
+    pub fn call_and_disconnect(&self, path: &str) {
+        self.call_and_disconnect_after(path, 1);
     }
 
     /// Sends a call and disconnects once the endpoints have received `requests` requests.
-    pub fn call_and_leave_after(&self, path: &str, requests: usize) {
-        let mut stream = TcpStream::connect(self.address).expect("it listens");
-        stream.write_all(request(path, "").as_bytes()).expect("it is read");
+    pub fn call_and_disconnect_after(&self, path: &str, requests: usize) {
+        let mut stream =
+            TcpStream::connect(self.address).expect("the entry instance accepts connections");
+        stream.write_all(request(path, "").as_bytes()).expect("the peer reads the bytes");
         let runs = || self.endpoints.iter().map(Endpoint::requests).sum::<usize>();
         while runs() < requests {
             thread::sleep(Duration::from_millis(10));
@@ -362,12 +375,12 @@
     }
 
     /// Announces that the first endpoint leaves, and the last endpoint.
-    pub fn first_leaves_and_last_appears(&self, leaves_in: Millis) {
-        *self.facts.lock() = self.first_leaves_in(leaves_in);
+    pub fn announce_departure_and_last(&self, leaves_in: Millis) {
+        *self.facts.lock() = self.departure_facts(leaves_in);
     }
 
     /// Returns the facts sent once the first endpoint leaves and the last one is ready.
-    pub fn first_leaves_in(&self, leaves_in: Millis) -> Vec<EndpointFact> {
+    pub fn departure_facts(&self, leaves_in: Millis) -> Vec<EndpointFact> {
         let last = self.endpoints.len() - 1;
         let leaving = EndpointFact {
             sequence: 2,
@@ -379,16 +392,16 @@
     }
 
     /// Announces the last endpoint.
-    pub fn show_last(&self) {
+    pub fn announce_last(&self) {
         let last = self.endpoints.len() - 1;
         self.facts.lock().push(fact(last, self.endpoints[last].address));
     }
 
     /// Waits until the entry instance has applied the current facts of its control instance: only
     /// then it polls again, from two tasks at most.
-    pub fn wait_until_told(&self) {
-        let told = self.polls.load(Ordering::Relaxed);
-        while self.polls.load(Ordering::Relaxed) < told + 3 {
+    pub fn wait_until_facts_applied(&self) {
+        let polls_before = self.polls.load(Ordering::Relaxed);
+        while self.polls.load(Ordering::Relaxed) < polls_before + 3 {
             thread::sleep(Duration::from_millis(10));
         }
     }
@@ -408,8 +421,8 @@
 
 /// Waits until the readiness check returns a status.
 pub fn wait_until_ready_is(status: u16, ready_address: SocketAddr) {
-    let ask = "GET /readyz HTTP/1.1\r\nhost: h\r\n\r\n";
-    while exchange(ready_address, ask).status != status {
+    let check = "GET /readyz HTTP/1.1\r\nhost: h\r\n\r\n";
+    while exchange(ready_address, check).status != status {
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -446,25 +459,25 @@
 }
 
 /// Sends bytes on a new connection and reads one answer.
-pub fn exchange(address: SocketAddr, text: &str) -> Got {
+pub fn exchange(address: SocketAddr, text: &str) -> CallerResponse {
     exchange_after(address, Duration::ZERO, text)
 }
 
 /// Opens a connection, and after a pause sends bytes and reads one answer.
-pub fn exchange_after(address: SocketAddr, pause: Duration, text: &str) -> Got {
-    let mut stream = TcpStream::connect(address).expect("it listens");
-    stream.set_read_timeout(Some(HUNG)).expect("it is a socket");
+pub fn exchange_after(address: SocketAddr, pause: Duration, text: &str) -> CallerResponse {
+    let mut stream = TcpStream::connect(address).expect("the entry instance accepts connections");
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("the socket option can be set");
     thread::sleep(pause);
-    stream.write_all(text.as_bytes()).expect("it is read");
+    stream.write_all(text.as_bytes()).expect("the peer reads the bytes");
     read_answer(&mut BufReader::new(stream))
 }
 
-fn read_answer(reader: &mut BufReader<TcpStream>) -> Got {
-    try_answer(reader).expect("the connection ended before an answer")
+fn read_answer(reader: &mut BufReader<TcpStream>) -> CallerResponse {
+    try_read_answer(reader).expect("the connection ended before an answer")
 }
 
 /// Reads one answer; returns none if the connection ends before its head.
-pub fn try_answer(reader: &mut BufReader<TcpStream>) -> Option<Got> {
+pub fn try_read_answer(reader: &mut BufReader<TcpStream>) -> Option<CallerResponse> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         match reader.read_line(&mut head) {
@@ -480,7 +493,7 @@
         Some(length) => read_length(reader, length.parse().expect("a number")),
         None => read_chunks(reader),
     };
-    Some(Got { status, head, body, is_whole })
+    Some(CallerResponse { status, head, body, is_whole })
 }
 
 fn read_length(reader: &mut BufReader<TcpStream>, length: usize) -> (Vec<u8>, bool) {
@@ -520,12 +533,12 @@
         listen_metrics: addresses[2],
         seeds: vec![control],
         cluster_key: Secret::new(CLUSTER_KEY),
-        dialect: Arc::new(MovingDialect),
+        dialect: Arc::new(MigrationDialect),
         limits: LimitBounds { slack: 0.0 },
         retries: RetryBounds { share: 0.2, allowance: 1000.0 },
         endpoint_notice: Millis(2000),
         usage_window: Millis(5000),
-        stop: Start::default().stop,
+        stop: StartOptions::default().stop,
     }
 }
 
@@ -577,7 +590,7 @@
         tokio::time::sleep(poll.wait.into()).await;
     }
     Ok(LinkReply {
-        settings: (has_settings && !is_known).then(|| Cut::of(1, &document()).manifest),
+        settings: (has_settings && !is_known).then(|| SettingsPieces::of(1, &document()).manifest),
         cursor: Cursor::default(),
         endpoints: facts,
         loads: Vec::new(),
@@ -590,9 +603,9 @@
 
 /// The product's own headers, with engines whose runs can be migrated.
 #[derive(Debug)]
-struct MovingDialect;
+struct MigrationDialect;
 
-impl Dialect for MovingDialect {
+impl Dialect for MigrationDialect {
     fn read(&self, parts: &http::request::Parts) -> CallHead {
         SillDialect.read(parts)
     }
--- a/daemons/gateway/tests/support/cut.rs
+++ b/daemons/gateway/tests/support/settings_pieces.rs
@@ -7,12 +7,12 @@
 
 /// One revision of the settings in pieces.
 #[derive(Debug, Clone)]
-pub struct Cut {
+pub struct SettingsPieces {
     pub manifest: Manifest,
     pub pieces: Map<PieceId, Piece>,
 }
 
-impl Cut {
+impl SettingsPieces {
     /// Cuts a document into pieces.
     pub fn of(revision: u64, document: &Document) -> Self {
         let parts = pieces::cut(document).into_iter();
