--- a/daemons/gateway/src/serve.rs
+++ b/daemons/gateway/src/serve.rs
@@ -168,15 +168,14 @@
     let time_left = head.deadline.map_or(timeout, |deadline| deadline.min(timeout));
     let due = received_at + time_left;
     // A call that is admitted too late would be cut in the middle, and could not be repeated.
-    let answer_mode =
-        state.planned_stop.admit(&head.attempt, &route.name, due).map_err(|refusal| {
-            let InsufficientTime { time_left, usual_duration } = refusal;
-            let (due, usual_duration) = (due - received_at, usual_duration.unwrap_or_default());
-            let inputs = format!(
-                "{time_left} ms to the end, {due} ms to the deadline, usually {usual_duration} ms"
-            );
-            Refusal { route: route.name.clone(), ..Refusal::by_stop(state, inputs) }
-        })?;
+    let answer_mode = state.planned_stop.admit(&head.attempt, &route.name, due).map_err(|err| {
+        let InsufficientTime { time_left, usual_duration } = err;
+        let (due, usual_duration) = (due - received_at, usual_duration.unwrap_or_default());
+        let inputs = format!(
+            "{time_left} ms to the end, {due} ms to the deadline, usually {usual_duration} ms"
+        );
+        Refusal { route: route.name.clone(), ..Refusal::by_stop(state, inputs) }
+    })?;
     let amount = limit_units(&head, account.as_deref());
     if let Some(account) = &account {
         // An instance that has just started doesn't know what it admitted before, nor what others
@@ -184,11 +183,11 @@
         state.first_totals(&account.name, amount, start_wait(&head), START_WAIT).await;
     }
     if let Some(account) = &account
-        && let Err(over) = state.admit(&account.name, amount)
+        && let Err(over_limit) = state.admit(&account.name, amount)
     {
         return Err(Refusal {
-            failure: Failure::with_retry_after(ErrorCode::LimitReached, over.retry_after),
-            inputs: format!("{amount:.0} of {over}"),
+            failure: Failure::with_retry_after(ErrorCode::LimitReached, over_limit.retry_after),
+            inputs: format!("{amount:.0} of {over_limit}"),
             route: route.name.clone(),
             account: account.name.clone(),
             reason: "over_limit",
