--- a/coordination/member/src/lib.rs
+++ b/coordination/member/src/lib.rs
@@ -1,4 +1,4 @@
-//! Membership of entry instances and endpoints: who lives, who is leaving, who was replaced.
+//! Membership of entry instances and endpoints: which are live, leaving or replaced.
 
 pub mod cfg;
 pub mod digest;
@@ -10,4 +10,4 @@
 
 pub use cfg::{MemberCfg, Weakening};
 pub use event::{Action, Event, Report};
-pub use members::{Members, START};
+pub use members::{CLOCK_START, Members};
--- a/daemons/gateway/src/link.rs
+++ b/daemons/gateway/src/link.rs
@@ -13,7 +13,7 @@
 use sill_base::{Map, Millis, Name, event};
 use sill_net::PeerClient;
 use sill_wire::control::Revision;
-use sill_wire::link::{ControlPlace, Cursor, LinkPoll, LinkReply};
+use sill_wire::link::{ControlInfo, Cursor, LinkPoll, LinkReply};
 
 use crate::settings_fetcher::RevisionOffers;
 use crate::state::State;
@@ -45,7 +45,7 @@
 pub struct Link {
     state: Arc<State>,
     seeds: Mutex<Vec<SocketAddr>>,
-    known_controls: Mutex<Map<Name, ControlPlace>>,
+    known_controls: Mutex<Map<Name, ControlInfo>>,
     followed_controls: Mutex<[Option<SocketAddr>; FOLLOWED_CONTROLS]>,
     failures: Mutex<Map<SocketAddr, Millis>>,
     sequence: AtomicU64,
@@ -143,7 +143,7 @@
             let now = self.state.clock.now();
             if led_at.is_none() {
                 self.state.metrics.followed_controls.inc();
-                event!(Info, "control_followed", address = address, is_led = reply.is_led);
+                event!(Info, "control_followed", address = address, is_led = reply.has_leader);
             }
             cursor = reply.cursor;
             self.record_controls(reply.controls.clone());
@@ -153,7 +153,7 @@
                 self.offers.offer(manifest.clone(), address);
             }
             let since = led_at.get_or_insert(now);
-            if reply.is_led {
+            if reply.has_leader {
                 *since = now;
             } else if now - *since > LEADERLESS_TIMEOUT && self.has_other(address) {
                 return end(true, "it has reported no leader for too long".to_owned());
@@ -168,7 +168,7 @@
         }
     }
 
-    fn record_controls(&self, controls: Vec<ControlPlace>) {
+    fn record_controls(&self, controls: Vec<ControlInfo>) {
         let mut known_controls = self.known_controls.lock();
         for place in controls {
             known_controls.insert(place.name.clone(), place);
--- a/daemons/gateway/src/state.rs
+++ b/daemons/gateway/src/state.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, OnceLock};
 
 use parking_lot::{Mutex, RwLock};
-use sill_base::{Clock, Map, Millis, Name, Promise, event, keep};
+use sill_base::{Clock, Map, Millis, Name, Promise, assert_promise, event};
 use sill_dispatch::usage::window_of;
 use sill_dispatch::{
     AdmittedByReason, FactUpdate, LimitEstimate, LimitShares, MAX_TOTALS_AGE, MovingAverage,
@@ -203,7 +203,7 @@
         for fact in &reply.endpoints {
             // A control instance without a leader may be partitioned, and miss heartbeats that
             // others receive.
-            if fact.state != EndpointState::Silent || reply.is_led {
+            if fact.state != EndpointState::Silent || reply.has_leader {
                 self.apply_fact(now, from, fact);
             }
         }
@@ -280,7 +280,7 @@
     /// Puts newer settings in force.
     pub fn apply_settings(&self, table: Arc<RouteTable>) {
         let current = self.table().map_or(0, |table| table.revision);
-        keep!(
+        assert_promise!(
             Promise::AcceptedChangeStays,
             table.revision > current,
             "revision {} over {current}",
@@ -365,7 +365,7 @@
             service = fact.service,
             domain = fact.domain,
             address = fact.address,
-            born = fact.born.0,
+            born = fact.incarnation.0,
             state = format!("{:?}", fact.state),
             sequence = fact.sequence,
             from = from,
@@ -425,7 +425,7 @@
             domain: self.cfg.domain.clone(),
             sequence,
             wall: Millis::wall(),
-            up: Some(now),
+            uptime: Some(now),
             entries,
             age: Millis::ZERO,
             usage: self.usage.lock().report(window),
@@ -483,7 +483,7 @@
             "engine_speed",
             service = self.service,
             prefill_tokens_per_s = now as u64,
-            lines = speed.lines,
+            lines = speed.fits,
             before = before as u64
         );
     }
--- a/daemons/gateway/tests/limits.rs
+++ b/daemons/gateway/tests/limits.rs
@@ -62,9 +62,14 @@
         endpoints: Vec::new(),
         loads: Vec::new(),
         controls: Vec::new(),
-        totals: Some(Totals { age: Millis::ZERO, entries: 8, untold_s: 0.0, accounts: vec![used] }),
+        totals: Some(Totals {
+            age: Millis::ZERO,
+            entries: 8,
+            unreported_s: 0.0,
+            accounts: vec![used],
+        }),
         true_time: Millis::wall(),
-        is_led: true,
+        has_leader: true,
     }
 }
 
@@ -111,7 +116,7 @@
 #[tokio::test]
 async fn an_unreported_account_counts_as_used_after_a_restart() {
     let state = state();
-    let totals = Totals { age: Millis::ZERO, entries: 8, untold_s: 8.0, accounts: Vec::new() };
+    let totals = Totals { age: Millis::ZERO, entries: 8, unreported_s: 8.0, accounts: Vec::new() };
     state.apply_reply(nowhere(), &LinkReply { totals: Some(totals), ..used_up() });
     state.apply_settings(settings());
     state.admit(&account(), LARGE).expect_err("the account may have used up its limit");
--- a/daemons/gateway/tests/settings.rs
+++ b/daemons/gateway/tests/settings.rs
@@ -18,8 +18,8 @@
 use sill_standin::loopback::free_addresses;
 use sill_tree::{Document, PieceId, Pool, Route, Service, Share};
 use sill_wire::Incarnation;
-use sill_wire::link::{ControlPlace, Cursor, EndpointFact, EndpointState, LinkPoll, LinkReply};
-use sill_wire::settings::{Piece, PiecesAsk, PiecesReply};
+use sill_wire::link::{ControlInfo, Cursor, EndpointFact, EndpointState, LinkPoll, LinkReply};
+use sill_wire::settings::{Piece, PiecesReply, PiecesRequest};
 use support::settings_pieces::SettingsPieces;
 use support::{CLUSTER_KEY, cfg, exchange, fact, request};
 use tokio::runtime::Runtime;
@@ -53,7 +53,7 @@
     /// How often each piece was sent intact.
     sent_counts: Mutex<Map<PieceId, usize>>,
     answer_count: Mutex<usize>,
-    controls: Mutex<Vec<ControlPlace>>,
+    controls: Mutex<Vec<ControlInfo>>,
     /// The endpoint facts it sends, in order.
     facts: Mutex<Vec<EndpointFact>>,
     /// Number of different pieces sent when a poll first confirmed all facts.
@@ -88,7 +88,7 @@
         let source = self.clone();
         peers.answer(move |poll: LinkPoll| source.clone().poll(poll));
         let source = self.clone();
-        peers.answer(move |ask: PiecesAsk| source.clone().pieces(ask));
+        peers.answer(move |ask: PiecesRequest| source.clone().pieces(ask));
         peers
             .start(TcpListener::bind("127.0.0.1:0").expect("a free port can be bound"))
             .expect("the server starts")
@@ -113,7 +113,7 @@
             controls: self.controls.lock().clone(),
             totals: None,
             true_time: Millis::wall(),
-            is_led: true,
+            has_leader: true,
         };
         self.wait_for_link(serde_json::to_vec(&reply)).await;
         Ok(reply)
@@ -126,7 +126,7 @@
         tokio::time::sleep(Duration::from_millis(bytes / bytes_per_ms)).await;
     }
 
-    async fn pieces(self: Arc<Self>, ask: PiecesAsk) -> Result<PiecesReply, PeerError> {
+    async fn pieces(self: Arc<Self>, ask: PiecesRequest) -> Result<PiecesReply, PeerError> {
         let behavior = self.behavior.lock().clone();
         tokio::time::sleep(behavior.reply_delay).await;
         let answers = {
@@ -174,13 +174,13 @@
         let runtime = Runtime::new().expect("a runtime can be created");
         let _guard = runtime.enter();
         let servers: Vec<PeerServer> = sources.iter().map(ControlStub::serve).collect();
-        let places = servers.iter().enumerate().map(|(i, server)| ControlPlace {
+        let places = servers.iter().enumerate().map(|(i, server)| ControlInfo {
             name: format!("c{i}").into(),
             domain: format!("d{i}").into(),
             peer: server.address(),
             address: server.address(),
         });
-        let places: Vec<ControlPlace> = places.collect();
+        let places: Vec<ControlInfo> = places.collect();
         sources.iter().for_each(|source| source.controls.lock().clone_from(&places));
         let addresses = free_addresses(3).expect("three ports are free");
         let cfg: GatewayCfg = cfg(&addresses, servers[0].address());
@@ -247,7 +247,7 @@
     let address = "127.0.0.1:1".parse().expect("an address");
     EndpointFact {
         endpoint: "e".into(),
-        born: Incarnation(1),
+        incarnation: Incarnation(1),
         sequence: 2,
         state: EndpointState::Leaving,
         ..fact(0, address)
