--- a/daemons/gateway/src/link.rs
+++ b/daemons/gateway/src/link.rs
@@ -170,8 +170,8 @@
 
     fn record_controls(&self, controls: Vec<ControlInfo>) {
         let mut known_controls = self.known_controls.lock();
-        for place in controls {
-            known_controls.insert(place.name.clone(), place);
+        for control in controls {
+            known_controls.insert(control.name.clone(), control);
         }
     }
 
@@ -186,7 +186,8 @@
 
     fn candidates(&self) -> Vec<SocketAddr> {
         let known_controls = self.known_controls.lock();
-        let mut all: Vec<SocketAddr> = known_controls.values().map(|place| place.peer).collect();
+        let mut all: Vec<SocketAddr> =
+            known_controls.values().map(|control| control.peer).collect();
         all.extend(self.seeds.lock().iter());
         all.sort();
         all.dedup();
--- a/daemons/gateway/tests/ending.rs
+++ b/daemons/gateway/tests/ending.rs
@@ -108,7 +108,7 @@
     thread::sleep(Duration::from_millis(100));
     harness.stop();
     let got = caller.join().expect("the caller gets an answer");
-    assert!(got.status == 200 && !got.is_whole, "{got:?}");
+    assert!(got.status == 200 && !got.is_complete, "{got:?}");
     let call_lines = lines::of_call("cut-1");
     assert_eq!(call_lines.len(), 1, "{call_lines:?}");
     assert_eq!(value(&call_lines[0], "outcome"), "cut_by_stop", "{call_lines:?}");
@@ -124,23 +124,23 @@
     struct Case {
         id: &'static str,
         path: &'static str,
-        act: Action,
+        action: Action,
     }
     let stream_begins = Action::AnswerAndCloseLater(head(STREAM), LONGER_THAN_ANY_STOP);
     let cases = [
-        Case { id: "waits-1", path: "/non_idempotent/x", act: Action::Hang },
-        Case { id: "waits-2", path: "/idempotent/x", act: Action::Hang },
-        Case { id: "waits-3", path: "/stream/x", act: Action::Hang },
-        Case { id: "waits-4", path: "/stream/x", act: stream_begins },
+        Case { id: "waits-1", path: "/non_idempotent/x", action: Action::Hang },
+        Case { id: "waits-2", path: "/idempotent/x", action: Action::Hang },
+        Case { id: "waits-3", path: "/stream/x", action: Action::Hang },
+        Case { id: "waits-4", path: "/stream/x", action: stream_begins },
     ];
     lines::capture();
     for case in cases {
-        let is_hanging = matches!(case.act, Action::Hang);
-        let mut harness = Harness::start_with_stop_limit(LIMIT, vec![vec![case.act]]);
+        let is_hanging = matches!(case.action, Action::Hang);
+        let mut harness = Harness::start_with_stop_limit(LIMIT, vec![vec![case.action]]);
         let caller = start_call(&harness, case.path, case.id);
         harness.stop();
         let got = caller.join().expect("the caller gets an answer");
-        assert_eq!((got.status, got.is_whole), (502, true), "{}", case.id);
+        assert_eq!((got.status, got.is_complete), (502, true), "{}", case.id);
         let head = got.head.to_lowercase();
         assert!(!head.contains("sill-not-run") && head.contains("connection: close"), "{head}");
         let call_lines = lines::of_call(case.id);
@@ -194,7 +194,7 @@
         path: &'static str,
         extra: &'static str,
         /// What the endpoint does once the entry instance stops.
-        act: fn(Arc<AtomicBool>) -> Action,
+        action: fn(Arc<AtomicBool>) -> Action,
         status: u16,
         sends: usize,
     }
@@ -204,7 +204,8 @@
     let breaks: fn(_) -> _ = |when| Action::AnswerAndCloseWhen(String::new(), when);
     let breaks_early: fn(_) -> _ = |when| Action::AnswerAndCloseWhen(head(STREAM), when);
     let fails: fn(_) -> _ = |when| Action::AnswerWhen(FAILURE.to_owned(), when);
-    let case = |name, path, act, status| Case { name, path, extra: "", act, status, sends: 1 };
+    let case =
+        |name, path, action, status| Case { name, path, extra: "", action, status, sends: 1 };
     let in_time = "sill-deadline-ms: 4000\r\n";
     let cases = [
         case("refused by an endpoint", "/non_idempotent/x", refuses, 503),
@@ -216,8 +217,8 @@
     for case in cases {
         let complete = Action::Answer(answer_of("whole"));
         let has_stopped = Arc::<AtomicBool>::default();
-        let acts = vec![vec![(case.act)(has_stopped.clone())], vec![complete]];
-        let harness = Harness::start_with_hidden(acts);
+        let actions = vec![vec![(case.action)(has_stopped.clone())], vec![complete]];
+        let harness = Harness::start_with_hidden(actions);
         let caller = start_call_with(&harness, case.path, "again", case.extra);
         harness.announce_last();
         harness.wait_until_facts_applied();
@@ -256,7 +257,7 @@
     let got = caller.join().expect("the caller gets an answer");
     stop.join().expect("the entry instance stops");
     assert_eq!(String::from_utf8_lossy(&got.body), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-    assert!(got.is_whole);
+    assert!(got.is_complete);
 }
 
 /// The engine of a stream is reclaimed, but the entry instance ends before the engine does. A
@@ -269,9 +270,9 @@
     let old_engine =
         vec![Action::AnswerAndCloseLater(part, LONGER_THAN_ANY_STOP), copied(), copied()];
     lines::capture();
-    let acts = vec![old_engine, vec![Action::Hang]];
+    let actions = vec![old_engine, vec![Action::Hang]];
     let limit = Millis(2000);
-    let harness = Harness::start_with_stop_limit_and_hidden(limit, acts);
+    let harness = Harness::start_with_stop_limit_and_hidden(limit, actions);
     let caller = start_call(&harness, "/stream/x", "stays");
     let facts = harness.facts.clone();
     let leaving = harness.departure_facts(limit);
@@ -280,7 +281,7 @@
     *facts.lock() = leaving;
     let got = caller.join().expect("the caller gets an answer");
     let harness = stop.join().expect("the entry instance stops");
-    assert_eq!((got.status, got.is_whole), (200, false));
+    assert_eq!((got.status, got.is_complete), (200, false));
     assert_eq!(
         harness.endpoints[0].requests(),
         1,
@@ -296,8 +297,8 @@
     lines::capture();
     let count = MAX_LINES_PER_OUTCOME + 20;
     let part = format!("{}{}", head(STREAM), chunk("id: 1\ndata: a\n\n"));
-    let acts = vec![Action::AnswerAndCloseLater(part, LONGER_THAN_ANY_STOP); count];
-    let mut harness = Harness::start_with_stop_limit(LIMIT, vec![acts]);
+    let actions = vec![Action::AnswerAndCloseLater(part, LONGER_THAN_ANY_STOP); count];
+    let mut harness = Harness::start_with_stop_limit(LIMIT, vec![actions]);
     let mut callers = Vec::new();
     // Engines have a limited number of slots; one call after the other would let the first ones
     // reach their deadlines.
@@ -306,7 +307,7 @@
     }
     harness.stop();
     let cut = callers.into_iter().map(|caller| caller.join().expect("the caller gets an answer"));
-    assert_eq!(cut.filter(|got| !got.is_whole).count(), count);
+    assert_eq!(cut.filter(|got| !got.is_complete).count(), count);
     assert_eq!(lines::of_call("many").len(), MAX_LINES_PER_OUTCOME);
     let stop_line = lines::of_stop(&harness.name);
     let number = |key: &str| value(&stop_line, key).parse::<usize>().expect("a number");
--- a/daemons/gateway/tests/ending_mix.rs
+++ b/daemons/gateway/tests/ending_mix.rs
@@ -78,7 +78,7 @@
                 break;
             }
             let got = try_read_answer(&mut reader);
-            let is_reusable = got.as_ref().is_some_and(|got| got.is_whole)
+            let is_reusable = got.as_ref().is_some_and(|got| got.is_complete)
                 && !got
                     .as_ref()
                     .is_some_and(|got| got.head.to_lowercase().contains("connection: close"));
@@ -108,8 +108,8 @@
 
 fn run_one_stop(seed: u64) {
     let mut rng = random::seeded(seed);
-    let acts = (0..3).map(|_| (0..600).map(|_| random_action(&mut rng)).collect()).collect();
-    let mut harness = Harness::start_with_stop_limit(LIMIT, acts);
+    let actions = (0..3).map(|_| (0..600).map(|_| random_action(&mut rng)).collect()).collect();
+    let mut harness = Harness::start_with_stop_limit(LIMIT, actions);
     let address = harness.address;
     let until = Instant::now() + STOP_DELAY + LIMIT.into();
     let callers: Vec<_> = (0..CALLERS)
@@ -135,10 +135,10 @@
     println!(
         "seed {seed}: {} calls, {} answered, {} refused, {} failed, {} cut, {} without an answer",
         calls.len(),
-        count(|got| got.status == 200 && got.is_whole),
+        count(|got| got.status == 200 && got.is_complete),
         count(|got| got.status == 503),
         count(|got| got.status >= 500 && got.status != 503),
-        count(|got| !got.is_whole),
+        count(|got| !got.is_complete),
         calls.iter().filter(|call| call.got.is_none()).count(),
     );
     for call in &calls {
@@ -162,7 +162,7 @@
     let says_not_run = got.head.contains("sill-not-run: true");
     assert!(!says_not_run || runs == 0, "call reported as not run has run: {}", details());
     assert!(
-        got.is_whole || is_explained(id),
+        got.is_complete || is_explained(id),
         "answer cut without a log line that says why: {}",
         details()
     );
--- a/daemons/gateway/tests/relay.rs
+++ b/daemons/gateway/tests/relay.rs
@@ -19,32 +19,32 @@
 fn an_incomplete_answer_is_incomplete_for_the_caller_too() {
     struct Case {
         name: &'static str,
-        act: Action,
+        action: Action,
     }
     let cases = [
         Case {
             name: "shorter than its length",
-            act: Action::AnswerAndClose(format!("{}half", head("content-length: 8\r\n"))),
+            action: Action::AnswerAndClose(format!("{}half", head("content-length: 8\r\n"))),
         },
         Case {
             name: "chunks without the last one",
-            act: Action::AnswerAndClose(format!(
+            action: Action::AnswerAndClose(format!(
                 "{}4\r\nhalf\r\n",
                 head("transfer-encoding: chunked\r\n")
             )),
         },
         Case {
             name: "no length, and reset",
-            act: Action::AnswerAndReset(format!("{}half", head(""))),
+            action: Action::AnswerAndReset(format!("{}half", head(""))),
         },
     ];
     for case in cases {
-        let harness = Harness::start(vec![vec![case.act]]);
+        let harness = Harness::start(vec![vec![case.action]]);
         let got = harness.call("/stream/x");
         assert_eq!(got.status, 200, "{}", case.name);
         assert_eq!(got.body, b"half", "{}", case.name);
         assert!(
-            !got.is_whole,
+            !got.is_complete,
             "{}: the incomplete answer looks complete to the caller: {}",
             case.name, got.head
         );
@@ -57,15 +57,18 @@
 fn an_answer_without_a_length_is_complete_after_a_clean_close() {
     let harness = Harness::start(vec![vec![Action::AnswerAndClose(format!("{}whole", head("")))]]);
     let got = harness.call("/stream/x");
-    assert_eq!((got.status, got.body.as_slice(), got.is_whole), (200, b"whole".as_slice(), true));
+    assert_eq!(
+        (got.status, got.body.as_slice(), got.is_complete),
+        (200, b"whole".as_slice(), true)
+    );
 }
 
 /// Requests and answers must be relayed unchanged, on connections that are reused; the caller's key
 /// must not reach an endpoint.
 #[test]
 fn calls_and_answers_are_relayed_unchanged() {
-    let acts = (0..3).map(|i| Action::Answer(answer_of(&format!("answer {i}")))).collect();
-    let harness = Harness::start(vec![acts]);
+    let actions = (0..3).map(|i| Action::Answer(answer_of(&format!("answer {i}")))).collect();
+    let harness = Harness::start(vec![actions]);
     for i in 0..3 {
         let got = harness.call("/idempotent/a?b=c");
         assert_eq!(got.body, format!("answer {i}").into_bytes());
@@ -90,8 +93,8 @@
     let other_answer = answer_of("not mine").replace("{id}", "r-0");
     for (name, first) in [("extra", two_answers), ("late", other_answer)] {
         let mine = || vec![Action::Answer(answer_of("mine")); 4];
-        let acts = [vec![Action::Answer(first)], mine()].concat();
-        let harness = Harness::start(vec![acts, mine()]);
+        let actions = [vec![Action::Answer(first)], mine()].concat();
+        let harness = Harness::start(vec![actions, mine()]);
         for _ in 0..3 {
             let got = harness.call("/idempotent/x");
             assert_eq!((got.status, got.body.as_slice()), (200, b"mine".as_slice()), "{name}");
@@ -187,7 +190,7 @@
     let text = String::from_utf8(got.body).expect("text");
     let events = ["id: 1\ndata: a", "id: 2\ndata: b", "id: 3\ndata: c", "id: 4\ndata: d", ""];
     assert_eq!(text, events.join("\n\n"));
-    assert!(got.is_whole);
+    assert!(got.is_complete);
     let resumed = harness.endpoints[1].request_log.lock()[0].headers.clone();
     assert!(resumed.contains(&"last-event-id: 2".to_owned()), "{resumed:?}");
 }
@@ -215,7 +218,7 @@
     let got = caller.join().expect("the caller gets an answer");
     let text = String::from_utf8(got.body).expect("text");
     assert_eq!(text, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
-    assert!(got.is_whole, "the migrated stream was cut");
+    assert!(got.is_complete, "the migrated stream was cut");
     let old: Vec<String> = harness.endpoints[0]
         .request_log
         .lock()
@@ -283,7 +286,7 @@
     }
     harness.stop();
     let got = caller.join().expect("the caller gets an answer");
-    assert!(got.is_whole && got.body == b"whole");
+    assert!(got.is_complete && got.body == b"whole");
     assert!(got.head.to_lowercase().contains("connection: close"), "{}", got.head);
 }
 
@@ -309,7 +312,7 @@
     let short = exchange(address, &request("/idempotent/x", "sill-deadline-ms: 3000\r\n"));
     let harness = stop.join().expect("the entry instance stops");
     assert!(
-        first.join().expect("the caller gets an answer").is_whole,
+        first.join().expect("the caller gets an answer").is_complete,
         "the answer to a call from before the stop was cut"
     );
     assert_eq!(
@@ -423,7 +426,7 @@
     struct Case {
         name: &'static str,
         path: &'static str,
-        act: Action,
+        action: Action,
         status: u16,
         runs: usize,
     }
@@ -433,20 +436,26 @@
     let breaks_in_event = || Action::AnswerAndClose(half());
     let silent = || Action::AnswerAndCloseLater(begun(), Duration::from_secs(5));
     let cases = [
-        Case { name: "breaks", path: "/stream/x", act: breaks(), status: 502, runs: 1 },
-        Case { name: "resumed", path: "/resumable_stream/x", act: breaks(), status: 200, runs: 2 },
+        Case { name: "breaks", path: "/stream/x", action: breaks(), status: 502, runs: 1 },
+        Case {
+            name: "resumed",
+            path: "/resumable_stream/x",
+            action: breaks(),
+            status: 200,
+            runs: 2,
+        },
         Case {
             name: "resumed after half of an event",
             path: "/resumable_stream/x",
-            act: breaks_in_event(),
+            action: breaks_in_event(),
             status: 200,
             runs: 2,
         },
-        Case { name: "silent", path: "/stream/x", act: silent(), status: 504, runs: 1 },
+        Case { name: "silent", path: "/stream/x", action: silent(), status: 504, runs: 1 },
     ];
     for case in cases {
         let whole = vec![Action::Answer(answer_of("whole")); 20];
-        let harness = Harness::start(vec![vec![case.act], whole]);
+        let harness = Harness::start(vec![vec![case.action], whole]);
         let all_runs = || harness.endpoints.iter().map(|e| e.requests()).sum::<usize>();
         // Placement chooses one of the two; calls are repeated until it is the failing one.
         let (got, runs) = loop {
@@ -458,7 +467,7 @@
             }
         };
         assert_eq!(
-            (got.status, runs, got.is_whole),
+            (got.status, runs, got.is_complete),
             (case.status, case.runs, true),
             "{}",
             case.name
--- a/daemons/gateway/tests/settings.rs
+++ b/daemons/gateway/tests/settings.rs
@@ -88,7 +88,7 @@
         let source = self.clone();
         peers.answer(move |poll: LinkPoll| source.clone().poll(poll));
         let source = self.clone();
-        peers.answer(move |ask: PiecesRequest| source.clone().pieces(ask));
+        peers.answer(move |req: PiecesRequest| source.clone().pieces(req));
         peers
             .start(TcpListener::bind("127.0.0.1:0").expect("a free port can be bound"))
             .expect("the server starts")
@@ -126,7 +126,7 @@
         tokio::time::sleep(Duration::from_millis(bytes / bytes_per_ms)).await;
     }
 
-    async fn pieces(self: Arc<Self>, ask: PiecesRequest) -> Result<PiecesReply, PeerError> {
+    async fn pieces(self: Arc<Self>, req: PiecesRequest) -> Result<PiecesReply, PeerError> {
         let behavior = self.behavior.lock().clone();
         tokio::time::sleep(behavior.reply_delay).await;
         let answers = {
@@ -138,7 +138,7 @@
             return Err(PeerError::Refused("the link is interrupted".to_owned()));
         }
         let pieces = self.settings.lock().clone();
-        let mut reply = pieces.reply(&ask);
+        let mut reply = pieces.reply(&req);
         reply.pieces.truncate(behavior.pieces_per_reply.max(1));
         for piece in &mut reply.pieces {
             let corrupt_once = &mut self.behavior.lock().corrupt_once;
@@ -174,14 +174,14 @@
         let runtime = Runtime::new().expect("a runtime can be created");
         let _guard = runtime.enter();
         let servers: Vec<PeerServer> = sources.iter().map(ControlStub::serve).collect();
-        let places = servers.iter().enumerate().map(|(i, server)| ControlInfo {
+        let controls = servers.iter().enumerate().map(|(i, server)| ControlInfo {
             name: format!("c{i}").into(),
             domain: format!("d{i}").into(),
             peer: server.address(),
             address: server.address(),
         });
-        let places: Vec<ControlInfo> = places.collect();
-        sources.iter().for_each(|source| source.controls.lock().clone_from(&places));
+        let controls: Vec<ControlInfo> = controls.collect();
+        sources.iter().for_each(|source| source.controls.lock().clone_from(&controls));
         let addresses = free_addresses(3).expect("three ports are free");
         let cfg: GatewayCfg = cfg(&addresses, servers[0].address());
         let gateway = Gateway::start(cfg).expect("the server starts");
--- a/daemons/gateway/tests/stops.rs
+++ b/daemons/gateway/tests/stops.rs
@@ -31,7 +31,7 @@
     let stop = thread::spawn(move || {
         harness.stop();
         assert!(
-            long.join().expect("the caller gets an answer").is_whole,
+            long.join().expect("the caller gets an answer").is_complete,
             "the answer to a call from before the stop was cut"
         );
         harness
@@ -122,7 +122,7 @@
     let head = refused.head.to_lowercase();
     assert!(head.contains("sill-not-run: true") && head.contains("connection: close"), "{head}");
     assert!(
-        later.join().expect("the caller gets an answer").is_whole,
+        later.join().expect("the caller gets an answer").is_complete,
         "the answer to an admitted call was cut"
     );
     stop.join().expect("the entry instance stops");
@@ -132,11 +132,16 @@
 /// stop.
 const PREVIOUS_CALLS: usize = 25;
 
-/// Sends enough calls for the instance to know the route's durations, each with `act`, and one more
-/// late in a stop, which gets `last`. Callers of the earlier ones disconnect before their answers
-/// if `leave` is set.
-fn call_late(path: &'static str, act: Action, callers_leave: bool, last: Action) -> CallerResponse {
-    let actions = [vec![act; PREVIOUS_CALLS], vec![Action::Hang, last]].concat();
+/// Sends enough calls for the instance to know the route's durations, each with `action`, and one
+/// more late in a stop, which gets `last`. Callers of the earlier ones disconnect before their
+/// answers if `callers_leave` is set.
+fn call_late(
+    path: &'static str,
+    action: Action,
+    callers_leave: bool,
+    last: Action,
+) -> CallerResponse {
+    let actions = [vec![action; PREVIOUS_CALLS], vec![Action::Hang, last]].concat();
     let harness = Harness::start(vec![actions]);
     for number in 0..PREVIOUS_CALLS {
         match callers_leave {
@@ -205,18 +210,18 @@
         Case { callers_leave: true, ..plain("callers left before", Action::Hang, (503, b"")) },
     ];
     for Case { name, path, usual_answer, callers_leave, last, expected: (status, body) } in cases {
-        let act = if callers_leave { Action::Hang } else { Action::Answer(usual_answer) };
-        let got = call_late(path, act, callers_leave, last);
+        let action = if callers_leave { Action::Hang } else { Action::Answer(usual_answer) };
+        let got = call_late(path, action, callers_leave, last);
         assert_eq!(got.status, status, "{name}: {}", got.head);
-        assert!(got.is_whole, "{name}: {}", got.head);
+        assert!(got.is_complete, "{name}: {}", got.head);
         assert!(status != 200 || got.body == body, "{name}: {:?}", got.body);
     }
 }
 
 /// Serves calls of a route with `usual`, and sends one more when a stop starts, which gets `last`.
 fn call_as_a_stop_begins(path: &'static str, usual: Action, last: Action) -> CallerResponse {
-    let acts = [vec![usual; PREVIOUS_CALLS], vec![Action::Hang, last]].concat();
-    let harness = Harness::start_with_stop_limit(Millis(1500), vec![acts]);
+    let actions = [vec![usual; PREVIOUS_CALLS], vec![Action::Hang, last]].concat();
+    let harness = Harness::start_with_stop_limit(Millis(1500), vec![actions]);
     for _ in 0..PREVIOUS_CALLS {
         assert_eq!(harness.call(path).status, 200);
     }
@@ -254,6 +259,6 @@
     ];
     for Case { name, path, usual, last } in cases {
         let got = call_as_a_stop_begins(path, usual, last);
-        assert_eq!((got.status, got.is_whole), (502, true), "{name}: {}", got.head);
+        assert_eq!((got.status, got.is_complete), (502, true), "{name}: {}", got.head);
     }
 }
--- a/daemons/gateway/tests/support/mod.rs
+++ b/daemons/gateway/tests/support/mod.rs
@@ -121,7 +121,7 @@
     pub head: String,
     pub body: Vec<u8>,
     /// Whether the body is complete according to its framing.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 /// How an entry instance is started.
@@ -325,8 +325,8 @@
             answer(poll, facts_sent.lock().clone(), has_settings)
         });
         let pieces = SettingsPieces::of(1, &document());
-        peers.answer(move |ask: PiecesRequest| {
-            let reply = pieces.reply(&ask);
+        peers.answer(move |req: PiecesRequest| {
+            let reply = pieces.reply(&req);
             async move { Ok(reply) }
         });
         let control = peers.start(listener).expect("the server starts");
@@ -489,18 +489,18 @@
     let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
     let lower = head.to_lowercase();
     let length = lower.split("\r\n").find_map(|line| line.strip_prefix("content-length: "));
-    let (body, is_whole) = match length {
+    let (body, is_complete) = match length {
         Some(length) => read_length(reader, length.parse().expect("a number")),
         None => read_chunks(reader),
     };
-    Some(CallerResponse { status, head, body, is_whole })
+    Some(CallerResponse { status, head, body, is_complete })
 }
 
 fn read_length(reader: &mut BufReader<TcpStream>, length: usize) -> (Vec<u8>, bool) {
     let mut body = Vec::new();
     let read = reader.take(length as u64).read_to_end(&mut body);
-    let is_whole = read.is_ok() && body.len() == length;
-    (body, is_whole)
+    let is_complete = read.is_ok() && body.len() == length;
+    (body, is_complete)
 }
 
 fn read_chunks(reader: &mut BufReader<TcpStream>) -> (Vec<u8>, bool) {
--- a/daemons/gateway/tests/support/settings_pieces.rs
+++ b/daemons/gateway/tests/support/settings_pieces.rs
@@ -26,8 +26,8 @@
     }
 
     /// Returns those of the requested pieces that it has.
-    pub fn reply(&self, ask: &PiecesRequest) -> PiecesReply {
-        let found = ask.pieces.iter().filter_map(|id| self.pieces.get(id).cloned());
+    pub fn reply(&self, req: &PiecesRequest) -> PiecesReply {
+        let found = req.pieces.iter().filter_map(|id| self.pieces.get(id).cloned());
         PiecesReply { pieces: found.collect() }
     }
 }
