--- a/daemons/entry/src/serve/signals.rs
+++ b/daemons/entry/src/serve/signals.rs
@@ -1,4 +1,5 @@
-//! What concerns requests in flight all at once: endpoints that are leaving, this instance's end.
+//! Signals to all requests in flight: reclaim notices of endpoints, and the hand-off of this
+//! instance.
 
 use std::sync::Arc;
 
@@ -10,13 +11,13 @@
 
 use crate::daemon::Shared;
 
-/// How often membership is asked which endpoints are leaving.
-const LOOK: Millis = Millis(50);
+/// How often the leaving endpoints are read from membership.
+const POLL_INTERVAL: Millis = Millis(50);
 
-/// A notice that moved by less is no news.
-const NEWS: Millis = Millis(500);
+/// A notice whose time moved forward by no more than this wakes no request.
+const MIN_NOTICE_CHANGE: Millis = Millis(500);
 
-/// Notices of endpoints, and the hand-off of this instance.
+/// Reclaim notices of endpoints, and the hand-off of this instance.
 #[derive(Debug)]
 pub struct Signals {
     notices: RwLock<Map<Name, Notice>>,
@@ -24,26 +25,26 @@
     changes: watch::Sender<u64>,
 }
 
-/// The notice of one endpoint.
+/// The reclaim notice of one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Notice {
-    /// Which life of it.
+    /// The endpoint's incarnation that received the notice.
     pub incarnation: Incarnation,
-    /// When it will be gone, on the entry's clock.
-    pub dies_at: Millis,
+    /// When the endpoint will be gone, on the entry instance's clock.
+    pub gone_at: Millis,
 }
 
-/// A request that wants to be taken over; the answer tells whether a peer has it.
+/// A request offered to peers for take-over.
 #[derive(Debug)]
 pub struct Offer {
-    /// The request.
+    /// The request with its state so far.
     pub run: HandOffRun,
-    /// Where the answer goes.
-    pub taken_by: oneshot::Sender<Option<Name>>,
+    /// Receives the address of the peer that accepted the request; dropped if none did.
+    pub accepted_by: oneshot::Sender<Option<Name>>,
 }
 
 impl Signals {
-    /// Starts with no notice.
+    /// Creates signals without notices and without a hand-off.
     pub fn new() -> Self {
         Self {
             notices: RwLock::default(),
@@ -57,42 +58,44 @@
         self.changes.subscribe()
     }
 
-    /// Takes in which endpoints are leaving now.
-    pub fn leaving(&self, now: Millis, leaving: &[Announcement]) {
+    /// Replaces the notices by those of the endpoints that are leaving now.
+    pub fn update_notices(&self, now: Millis, leaving: &[Announcement]) {
         let mut notices = Map::default();
         for announcement in leaving {
-            let dies_at = now + announcement.leaving.unwrap_or_default();
-            let notice = Notice { incarnation: announcement.incarnation, dies_at };
+            let gone_at = now + announcement.leaving.unwrap_or_default();
+            let notice = Notice { incarnation: announcement.incarnation, gone_at };
             notices.insert(announcement.name.clone(), notice);
         }
-        let mut before = self.notices.write();
-        let is_news = notices.iter().any(|(name, notice)| {
-            !before.get(name).is_some_and(|b| {
-                b.incarnation == notice.incarnation && b.dies_at <= notice.dies_at + NEWS
+        let mut previous = self.notices.write();
+        let is_changed = notices.iter().any(|(name, notice)| {
+            !previous.get(name).is_some_and(|p| {
+                p.incarnation == notice.incarnation
+                    && p.gone_at <= notice.gone_at + MIN_NOTICE_CHANGE
             })
         });
-        // An endpoint's own time left counts down, so that the earliest time heard is kept.
+        // An endpoint announces its remaining time, which counts down. A late announcement gives a
+        // later end, so the earliest one received is kept.
         for (name, notice) in &mut notices {
-            if let Some(known) = before.get(name)
-                && known.incarnation == notice.incarnation
+            if let Some(earlier) = previous.get(name)
+                && earlier.incarnation == notice.incarnation
             {
-                notice.dies_at = notice.dies_at.min(known.dies_at);
+                notice.gone_at = notice.gone_at.min(earlier.gone_at);
             }
         }
-        *before = notices;
-        drop(before);
-        if is_news {
+        *previous = notices;
+        drop(previous);
+        if is_changed {
             self.changes.send_modify(|n| *n += 1);
         }
     }
 
-    /// Returns the notice of a life of an endpoint.
+    /// Returns the notice of an endpoint, if it was for this incarnation.
     pub fn notice(&self, endpoint: &str, incarnation: Incarnation) -> Option<Notice> {
         let notices = self.notices.read();
         notices.get(endpoint).copied().filter(|n| n.incarnation == incarnation)
     }
 
-    /// Asks every request in flight to offer itself to a peer.
+    /// Asks every request in flight to offer itself on the returned channel.
     pub fn begin_hand_off(&self) -> mpsc::UnboundedReceiver<Offer> {
         let (tx, rx) = mpsc::unbounded_channel();
         *self.hand_off.write() = Some(tx);
@@ -100,12 +103,12 @@
         rx
     }
 
-    /// Returns where to offer requests, once this instance is leaving.
+    /// Returns the channel for offers during a hand-off.
     pub fn offers(&self) -> Option<mpsc::UnboundedSender<Offer>> {
         self.hand_off.read().clone()
     }
 
-    /// Stops taking offers; requests in flight end here.
+    /// Stops accepting offers; the remaining requests in flight end at this instance.
     pub fn end_hand_off(&self) {
         *self.hand_off.write() = None;
     }
@@ -117,10 +120,10 @@
     }
 }
 
-/// Passes on which endpoints are leaving, until the process ends.
+/// Updates the notices from membership until the process ends.
 pub async fn watch(app: Arc<Shared>) {
     loop {
-        tokio::time::sleep(LOOK.into()).await;
-        app.signals.leaving(app.clock.now(), &app.members.leaving());
+        tokio::time::sleep(POLL_INTERVAL.into()).await;
+        app.signals.update_notices(app.clock.now(), &app.members.leaving());
     }
 }
