--- a/daemons/gateway/tests/support/cut.rs
+++ b/daemons/gateway/tests/support/settings_pieces.rs
@@ -1,19 +1,19 @@
-//! Settings in pieces, as a stand-in for a control instance tells them.
+//! Settings cut into pieces, as a control instance serves them.
 
 use sill_base::{Map, Millis};
 use sill_tree::{Document, DocumentText, PieceId, pieces};
 use sill_wire::control::Revision;
 use sill_wire::settings::{Manifest, Piece, PiecesReply, PiecesRequest};
 
-/// One revision in pieces.
+/// One revision of the settings in pieces.
 #[derive(Debug, Clone)]
-pub struct Cut {
+pub struct SettingsPieces {
     pub manifest: Manifest,
     pub pieces: Map<PieceId, Piece>,
 }
 
-impl Cut {
-    /// Cuts a document.
+impl SettingsPieces {
+    /// Cuts a document into pieces.
     pub fn of(revision: u64, document: &Document) -> Self {
         let parts = pieces::cut(document).into_iter();
         let pieces = parts.map(|part| Piece::new(DocumentText::of(&part).as_str()));
@@ -25,9 +25,9 @@
         Self { manifest, pieces }
     }
 
-    /// Answers with all pieces that it has.
-    pub fn reply(&self, ask: &PiecesRequest) -> PiecesReply {
-        let found = ask.pieces.iter().filter_map(|id| self.pieces.get(id).cloned());
+    /// Returns those of the requested pieces that it has.
+    pub fn reply(&self, req: &PiecesRequest) -> PiecesReply {
+        let found = req.pieces.iter().filter_map(|id| self.pieces.get(id).cloned());
         PiecesReply { pieces: found.collect() }
     }
 }
