--- a/daemons/entry/src/cli.rs
+++ b/daemons/entry/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the entry daemon.
+//! Entry point of the `sill-entry` daemon.
 
 use eyre::Result;
 use sill_base::event;
@@ -7,13 +7,13 @@
 use crate::cfg::{ENTRY, EntryCfg};
 use crate::daemon::Entry;
 
-/// Runs the daemon until it is asked to stop.
+/// Runs the daemon until a stop signal arrives.
 ///
 /// # Errors
 ///
-/// Fails when a flag is wrong or the daemon can't start.
-pub fn run(words: Vec<String>) -> Result<()> {
-    let Some(mut values) = ENTRY.values_or_help(words)? else {
+/// Fails when a flag is invalid or the daemon cannot start.
+pub fn run(args: Vec<String>) -> Result<()> {
+    let Some(mut values) = ENTRY.values_or_help(args)? else {
         return Ok(());
     };
     let mut stops = Stops::listen()?;
@@ -23,10 +23,10 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let entry = Entry::start(cfg)?;
     runtime.block_on(async {
-        let late = stops.next().await;
-        let cut = entry.stop_unless_forced(late, stops.interrupted()).await;
-        if cut > 0 {
-            event!(Warn, "stop_cut", requests = cut);
+        let signal_delay = stops.next().await;
+        let aborted = entry.stop_unless_forced(signal_delay, stops.interrupted()).await;
+        if aborted > 0 {
+            event!(Warn, "stop_cut", requests = aborted);
         }
         Ok(())
     })
--- a/daemons/entry/src/handoff.rs
+++ b/daemons/entry/src/handoff.rs
@@ -53,8 +53,8 @@
 /// Marks this instance as leaving and schedules the hand-off of its requests.
 pub fn begin_reclaim(app: &Arc<Shared>, time_left: Millis) {
     event!(Info, "reclaim_notice", name = app.cfg.name, in_ms = time_left);
-    app.stopping.store(true, Ordering::Relaxed);
-    if app.reclaimed.swap(true, Ordering::Relaxed) {
+    app.is_stopping.store(true, Ordering::Relaxed);
+    if app.is_reclaimed.swap(true, Ordering::Relaxed) {
         return;
     }
     let leaving = app.clone();
@@ -75,7 +75,7 @@
         tokio::time::sleep(limit.since(MIN_HAND_OFF_TIME).into()).await;
         // Marking the instance as reclaimed refuses new requests, which would have to be handed
         // over at once.
-        if !leaving.reclaimed.swap(true, Ordering::Relaxed) {
+        if !leaving.is_reclaimed.swap(true, Ordering::Relaxed) {
             hand_off(&leaving).await;
         }
     });
@@ -109,7 +109,7 @@
     mut batch: Vec<Offer>,
     failures: &mut BTreeMap<Name, u32>,
 ) {
-    let mut peers = peers::candidates(app);
+    let mut peers = peers::active_peers(app);
     peers.sort_by_key(|peer| failures.get(peer).copied().unwrap_or_default());
     for peer in peers {
         if batch.is_empty() {
@@ -153,11 +153,11 @@
 ///
 /// Refuses if this instance is stopping as well.
 pub async fn accept(app: Arc<Shared>, call: HandOff) -> Result<HandOffReply, PeerError> {
-    if app.stopping.load(Ordering::Relaxed) {
+    if app.is_stopping.load(Ordering::Relaxed) {
         return Err(PeerError::Refused("leaving as well".to_owned()));
     }
     let mut accepted = Vec::new();
-    let workers = app.takers.lock();
+    let workers = app.handoff_workers.lock();
     for (number, run) in call.runs.into_iter().enumerate() {
         let request = run.spec.request.clone();
         let Some(worker) = workers.get(number % workers.len().max(1)) else {
--- a/daemons/entry/src/serve.rs
+++ b/daemons/entry/src/serve.rs
@@ -162,7 +162,7 @@
         return refuse(app, refusal);
     }
     if matches!(task, Task::Drive { is_home_lost: true }) {
-        app.metrics.recomputed(sill_flight::RecomputeCause::HomeLost, run.spec.prompt_tokens);
+        app.metrics.count_recomputed(sill_flight::RecomputeCause::HomeLost, run.spec.prompt_tokens);
     }
     ntex::rt::spawn(run_task(in_flight, client.clone(), job, follower, task));
     caller::respond(&id, source).await
--- a/daemons/entry/src/stop.rs
+++ b/daemons/entry/src/stop.rs
@@ -43,11 +43,11 @@
             for action in actions.drain(..) {
                 match action {
                     DrainAction::MarkNotReady => {
-                        shared.stopping.store(true, Ordering::Relaxed);
+                        shared.is_stopping.store(true, Ordering::Relaxed);
                         handoff::schedule_before_limit(shared, limit);
                     }
                     DrainAction::CloseListener => {
-                        shared.closing.store(true, Ordering::Relaxed);
+                        shared.is_closing.store(true, Ordering::Relaxed);
                         self.server.pause().await;
                     }
                     DrainAction::Exit { cut, forced } => {
@@ -75,7 +75,7 @@
 
     async fn shutdown(self, gracefully: bool) {
         self.server.stop(gracefully).await;
-        self.peers.stop();
+        self.peer_server.stop();
         // Dropping the runtime would block, which is not allowed inside another runtime.
         self.runtime.shutdown_background();
     }
