--- a/daemons/entry/src/announce.rs
+++ b/daemons/entry/src/announce.rs
@@ -1,4 +1,4 @@
-//! Takes in announcements and cache events of endpoints.
+//! Receives announcements and cache events of endpoints.
 
 use std::sync::Arc;
 
@@ -12,29 +12,33 @@
 
 use crate::daemon::Shared;
 
-/// `POST /announce`.
+/// `POST /announce`: an endpoint announces its address, load and state.
 pub async fn announce(
     app: web::types::State<Arc<Shared>>,
     req: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let announcement: Announcement = match checked(&app, &req, &body) {
+    let announcement: Announcement = match parse_authorized(&app, &req, &body) {
         Ok(announcement) => announcement,
         Err(failure) => return refuse(&req, failure),
     };
-    match app.members.step(&app.routing, sill_member::Event::Announcement(announcement)).accept {
+    match app
+        .members
+        .step(&app.routing, sill_member::Event::Announcement(announcement))
+        .announce_reply
+    {
         Some(reply) => http::json(200, &reply),
         None => Failure::new(ErrorCode::Internal, "no answer").response(&Name::default()),
     }
 }
 
-/// `POST /events`.
+/// `POST /events`: an endpoint reports changes of its prefix cache.
 pub async fn events(
     app: web::types::State<Arc<Shared>>,
     req: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let events: CacheEvents = match checked(&app, &req, &body) {
+    let events: CacheEvents = match parse_authorized(&app, &req, &body) {
         Ok(events) => events,
         Err(failure) => return refuse(&req, failure),
     };
@@ -42,8 +46,8 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Reads a body, of one who has the join token.
-fn checked<T>(app: &Shared, req: &HttpRequest, body: &[u8]) -> Result<T, Failure>
+/// Parses the body of a request that is authorized by the join token.
+fn parse_authorized<T>(app: &Shared, req: &HttpRequest, body: &[u8]) -> Result<T, Failure>
 where
     T: DeserializeOwned,
 {
--- a/daemons/entry/src/lib.rs
+++ b/daemons/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry instance: takes callers' requests and sees each through to its one answer.
+//! The entry instance: accepts callers' requests and gives each exactly one answer.
 
 pub mod announce;
 pub mod api;
@@ -18,7 +18,7 @@
 pub mod members;
 pub mod metrics;
 pub mod parents;
-pub mod peer;
+pub mod peer_server;
 pub mod peers;
 pub mod record;
 pub mod request;
--- a/daemons/entry/src/request.rs
+++ b/daemons/entry/src/request.rs
@@ -180,9 +180,9 @@
 }
 
 fn check_running(app: &Shared) -> Result<(), Failure> {
-    // `stopping` is not checked: during the notice of a planned stop the load balancer still sends
-    // requests, and they are served.
-    if app.closing.load(Ordering::Relaxed) || app.reclaimed.load(Ordering::Relaxed) {
+    // `is_stopping` is not checked: during the notice of a planned stop the load balancer still
+    // sends requests, and they are served.
+    if app.is_closing.load(Ordering::Relaxed) || app.is_reclaimed.load(Ordering::Relaxed) {
         return Err(Failure {
             retry_after: Some(1),
             ..Failure::new(ErrorCode::Stopping, "stopping")
--- a/daemons/entry/src/serve/attach.rs
+++ b/daemons/entry/src/serve/attach.rs
@@ -64,8 +64,8 @@
         is_running: false,
     };
     let location = match peers::home(app, &run.key) {
-        Home::Here => Ok(locate(app, &call)),
-        Home::At(address) => call_home(app, &address, call).await,
+        Home::Local => Ok(locate(app, &call)),
+        Home::Remote(address) => call_home(app, &address, call).await,
     };
     match location {
         Ok(LocateReply::New) => LookupResult::New,
@@ -129,8 +129,8 @@
     let (key, body) = (run.key.clone(), run.body_hash.clone());
     let call = LocateRun { key, body, asker, is_running: true };
     match peers::home(app, &run.key) {
-        Home::Here => drop(locate(app, &call)),
-        Home::At(address) => drop(call_home(app, &address, call).await),
+        Home::Local => drop(locate(app, &call)),
+        Home::Remote(address) => drop(call_home(app, &address, call).await),
     }
 }
 
@@ -138,8 +138,8 @@
 pub async fn forget_run(app: &Arc<Shared>, key: &ClaimKey, request: &Name) {
     let run = RunLocation { address: app.peer_address.clone(), request: request.clone() };
     match peers::home(app, key) {
-        Home::Here => app.directory.lock().remove(key, &run),
-        Home::At(address) => {
+        Home::Local => app.directory.lock().remove(key, &run),
+        Home::Remote(address) => {
             let call = ForgetRun { key: key.clone(), run };
             drop(call_home(app, &address, call).await);
         }
@@ -340,7 +340,7 @@
         (Some(ClaimOutcome::Answered { status, body: Some(body) }), _) => {
             RunEnd::Reply(HttpReply::json(status, body))
         }
-        (Some(ClaimOutcome::Answered { body: None, .. }) | None, Some(Home::At(address))) => {
+        (Some(ClaimOutcome::Answered { body: None, .. }) | None, Some(Home::Remote(address))) => {
             RunEnd::Moved(address)
         }
         _ => {
--- a/daemons/gateway/src/cli.rs
+++ b/daemons/gateway/src/cli.rs
@@ -11,44 +11,49 @@
 
 use crate::cfg::{GatewayCfg, StopCfg};
 use crate::daemon::Gateway;
-use crate::own::SillDialect;
+use crate::sill_dialect::SillDialect;
 
-/// Retries for each request, and beyond that in ten seconds, over all entry instances.
+/// Retries per request, and the allowance on top of that in ten seconds, over all entry instances.
 const RETRIES: RetryBounds = RetryBounds { share: 0.1, allowance: 50.0 };
 
-/// How long endpoints serve after they said that they leave.
+/// How long endpoints keep serving after they announced that they leave.
 const ENDPOINT_NOTICE: Millis = Millis(2000);
 
-/// The length of a window of usage.
+/// The length of a usage window.
 const USAGE_WINDOW: Millis = Millis(5000);
 
-/// `sill-gateway`.
+/// The command line of `sill-gateway`.
 pub const GATEWAY: Program = Program {
     name: "sill-gateway",
-    about: "an entry instance for routes: takes callers' calls and sends them to endpoints",
+    about: "an entry instance for routes: accepts calls and sends them to endpoints",
     operands: "",
     flags: &[
         Flag::one("name", "NAME", "name of this instance"),
         Flag::one("domain", "NAME", "its failure domain"),
-        Flag::one("listen", "IP:PORT", "where callers reach it"),
-        Flag::one("listen-ready", "IP:PORT", "where the balancer asks for /readyz"),
-        Flag::one("listen-metrics", "IP:PORT", "where /metrics is served"),
-        Flag::many("control", "IP:PORT", "a control instance, where its peers reach it"),
-        Flag::one("cluster-key-file", "FILE", "file with the key our own processes share"),
-        Flag::with_default("limit-slack", "N", "0", "what may come on top of each account's limit"),
+        Flag::one("listen", "IP:PORT", "address for callers"),
+        Flag::one("listen-ready", "IP:PORT", "address of the balancer's /readyz checks"),
+        Flag::one("listen-metrics", "IP:PORT", "address at which /metrics is served"),
+        Flag::many("control", "IP:PORT", "peer address of a control instance"),
+        Flag::one("cluster-key-file", "FILE", "file with the key shared by all processes"),
+        Flag::with_default("limit-slack", "N", "0", "amount allowed beyond each account's limit"),
         Flag::with_default(
             "drain-notice-ms",
             "N",
             "3000",
             "time until the balancer notices a stop",
         ),
-        Flag::with_default("drain-limit-ms", "N", "30000", "time after which a stop cuts calls"),
+        Flag::with_default(
+            "drain-limit-ms",
+            "N",
+            "30000",
+            "time after which a stop cuts running calls",
+        ),
         Flag::with_default("log-level", "LEVEL", "info", "error, warn, info, debug or trace"),
     ],
 };
 
 impl GatewayCfg {
-    /// Checks flags and variables.
+    /// Reads the settings from flags and variables, and checks them.
     ///
     /// # Errors
     ///
@@ -68,47 +73,47 @@
             values.finding("control", "expected at least one control instance");
         }
         values.finish()?;
-        let checked = "present once the check succeeded";
+        let present = "present once the check succeeded";
         Ok(Self {
-            name: name.expect(checked),
-            domain: domain.expect(checked),
-            listen: listen.expect(checked),
-            listen_ready: listen_ready.expect(checked),
+            name: name.expect(present),
+            domain: domain.expect(present),
+            listen: listen.expect(present),
+            listen_ready: listen_ready.expect(present),
             ready_path: "/readyz".into(),
-            listen_metrics: listen_metrics.expect(checked),
+            listen_metrics: listen_metrics.expect(present),
             seeds,
-            cluster_key: cluster_key.expect(checked),
+            cluster_key: cluster_key.expect(present),
             dialect: Arc::new(SillDialect),
-            limits: LimitBounds { slack: slack.expect(checked) },
+            limits: LimitBounds { slack: slack.expect(present) },
             retries: RETRIES,
             endpoint_notice: ENDPOINT_NOTICE,
             usage_window: USAGE_WINDOW,
             stop: StopCfg {
-                notice: Millis(notice.expect(checked)),
-                limit: Millis(limit.expect(checked)),
+                notice: Millis(notice.expect(present)),
+                limit: Millis(limit.expect(present)),
             },
         })
     }
 }
 
-/// Runs the daemon until it is asked to stop.
+/// Runs the daemon until it receives a stop signal.
 ///
 /// # Errors
 ///
 /// Fails when a flag is wrong or the daemon can't start.
-pub fn run(words: Vec<String>) -> Result<()> {
-    let Some(mut values) = GATEWAY.values_or_help(words)? else {
+pub fn run(args: Vec<String>) -> Result<()> {
+    let Some(mut values) = GATEWAY.values_or_help(args)? else {
         return Ok(());
     };
-    let mut stops = Stops::listen()?;
+    let mut stop_signals = Stops::listen()?;
     let level = values.required("log-level");
     let cfg = GatewayCfg::read(&mut values)?;
     logs::start_daemon(level.unwrap_or(log::LevelFilter::Info))?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
         let gateway = Gateway::start(cfg)?;
-        let late = stops.next().await;
-        gateway.stop_late(late).await;
+        let delay = stop_signals.next().await;
+        gateway.stop_late(delay).await;
         Ok(())
     })
 }
