--- a/daemons/sill/tests/replay.rs
+++ b/daemons/sill/tests/replay.rs
@@ -1,28 +1,29 @@
-//! Recorded traces end as stated, and a replay notices where they don't.
+//! Recorded traces replay with the outcomes that they state, and a replay reports every difference.
 
 use std::fs;
 use std::path::Path;
 
 use sill::replay;
 
+/// A change of a core changes the outcome of a recorded run, for example of one that once failed.
 #[test]
-fn every_trace_ends_as_stated() {
+fn every_trace_has_its_stated_outcomes() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../traces");
     let mut traces = 0;
-    for file in fs::read_dir(folder).expect("the traces") {
-        let file = file.expect("a file").path();
-        if file.extension().is_some_and(|kind| kind == "jsonl") {
-            let text = fs::read_to_string(&file).expect("a trace");
-            let replayed = replay::run(&text);
+    for file in fs::read_dir(folder).expect("the trace folder can be read") {
+        let file = file.expect("the folder entry can be read").path();
+        if file.extension().is_some_and(|extension| extension == "jsonl") {
+            let trace = fs::read_to_string(&file).expect("the trace can be read");
+            let replayed = replay::run(&trace);
             let replayed = replayed.unwrap_or_else(|err| panic!("{}: {err}", file.display()));
             assert!(replayed.outcomes > 0, "{} states no outcome", file.display());
             traces += 1;
         }
     }
-    assert!(traces >= 3, "traces are missing");
+    assert!(traces >= 3, "expected at least 3 traces, found {traces}");
 }
 
-/// A trace and the finding that it must give.
+/// An invalid or differing trace, and a part of the finding that its replay must report.
 struct Case {
     name: &'static str,
     trace: &'static str,
@@ -53,10 +54,11 @@
     },
 ];
 
+/// A replay that accepts a trace with another outcome, or one that it can't read, checks nothing.
 #[test]
-fn a_trace_that_differs_is_noticed() {
+fn a_trace_that_differs_is_reported() {
     for case in CASES {
-        let findings = replay::run(case.trace).expect_err(case.name).to_string();
-        assert!(findings.contains(case.finding), "{}: {findings}", case.name);
+        let finding = replay::run(case.trace).expect_err(case.name).to_string();
+        assert!(finding.contains(case.finding), "{}: {finding}", case.name);
     }
 }
--- a/daemons/sill/tests/soak.rs
+++ b/daemons/sill/tests/soak.rs
@@ -1,55 +1,57 @@
-//! Short soaks with fixed seeds: the real programs under faults from outside them.
+//! Short soak runs with fixed seeds: `sill` processes under injected network and process faults.
 
 use std::path::PathBuf;
 
 use sill_soak::run::{SHORT, SIZES, Short, SoakCfg, run_once};
 
-/// How long faults go on in the runs that are played again.
-const SECONDS: u64 = 15;
+/// Duration of the faults, in seconds, in runs that repeat a failed seed.
+const RERUN_SECONDS: u64 = 15;
 
-/// Faults of all tracks, among them a control instance without its ways, planned stops of entry instances
-/// that overlap while callers stay with them, and endpoints that hang or lose answers. A caller would
-/// notice a request that ran twice, a refusal that was not true, an answer that is cut or not its own, or
-/// settings that went back.
+/// Faults of all kinds overlap, among them a partitioned control instance, planned stops of entry
+/// instances whose callers stay connected, and endpoints that hang or lose answers. They must not
+/// lead to a request that runs twice, a false not-run certificate, an answer that is cut or belongs
+/// to another request, or settings that revert to an older revision.
 #[test]
 fn promises_hold_under_faults_from_outside() {
-    play(SHORT);
+    run_soak(SHORT);
 }
 
-/// A seed that failed once or more, and why. It fails now and then at most, since the order in which
-/// processes see things is not drawn from it.
+/// A seed that has failed, and the cause. It fails occasionally at most, because the seed does not
+/// determine the order in which processes receive messages.
 struct FailedSeed {
     seed: u64,
     cause: &'static str,
 }
 
-/// Callers who had nowhere else to go, or came at the last moment, got no answer of an entry instance that
-/// stopped, and could not tell whether their requests had run.
+/// A stopping entry instance closed connections without an answer: those of callers who had no
+/// other instance to use, and those accepted at the last moment. Their callers could not tell
+/// whether the requests had run.
 #[test]
 fn seeds_in_which_a_stopping_instance_gave_no_answer() {
-    play_all(&[
+    run_failed_seeds(&[
         FailedSeed { seed: 103, cause: "new connections were closed before a byte was read" },
-        FailedSeed { seed: 1055, cause: "taken after the last look at open connections" },
+        FailedSeed { seed: 1055, cause: "accepted after the last check for open connections" },
     ]);
 }
 
-/// Before its balancer has noticed its stop, an entry instance begins a stream that the longest one of
-/// late would have let it end in time. This one takes longer, mostly as its endpoint has just become slow:
-/// when the stop's time is over, the caller has a part of a stream which may not be sent again.
+/// Before the load balancer notices its stop, an entry instance admits a stream, because the
+/// longest recent stream would have ended in time. This one takes longer, mostly because its
+/// endpoint has just become slow. At the limit of the stop the caller has a part of a stream that
+/// must not be retried.
 #[test]
 fn seeds_in_which_a_stopping_instance_cut_a_stream() {
-    let cause = "longer than those of late";
-    play_all(&[1001, 1002, 1003, 1012, 1037].map(|seed| FailedSeed { seed, cause }));
+    let cause = "the stream took longer than the longest recent one";
+    run_failed_seeds(&[1001, 1002, 1003, 1012, 1037].map(|seed| FailedSeed { seed, cause }));
 }
 
-fn play_all(cases: &[FailedSeed]) {
+fn run_failed_seeds(cases: &[FailedSeed]) {
     for FailedSeed { seed, cause } in cases {
         println!("seed={seed} cause={cause:?}");
-        play(Short { seed: *seed, seconds: SECONDS });
+        run_soak(Short { seed: *seed, seconds: RERUN_SECONDS });
     }
 }
 
-fn play(Short { seed, seconds }: Short) {
+fn run_soak(Short { seed, seconds }: Short) {
     let cfg = SoakCfg {
         sill: PathBuf::from(env!("CARGO_BIN_EXE_sill")),
         seed,
@@ -57,8 +59,8 @@
         entries: SIZES.entries,
         logs: std::env::temp_dir().join(format!("sill-soak-{}", std::process::id())),
     };
-    let verdict = run_once(&cfg).expect("the programs can be started");
+    let verdict = run_once(&cfg).expect("the processes can be started");
     println!("{verdict}");
-    assert!(verdict.answered > 0, "nothing was answered: {verdict}");
+    assert!(verdict.answered > 0, "no request was answered: {verdict}");
     assert!(verdict.findings.is_empty(), "{verdict}");
 }
--- a/daemons/sill/tests/system/bad_input.rs
+++ b/daemons/sill/tests/system/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input gets a clear error of the one shape, and disturbs nobody else.
+//! Malformed, oversized and incomplete requests get an error in the common format, and do not
+//! disturb other callers.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -6,17 +7,18 @@
 
 use serde_json::Value;
 
-use crate::harness::{Answer, hash, http, read_answer, sill, wait_until};
+use crate::harness::{Answer, hash_key, http, read_answer, run_sill, wait_until};
 use crate::product::Try;
 
 const OTHER_KEY: &str = "key-of-another-account";
 
-/// The largest body that the entry instances of `sill try` take.
+/// The largest body that the entry instances of `sill try` accept, in bytes.
 const MAX_BODY: usize = 4 << 20;
 
-/// A request, and the answer that it must get.
+/// A bad request, and the status, error code and part of the message that it must get.
 struct Case {
     name: &'static str,
+    /// `METHOD PATH` and header lines.
     head: &'static str,
     body: &'static str,
     status: u16,
@@ -181,55 +183,60 @@
     },
 ];
 
+/// A client sends malformed or unauthorized requests. If the entry instance panics, closes the
+/// connection or gives a vague error, the client's author can't find the fault, or others are
+/// disturbed.
 #[test]
 fn each_bad_request_gets_a_clear_error_and_a_good_one_beside_it_is_served() {
     let system = Try::start("bad-input");
     add_other_account(&system);
     let entry = system.addresses("entries")[0];
     for case in &CASES {
-        let answer = exchange(entry, &request_text(&system, case.head, case.body));
+        let answer = exchange_raw(entry, &request_text(&system, case.head, case.body));
         let answer = answer.unwrap_or_else(|| panic!("{}: no answer", case.name));
         assert_eq!(answer.status, case.status, "{}: {answer:?}", case.name);
-        check_shape(case, &answer);
+        check_error_format(case, &answer);
         assert_served(&system, entry, case.name);
     }
-    assert_calm(&system);
+    assert_clean_log(&system);
 }
 
-/// Callers send more than they may: a long body, a body without an end, long headers, many headers.
-/// What an entry instance holds of each must stay bounded.
+/// Callers send a body that is too long, a chunked body that exceeds the limit, long headers, many
+/// headers, and deeply nested JSON. Without bounds, a few of them exhaust an entry instance's
+/// memory.
 #[test]
 fn oversized_requests_are_refused() {
     let system = Try::start("oversized");
     let entry = system.addresses("entries")[0];
-    let big = format!(r#"{{"model":"{}"}}"#, "x".repeat(MAX_BODY));
-    let answer = exchange(entry, &request_text(&system, CHAT, &big)).expect("an answer");
+    let large_body = format!(r#"{{"model":"{}"}}"#, "x".repeat(MAX_BODY));
+    let answer = exchange_raw(entry, &request_text(&system, CHAT, &large_body)).expect("an answer");
     assert_eq!(answer.status, 413, "{answer:?}");
-    assert_eq!(error_of(&answer)["code"], "too_large");
+    assert_eq!(error_json(&answer)["code"], "too_large");
 
     let head = request_head(&system, "POST /v1/chat/completions\ntransfer-encoding: chunked");
     let chunk = format!("10000\r\n{}\r\n", "x".repeat(0x10000));
-    let endless = format!("{head}\r\n{}0\r\n\r\n", chunk.repeat(MAX_BODY / 0x10000 + 2));
-    let answer = exchange(entry, &endless).expect("an answer");
+    let chunked_body = format!("{head}\r\n{}0\r\n\r\n", chunk.repeat(MAX_BODY / 0x10000 + 2));
+    let answer = exchange_raw(entry, &chunked_body).expect("an answer");
     assert_eq!(answer.status, 413, "{answer:?}");
 
-    let long = format!("GET /v1/models\nx-long: {}", "y".repeat(200_000));
-    let answer = exchange(entry, &request_text(&system, &long, "")).expect("an answer");
+    let long_header = format!("GET /v1/models\nx-long: {}", "y".repeat(200_000));
+    let answer = exchange_raw(entry, &request_text(&system, &long_header, "")).expect("an answer");
     assert_eq!(answer.status, 431, "{answer:?}");
-    let many: String = (0..200).map(|i| format!("\nx-{i}: y")).collect();
-    let many = format!("GET /v1/models{many}");
-    let answer = exchange(entry, &request_text(&system, &many, "")).expect("an answer");
+    let many_headers: String = (0..200).map(|i| format!("\nx-{i}: y")).collect();
+    let many_headers = format!("GET /v1/models{many_headers}");
+    let answer = exchange_raw(entry, &request_text(&system, &many_headers, "")).expect("an answer");
     assert_eq!(answer.status, 431, "{answer:?}");
 
-    let deep = format!(r#"{{"model":{}"#, "[".repeat(100_000));
-    let answer = exchange(entry, &request_text(&system, CHAT, &deep)).expect("an answer");
+    let nested_body = format!(r#"{{"model":{}"#, "[".repeat(100_000));
+    let answer =
+        exchange_raw(entry, &request_text(&system, CHAT, &nested_body)).expect("an answer");
     assert_eq!(answer.status, 400, "{answer:?}");
-    assert_served(&system, entry, "a good request fails after them");
-    assert_calm(&system);
+    assert_served(&system, entry, "after the oversized requests");
+    assert_clean_log(&system);
 }
 
-/// A caller's link stalls after half of the headers, or half of the body. Held for ever, a few
-/// thousand of them would take all the connections.
+/// A caller's connection stalls after half of the headers, or half of the body. Without a timeout,
+/// a few thousand stalled connections would occupy all that an entry instance accepts.
 #[test]
 fn stalled_requests_are_closed_while_others_are_served() {
     let system = Try::start("stalled");
@@ -237,59 +244,67 @@
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nx-half: ".to_owned();
     let body = format!("{}content-length: 100\r\n\r\n{{", request_head(&system, CHAT));
     let stalled: Vec<TcpStream> =
-        [head, body].iter().map(|text| open(entry, text).expect("a connection")).collect();
-    assert_served(&system, entry, "a good request beside them");
+        [head, body].iter().map(|text| send_raw(entry, text).expect("a connection")).collect();
+    assert_served(&system, entry, "beside stalled requests");
     for mut stream in stalled {
-        let mut rest = Vec::new();
-        // The end comes as an answer or as a bare close; a time-out of the read would be an error.
-        let closed = stream.read_to_end(&mut rest).is_ok();
-        assert!(closed, "still open; got {:?}", String::from_utf8_lossy(&rest));
+        let mut received = Vec::new();
+        // The entry answers or just closes the connection; a read timeout would be an error here.
+        let closed = stream.read_to_end(&mut received).is_ok();
+        assert!(
+            closed,
+            "a stalled connection is still open; received {:?}",
+            String::from_utf8_lossy(&received)
+        );
     }
-    assert_served(&system, entry, "a good request after them");
-    assert_calm(&system);
+    assert_served(&system, entry, "after the bad requests");
+    assert_clean_log(&system);
 }
 
-/// Callers go away in the middle of their request, and in the middle of a streamed answer. The
-/// endpoint must stop generating what nobody reads.
+/// Callers disconnect in the middle of a request, and in the middle of a streamed answer. If the
+/// disconnect is not passed on, the endpoint generates tokens that nobody reads, and the request
+/// counts as in flight for ever.
 #[test]
-fn callers_that_go_away_free_what_they_held() {
+fn disconnected_callers_free_their_resources() {
     let system = Try::start("gone");
     let entry = system.addresses("entries")[0];
     for _ in 0..50 {
-        let half = format!("{}content-length: 100\r\n\r\n{{", request_head(&system, CHAT));
-        drop(open(entry, &half));
+        let partial_request =
+            format!("{}content-length: 100\r\n\r\n{{", request_head(&system, CHAT));
+        drop(send_raw(entry, &partial_request));
     }
     let body = r#"{"model":"desk-7b","stream":true,"max_tokens":5000,"messages":[{"role":"user","content":"long"}]}"#;
-    let mut stream = open(entry, &request_text(&system, CHAT, body)).expect("a connection");
-    let mut piece = [0; 512];
-    let n = stream.read(&mut piece).expect("the start of the answer");
-    let start = String::from_utf8_lossy(&piece[..n]);
+    let mut stream = send_raw(entry, &request_text(&system, CHAT, body)).expect("a connection");
+    let mut buf = [0; 512];
+    let n = stream.read(&mut buf).expect("the start of the answer");
+    let start = String::from_utf8_lossy(&buf[..n]);
     assert!(start.starts_with("HTTP/1.1 200"), "{start}");
     drop(stream);
     let endpoints = system.addresses("endpoints");
-    wait_until("the endpoint notes the cancelled run", || {
+    wait_until("an endpoint records the cancelled run", || {
         let ledgers = endpoints.iter().filter_map(|e| http(*e, "GET", "/ledger", &[], ""));
         ledgers.into_iter().any(|ledger| ledger.body.contains("\"cancelled\""))
     });
-    assert_served(&system, entry, "a good request after them");
-    wait_until("nothing is in flight", || {
+    assert_served(&system, entry, "after the bad requests");
+    wait_until("no request is in flight", || {
         let metrics = http(entry, "GET", "/metrics", &[], "").expect("an answer");
         metrics.body.contains("sill_requests_in_flight 0\n")
     });
-    assert_calm(&system);
+    assert_clean_log(&system);
 }
 
+/// Client libraries expect the field names and types of the chat completions API in answers, stream
+/// chunks and the list of models. An answer that lacks one breaks every application that uses them.
 #[test]
 fn answers_have_the_shapes_that_client_libraries_read() {
     let system = Try::start("shapes");
     let entry = system.addresses("entries")[0];
-    let ask = |extra: &str| {
+    let chat_answer = |extra: &str| {
         let body = format!(
             r#"{{"model":"desk-7b","max_tokens":3,{extra}"messages":[{{"role":"user","content":"hi"}}]}}"#
         );
-        exchange(entry, &request_text(&system, CHAT, &body)).expect("an answer").body
+        exchange_raw(entry, &request_text(&system, CHAT, &body)).expect("an answer").body
     };
-    let whole: Value = serde_json::from_str(&ask("")).expect("JSON");
+    let whole: Value = serde_json::from_str(&chat_answer("")).expect("JSON");
     assert_eq!(whole["object"], "chat.completion");
     assert_eq!(whole["choices"][0]["message"]["role"], "assistant");
     assert_eq!(whole["choices"][0]["finish_reason"], "stop");
@@ -297,21 +312,28 @@
     let prompt = whole["usage"]["prompt_tokens"].as_u64().expect("a count");
     assert_eq!(whole["usage"]["total_tokens"], prompt + 3);
 
-    let streamed = ask(r#""stream":true,"stream_options":{"include_usage":true},"#);
+    let streamed = chat_answer(r#""stream":true,"stream_options":{"include_usage":true},"#);
     let lines: Vec<&str> = streamed.lines().filter_map(|l| l.strip_prefix("data: ")).collect();
-    let (done, chunks) = lines.split_last().expect("chunks");
-    assert_eq!(*done, "[DONE]");
+    let (end_marker, chunks) = lines.split_last().expect("a stream of chunks");
+    assert_eq!(*end_marker, "[DONE]");
     let chunks: Vec<Value> =
         chunks.iter().map(|c| serde_json::from_str(c).expect("JSON")).collect();
     assert!(chunks.iter().all(|c| c["object"] == "chat.completion.chunk"), "{streamed}");
-    assert!(chunks.iter().all(|c| c["id"] == chunks[0]["id"]), "one name for all of it");
+    assert!(
+        chunks.iter().all(|c| c["id"] == chunks[0]["id"]),
+        "the chunks of one stream differ in id: {streamed}"
+    );
     let text: String =
         chunks.iter().filter_map(|c| c["choices"][0]["delta"]["content"].as_str()).collect();
-    assert_eq!(text, whole["choices"][0]["message"]["content"].as_str().expect("a text"));
+    assert_eq!(text, whole["choices"][0]["message"]["content"].as_str().expect("a string"));
     let usage = &chunks.last().expect("a chunk")["usage"];
-    assert_eq!(*usage, whole["usage"], "the last chunk tells the usage");
+    assert_eq!(
+        *usage, whole["usage"],
+        "the usage of the last chunk and of the whole answer differ"
+    );
 
-    let models = exchange(entry, &request_text(&system, "GET /v1/models", "")).expect("an answer");
+    let models =
+        exchange_raw(entry, &request_text(&system, "GET /v1/models", "")).expect("an answer");
     let models: Value = serde_json::from_str(&models.body).expect("JSON");
     assert_eq!(models["object"], "list");
     assert_eq!(models["data"][0]["id"], "desk-7b");
@@ -321,22 +343,23 @@
 fn add_other_account(system: &Try) {
     let document = format!(
         r#"{{"services":{{"fleet":{{"kind":"plain"}}}},"accounts":{{"vans":{{"keys":["{}"]}}}}}}"#,
-        hash(OTHER_KEY)
+        hash_key(OTHER_KEY)
     );
     let file = system.folder.write("waitaha.json", &document);
     let token = system.folder.file("data/operator-token");
-    let control = system.text("control");
-    let words = ["apply", "waitaha", &file, "--control", control, "--token-file", &token, "--wait"];
-    assert!(sill(&words, "").status.success());
+    let control = system.string("control");
+    let args = ["apply", "waitaha", &file, "--control", control, "--token-file", &token, "--wait"];
+    assert!(run_sill(&args, "").status.success());
 }
 
-/// Makes a request out of `METHOD PATH` and header lines.
+/// Formats the head of a request from `METHOD PATH` and header lines, with the caller's key unless
+/// `head` has an `authorization`.
 fn request_head(system: &Try, head: &str) -> String {
     let mut lines = head.split('\n');
     let mut text =
         format!("{} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n", lines.next().unwrap());
     if !head.contains("authorization:") {
-        text.push_str(&format!("authorization: Bearer {}\r\n", system.text("caller_key")));
+        text.push_str(&format!("authorization: Bearer {}\r\n", system.string("caller_key")));
     }
     for line in lines {
         text.push_str(&format!("{line}\r\n"));
@@ -348,39 +371,40 @@
     format!("{}content-length: {}\r\n\r\n{body}", request_head(system, head), body.len())
 }
 
-fn open(to: SocketAddr, text: &str) -> Option<TcpStream> {
+fn send_raw(to: SocketAddr, text: &str) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(to).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(60))).ok()?;
-    // The other side may refuse and close before all of it is written.
+    // The entry may refuse the request and close the connection before all of it is written.
     let _ = stream.write_all(text.as_bytes());
     Some(stream)
 }
 
-fn exchange(to: SocketAddr, text: &str) -> Option<Answer> {
-    let mut stream = open(to, text)?;
+fn exchange_raw(to: SocketAddr, text: &str) -> Option<Answer> {
+    let mut stream = send_raw(to, text)?;
     let mut answer = Vec::new();
-    let mut piece = [0; 4096];
-    // A close with unread input resets the connection after the answer was sent.
-    while let Ok(n @ 1..) = stream.read(&mut piece) {
-        answer.extend_from_slice(&piece[..n]);
+    let mut buf = [0; 4096];
+    // If the entry closes with unread input, the connection is reset after the answer.
+    while let Ok(n @ 1..) = stream.read(&mut buf) {
+        answer.extend_from_slice(&buf[..n]);
     }
     let _ = stream.shutdown(Shutdown::Both);
     read_answer(&String::from_utf8_lossy(&answer))
 }
 
-fn error_of(answer: &Answer) -> Value {
+fn error_json(answer: &Answer) -> Value {
     let body: Value = serde_json::from_str(&answer.body).expect("a JSON body");
     body["error"].clone()
 }
 
-/// Requests that the HTTP library can't read have no body in their answer, and no code.
-fn check_shape(case: &Case, answer: &Answer) {
+/// Asserts that an error answer has the common format, and certifies that a request was not run.
+/// Cases without a code are refused by the HTTP library, whose answers have no body.
+fn check_error_format(case: &Case, answer: &Answer) {
     if case.code.is_empty() {
         return;
     }
-    let error = error_of(answer);
+    let error = error_json(answer);
     assert_eq!(error["code"], case.code, "{}", case.name);
-    let message = error["message"].as_str().expect("a text");
+    let message = error["message"].as_str().expect("a string");
     assert!(message.contains(case.message), "{}: {message}", case.name);
     assert!(error["request_id"].is_string(), "{}", case.name);
     let is_request = case.head.contains("/v1/") || case.head.contains("/s/");
@@ -390,16 +414,19 @@
     }
 }
 
-/// Asserts that a good request is answered.
+/// Asserts that a valid request is served.
 fn assert_served(system: &Try, entry: SocketAddr, when: &str) {
     let body = r#"{"model":"desk-7b","max_tokens":1,"messages":[{"role":"user","content":"hi"}]}"#;
-    let answer = exchange(entry, &request_text(system, CHAT, body));
-    assert!(answer.as_ref().is_some_and(|answer| answer.status == 200), "{when}: {answer:?}");
+    let answer = exchange_raw(entry, &request_text(system, CHAT, body));
+    assert!(
+        answer.as_ref().is_some_and(|answer| answer.status == 200),
+        "a good request failed ({when}): {answer:?}"
+    );
 }
 
-/// No panic, and no secret, in the log.
-fn assert_calm(system: &Try) {
-    let log = std::fs::read_to_string(system.folder.file("try.log")).expect("its log");
+/// Asserts that the log contains no panic and not the caller's key.
+fn assert_clean_log(system: &Try) {
+    let log = std::fs::read_to_string(system.folder.file("try.log")).expect("the log can be read");
     assert!(!log.contains("event=panic"), "{log}");
-    assert!(!log.contains(system.text("caller_key")), "a secret in the log");
+    assert!(!log.contains(system.string("caller_key")), "the log contains the caller's key");
 }
--- a/daemons/sill/tests/system/harness.rs
+++ b/daemons/sill/tests/system/harness.rs
@@ -1,4 +1,4 @@
-//! Real processes on loopback for tests.
+//! Starts `sill` processes on loopback and talks to them over HTTP.
 
 use std::fs;
 use std::io::{Read, Write};
@@ -12,59 +12,61 @@
 /// The caller's key in every test.
 pub const CALLER_KEY: &str = "test-caller-key";
 
-/// How long anything may take before a test fails for good; no test measures speed by it.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Limit for each wait and each read of an answer, after which the test fails. Long enough for a
+/// busy machine; no test measures speed with it.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Lines of each program's log that a failed test shows.
-const SHOWN_LINES: usize = 80;
+/// Number of lines at the end of each program's log that a failing test prints.
+const LOG_TAIL_LINES: usize = 80;
 
-/// A folder of its own for a test, with the key files in it; removed when dropped.
+/// The temporary folder of one test, with the key files in it; removed on drop.
 pub struct Folder(pub PathBuf);
 
-/// A running program, killed when dropped.
+/// A child process, killed on drop.
 pub struct Program(pub Child);
 
-/// A whole HTTP answer as text.
+/// A complete HTTP answer as text.
 #[derive(Debug)]
 pub struct Answer {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// Header lines in lower case.
+    /// The status line and header lines, in lower case.
     pub head: String,
-    /// The body, without chunk sizes.
+    /// The body, with chunked transfer encoding decoded.
     pub body: String,
 }
 
 impl Folder {
-    /// Makes the folder.
+    /// Creates the folder and the key files, whose contents are `test-` and their names.
     pub fn new(test: &str) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let unique = NEXT.fetch_add(1, Ordering::Relaxed);
         let path =
             std::env::temp_dir().join(format!("sill-{test}-{}-{unique}", std::process::id()));
-        fs::create_dir_all(&path).expect("a folder for the test");
+        fs::create_dir_all(&path).expect("the folder can be created");
         for name in ["cluster-key", "join-token", "root-token"] {
-            fs::write(path.join(name), format!("test-{name}\n")).expect("a key file");
+            fs::write(path.join(name), format!("test-{name}\n"))
+                .expect("the key file can be written");
         }
         Self(path)
     }
 
-    /// Returns a path inside as text.
+    /// Returns the path of a file in this folder as text.
     pub fn file(&self, name: &str) -> String {
         self.0.join(name).display().to_string()
     }
 
-    /// Writes a file.
+    /// Writes a file in this folder and returns its path.
     pub fn write(&self, name: &str, text: &str) -> String {
-        fs::write(self.0.join(name), text).expect("a file for the test");
+        fs::write(self.0.join(name), text).expect("the file can be written");
         self.file(name)
     }
 
-    /// Starts a verb of `sill`, with its log in this folder.
-    pub fn start(&self, log: &str, words: &[&str]) -> Program {
-        let log = fs::File::create(self.0.join(log)).expect("a log file");
+    /// Starts `sill` with these arguments; its standard error goes to a log file in this folder.
+    pub fn start(&self, log: &str, args: &[&str]) -> Program {
+        let log = fs::File::create(self.0.join(log)).expect("the log file can be created");
         let child = Command::new(env!("CARGO_BIN_EXE_sill"))
-            .args(words)
+            .args(args)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
@@ -72,7 +74,7 @@
         Program(child.expect("sill can be started"))
     }
 
-    /// Prints the end of every log, since the folder goes with the test.
+    /// Prints the end of every log, because the folder is removed with the test.
     fn print_logs(&self) {
         let entries = fs::read_dir(&self.0).into_iter().flatten().flatten();
         let mut logs: Vec<PathBuf> = entries.map(|entry| entry.path()).collect();
@@ -82,7 +84,7 @@
             let text = fs::read_to_string(&path).unwrap_or_default();
             let lines: Vec<&str> = text.lines().collect();
             eprintln!("the last lines of {}:", path.display());
-            for line in &lines[lines.len().saturating_sub(SHOWN_LINES)..] {
+            for line in &lines[lines.len().saturating_sub(LOG_TAIL_LINES)..] {
                 eprintln!("    {line}");
             }
         }
@@ -91,7 +93,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // A failure that shows once is not traced again without what the programs said.
+        // A failure that occurs only once can't be explained later without the logs.
         if thread::panicking() {
             self.print_logs();
         }
@@ -106,43 +108,52 @@
     }
 }
 
-/// Runs a verb of `sill` to its end.
-pub fn sill(words: &[&str], input: &str) -> Output {
+/// Runs `sill` with these arguments and this standard input until it exits.
+pub fn run_sill(args: &[&str], input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sill"))
-        .args(words)
+        .args(args)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("sill can be started");
-    child.stdin.take().expect("a pipe").write_all(input.as_bytes()).expect("sill reads its input");
-    child.wait_with_output().expect("sill ends")
+    child
+        .stdin
+        .take()
+        .expect("its input is a pipe")
+        .write_all(input.as_bytes())
+        .expect("sill reads its input");
+    child.wait_with_output().expect("sill exits")
 }
 
 /// Returns the hash of a key as `sill hash` prints it.
-pub fn hash(key: &str) -> String {
-    let output = sill(&["hash"], &format!("{key}\n"));
-    String::from_utf8(output.stdout).expect("text").trim().to_owned()
+pub fn hash_key(key: &str) -> String {
+    let output = run_sill(&["hash"], &format!("{key}\n"));
+    String::from_utf8(output.stdout).expect("its output is UTF-8").trim().to_owned()
 }
 
-/// Returns free addresses that no other test or program takes meanwhile.
+/// Returns free loopback addresses, reserved so that no other test or program binds them.
 pub fn free_addresses(count: usize) -> Vec<SocketAddr> {
-    sill_standin::loopback::free_addresses(count).expect("free ports")
+    sill_standin::loopback::free_addresses(count).expect("there are free ports")
 }
 
-/// Waits until a condition holds.
-pub fn wait_until<F>(what: &str, mut holds: F)
+/// Polls a condition until it holds, and panics with its description after [`TIMEOUT`].
+pub fn wait_until<F>(description: &str, mut condition: F)
 where
     F: FnMut() -> bool,
 {
-    let end = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < end, "never came true: {what}");
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(
+            Instant::now() < deadline,
+            "timed out after {TIMEOUT:?} waiting until {description}"
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Sends one request on a connection of its own and reads the whole answer.
+/// Sends one request on a new connection and reads the complete answer. Returns `None` if the
+/// connection fails or the answer can't be parsed.
 pub fn http(
     to: SocketAddr,
     method: &str,
@@ -151,7 +162,7 @@
     body: &str,
 ) -> Option<Answer> {
     let mut stream = TcpStream::connect(to).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     let mut text = format!("{method} {path} HTTP/1.1\r\nhost: {to}\r\nconnection: close\r\n");
     for header in headers {
         text.push_str(header);
@@ -164,7 +175,7 @@
     read_answer(&String::from_utf8_lossy(&answer))
 }
 
-/// Sends a caller's request.
+/// Sends a POST request with the caller's key.
 pub fn call(to: SocketAddr, path: &str, headers: &[&str], body: &str) -> Option<Answer> {
     let authorization = format!("authorization: Bearer {CALLER_KEY}");
     let mut all = vec![authorization.as_str(), "content-type: application/json"];
@@ -172,25 +183,28 @@
     http(to, "POST", path, &all, body)
 }
 
-/// Reads an answer's text.
+/// Parses the text of an answer.
 pub fn read_answer(text: &str) -> Option<Answer> {
     let (head, body) = text.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let head = head.to_lowercase();
-    let body =
-        if head.contains("transfer-encoding: chunked") { unchunk(body)? } else { body.to_owned() };
+    let body = if head.contains("transfer-encoding: chunked") {
+        decode_chunked(body)?
+    } else {
+        body.to_owned()
+    };
     Some(Answer { status, head, body })
 }
 
-fn unchunk(mut rest: &str) -> Option<String> {
+fn decode_chunked(mut input: &str) -> Option<String> {
     let mut body = String::new();
     loop {
-        let (size, after) = rest.split_once("\r\n")?;
+        let (size, after) = input.split_once("\r\n")?;
         let size = usize::from_str_radix(size.trim(), 16).ok()?;
         if size == 0 {
             return Some(body);
         }
         body.push_str(after.get(..size)?);
-        rest = after.get(size + 2..)?;
+        input = after.get(size + 2..)?;
     }
 }
--- a/daemons/sill/tests/system/main.rs
+++ b/daemons/sill/tests/system/main.rs
@@ -1,13 +1,13 @@
-//! Tests of the whole system with real processes on loopback.
+//! Tests of the whole system: `sill` processes on loopback, with stand-ins as endpoints.
 
 mod bad_input;
 mod control;
 mod control_cluster;
+mod end_to_end;
 mod flight;
 mod harness;
 mod limits;
 mod member;
 mod product;
 mod signals;
-mod thin_path;
 mod verbs;
--- a/daemons/sill/tests/system/verbs.rs
+++ b/daemons/sill/tests/system/verbs.rs
@@ -1,27 +1,28 @@
-//! The operators' verbs against a running system.
+//! The verbs for operators and callers, run against `sill try`.
 
 use std::process::Output;
 
-use crate::harness::{Folder, http, sill, wait_until};
+use crate::harness::{Folder, http, run_sill, wait_until};
 use crate::product::Try;
 
-/// A verb with its words, and what it must print.
+/// The arguments of a command, and the exit code and parts of its output that it must give.
 struct Case {
-    words: &'static [&'static str],
+    args: &'static [&'static str],
     code: i32,
     stdout: &'static [&'static str],
     stderr: &'static [&'static str],
 }
 
-const SOUND: &str = r#"{"services":{"lookup":{"kind":"plain"}},"accounts":{"vans":{"weight":2}}}"#;
+const VALID_DOCUMENT: &str =
+    r#"{"services":{"lookup":{"kind":"plain"}},"accounts":{"vans":{"weight":2}}}"#;
 
-const FAULTY: &str =
+const INVALID_DOCUMENT: &str =
     r#"{"deadline_ms":"2s","services":{"lookup":{"kind":"plan"}},"accounts":{},"accounts":{}}"#;
 
 const CASES: [Case; 17] = [
-    Case { words: &["check", "sound.json"], code: 0, stdout: &["sound"], stderr: &[] },
+    Case { args: &["check", "sound.json"], code: 0, stdout: &["sound"], stderr: &[] },
     Case {
-        words: &["check", "faulty.json", "nothing.json"],
+        args: &["check", "faulty.json", "nothing.json"],
         code: 2,
         stdout: &[],
         stderr: &[
@@ -30,13 +31,13 @@
         ],
     },
     Case {
-        words: &["diff", "waitaha", "sound.json"],
+        args: &["diff", "waitaha", "sound.json"],
         code: 0,
         stdout: &["accounts.vans.weight", "services.lookup.kind", "\"plain\""],
         stderr: &[],
     },
     Case {
-        words: &[
+        args: &[
             "apply",
             "waitaha",
             "sound.json",
@@ -50,148 +51,170 @@
         stdout: &["waitaha: revision 3, in force everywhere"],
         stderr: &[],
     },
-    // The answer was lost, and the operator's script sends the same change again.
+    // The operator's script lost the answer and sends the same change again.
     Case {
-        words: &["apply", "waitaha", "sound.json", "--if-match", "0", "--change-id", "one"],
+        args: &["apply", "waitaha", "sound.json", "--if-match", "0", "--change-id", "one"],
         code: 0,
         stdout: &["waitaha: revision 3"],
         stderr: &[],
     },
-    // Another operator read the same revision and comes second.
+    // Another operator has read the same revision and changes it later.
     Case {
-        words: &["apply", "waitaha", "sound.json", "--if-match", "0"],
+        args: &["apply", "waitaha", "sound.json", "--if-match", "0"],
         code: 1,
         stdout: &[],
         stderr: &["conflict", "revision 3, by root"],
     },
     Case {
-        words: &["apply", "waitaha", "units.json"],
+        args: &["apply", "waitaha", "units.json"],
         code: 2,
         stdout: &[],
         stderr: &["units.json: waitaha: deadline_ms: expected a whole number of milliseconds"],
     },
     Case {
-        words: &["diff", "waitaha", "sound.json"],
+        args: &["diff", "waitaha", "sound.json"],
         code: 0,
         stdout: &["nothing would"],
         stderr: &[],
     },
-    Case { words: &["get", "waitaha"], code: 0, stdout: &["\"lookup\""], stderr: &[] },
-    Case { words: &["get", "nowhere"], code: 1, stdout: &[], stderr: &["not_found"] },
+    Case { args: &["get", "waitaha"], code: 0, stdout: &["\"lookup\""], stderr: &[] },
+    Case { args: &["get", "nowhere"], code: 1, stdout: &[], stderr: &["not_found"] },
+    Case { args: &["get", "waitaha", "--json"], code: 0, stdout: &["\"revision\":3"], stderr: &[] },
     Case {
-        words: &["get", "waitaha", "--json"],
-        code: 0,
-        stdout: &["\"revision\":3"],
-        stderr: &[],
-    },
-    Case {
-        words: &["watch", "waitaha", "--count", "1"],
+        args: &["watch", "waitaha", "--count", "1"],
         code: 0,
         stdout: &["waitaha: revision 3 by root"],
         stderr: &[],
     },
     Case {
-        words: &["status"],
+        args: &["status"],
         code: 0,
         stdout: &["entry-a", "entry-b", "current", "every entry instance runs the newest"],
         stderr: &[],
     },
     Case {
-        words: &["audit", "waitaha"],
+        args: &["audit", "waitaha"],
         code: 0,
         stdout: &["AUTHOR", "change", "refused", "root"],
         stderr: &[],
     },
     Case {
-        words: &["drain", "model-a0"],
+        args: &["drain", "model-a0"],
         code: 0,
         stdout: &["model-a0: noted", "not told yet"],
         stderr: &[],
     },
-    Case { words: &["audit", "model-a0", "--json"], code: 0, stdout: &["\"drain\""], stderr: &[] },
-    Case { words: &["no-such-verb"], code: 1, stdout: &[], stderr: &["unknown verb"] },
+    Case { args: &["audit", "model-a0", "--json"], code: 0, stdout: &["\"drain\""], stderr: &[] },
+    Case { args: &["no-such-verb"], code: 1, stdout: &[], stderr: &["unknown verb"] },
 ];
 
+/// Operators' scripts rely on the exit codes, and operators on the messages: a retried change must
+/// give its first revision, a conflict must name the newer one, and an invalid document every
+/// fault.
 #[test]
-fn verbs_tell_what_they_did_and_every_finding() {
+fn verbs_report_their_results_and_every_finding() {
     let system = Try::start("verbs");
     let files = Folder::new("verbs-files");
-    for (name, text) in
-        [("sound.json", SOUND), ("faulty.json", FAULTY), ("units.json", r#"{"deadline_ms":"2s"}"#)]
-    {
+    for (name, text) in [
+        ("sound.json", VALID_DOCUMENT),
+        ("faulty.json", INVALID_DOCUMENT),
+        ("units.json", r#"{"deadline_ms":"2s"}"#),
+    ] {
         files.write(name, text);
     }
     for case in CASES {
-        let output = run(&system, &files, case.words);
+        let output = run(&system, &files, case.args);
         let (stdout, stderr) =
             (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
-        let shown = format!("{:?}\n{stdout}\n{stderr}", case.words);
-        assert_eq!(output.status.code(), Some(case.code), "{shown}");
-        assert!(case.stdout.iter().all(|part| stdout.contains(part)), "{shown}");
-        assert!(case.stderr.iter().all(|part| stderr.contains(part)), "{shown}");
+        let output_text = format!("{:?}\n{stdout}\n{stderr}", case.args);
+        assert_eq!(output.status.code(), Some(case.code), "{output_text}");
+        assert!(case.stdout.iter().all(|part| stdout.contains(part)), "{output_text}");
+        assert!(case.stderr.iter().all(|part| stderr.contains(part)), "{output_text}");
     }
 }
 
-/// Entry instances report the endpoints of their failure domains every few seconds; an operator sees
-/// the endpoints of all of them in one place.
+/// Entry instances report the endpoints of their failure domains every few seconds. If reports are
+/// dropped or overwrite each other, `sill status` lists the endpoints of one failure domain only.
 #[test]
 fn status_lists_the_endpoints_of_every_failure_domain() {
     let system = Try::start("status");
     let files = Folder::new("status-files");
-    let shown = || {
+    let output_text = || {
         let output = run(&system, &files, &["status"]);
         String::from_utf8_lossy(&output.stdout).into_owned()
     };
-    wait_until("both domains are reported", || {
-        let text = shown();
+    wait_until("the endpoints of both failure domains are listed", || {
+        let text = output_text();
         text.contains("model-a0") && text.contains("model-b1") && text.contains("ready")
     });
 }
 
-/// A caller asks what became of its request, by the name in the answer's headers.
+/// A caller asks with its key for the history of a request, by the request id in the answer's
+/// headers. Without a check of the key, others could read it too.
 #[test]
-fn a_request_is_explained_to_its_caller_and_to_nobody_else() {
+fn a_request_is_explained_to_its_caller_only() {
     let system = Try::start("explain");
-    let key = format!("authorization: Bearer {}", system.text("caller_key"));
+    let key = format!("authorization: Bearer {}", system.string("caller_key"));
     let body = r#"{"model":"desk-7b","max_tokens":2,"messages":[{"role":"user","content":"x"}]}"#;
     let entries = system.addresses("entries");
     let answer =
         http(entries[1], "POST", "/v1/chat/completions", &[&key], body).expect("an answer");
     let id = answer.head.lines().find_map(|line| line.strip_prefix("sill-request-id: "));
-    let id = id.expect("a name").trim().to_owned();
-    let asked: Vec<String> = entries.iter().map(ToString::to_string).collect();
-    let words = ["explain", &id, "--entry", &asked[0], "--entry", &asked[1], "--key-file"];
-    let explain = |file: &str| sill(&[&words[..], &[file]].concat(), "");
-    let own = explain(&system.folder.file("data/caller-key"));
-    let text = String::from_utf8_lossy(&own.stdout).into_owned();
-    assert_eq!(own.status.code(), Some(0), "{text}{}", String::from_utf8_lossy(&own.stderr));
+    let id = id.expect("the answer has a request id").trim().to_owned();
+    let entry_addresses: Vec<String> = entries.iter().map(ToString::to_string).collect();
+    let args = [
+        "explain",
+        &id,
+        "--entry",
+        &entry_addresses[0],
+        "--entry",
+        &entry_addresses[1],
+        "--key-file",
+    ];
+    let explain = |file: &str| run_sill(&[&args[..], &[file]].concat(), "");
+    let by_caller = explain(&system.folder.file("data/caller-key"));
+    let text = String::from_utf8_lossy(&by_caller.stdout).into_owned();
+    assert_eq!(
+        by_caller.status.code(),
+        Some(0),
+        "{text}{}",
+        String::from_utf8_lossy(&by_caller.stderr)
+    );
     assert!(text.contains("ga/desk/clerks") && text.contains("model-"), "{text}");
-    let other = explain(&system.folder.file("data/operator-token"));
-    assert_eq!(other.status.code(), Some(1), "{}", String::from_utf8_lossy(&other.stdout));
+    let by_operator = explain(&system.folder.file("data/operator-token"));
+    assert_eq!(
+        by_operator.status.code(),
+        Some(1),
+        "{}",
+        String::from_utf8_lossy(&by_operator.stdout)
+    );
 }
 
-/// A script puts a document with an account twice by HTTP, without `sill` and its checks.
+/// A script sends a document with a duplicate account by HTTP, without the checks of `sill`. A JSON
+/// parser that keeps the last one would drop the settings of the first.
 #[test]
-fn a_name_that_stands_twice_is_refused_by_the_control_instance_too() {
+fn duplicate_names_are_refused_by_the_control_instance_too() {
     let system = Try::start("twice");
-    let control = system.text("control").parse().expect("an address");
-    let token = format!("authorization: Bearer {}", system.text("operator_token"));
+    let control = system.string("control").parse().expect("an address");
+    let token = format!("authorization: Bearer {}", system.string("operator_token"));
     let body = r#"{"accounts":{"a":{"weight":1},"a":{"weight":2}},"x":1}"#;
     let answer = http(control, "PUT", "/tree/waitaha", &[&token], body).expect("an answer");
     assert_eq!(answer.status, 400, "{answer:?}");
     assert!(answer.body.contains("waitaha: accounts.a"), "{answer:?}");
 }
 
-fn run(system: &Try, files: &Folder, words: &[&str]) -> Output {
-    let control = system.text("control");
+/// Runs `sill` with the control address and operator token of the system, where the verb takes
+/// them.
+fn run(system: &Try, files: &Folder, args: &[&str]) -> Output {
+    let control = system.string("control");
     let token = system.folder.file("data/operator-token");
-    let mut all: Vec<String> = words
+    let mut full_args: Vec<String> = args
         .iter()
-        .map(|word| if word.ends_with(".json") { files.file(word) } else { (*word).to_owned() })
+        .map(|arg| if arg.ends_with(".json") { files.file(arg) } else { (*arg).to_owned() })
         .collect();
-    if !["check", "no-such-verb"].contains(&words[0]) {
-        all.extend(["--control", control, "--token-file", &token].map(str::to_owned));
+    if !["check", "no-such-verb"].contains(&args[0]) {
+        full_args.extend(["--control", control, "--token-file", &token].map(str::to_owned));
     }
-    let all: Vec<&str> = all.iter().map(String::as_str).collect();
-    sill(&all, "")
+    let full_args: Vec<&str> = full_args.iter().map(String::as_str).collect();
+    run_sill(&full_args, "")
 }
--- a/daemons/sill/tests/timeline.rs
+++ b/daemons/sill/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! What log files tell of one request.
+//! `sill timeline`: the log lines of one request from several log files.
 
 use sill::verbs::timeline::{Log, timeline};
 
@@ -6,11 +6,11 @@
     Log { name: name.to_owned(), text: lines.join("\n") }
 }
 
-/// A caller complains that its stream broke off. The entry instance's log has the attempts, and only the
-/// control instance's log tells that the endpoint was just being taken back. Side by side, in the order of
-/// time, and without the lines of other requests, they show it.
+/// A caller's stream was cut. The entry instance's log has the attempts, and only the control
+/// instance's log says that the endpoint was being reclaimed. If the lines of both are not merged
+/// by time, or the lines of other requests are among them, the cause is not visible.
 #[test]
-fn lines_of_several_logs_are_put_together() {
+fn lines_of_several_logs_are_merged_by_time() {
     let entry = log(
         "entry-1",
         &[
@@ -31,16 +31,16 @@
     );
     struct Case {
         id: &'static str,
-        told: &'static [&'static str],
+        expected: &'static [&'static str],
     }
     let cases = [
-        Case { id: "abc", told: &["4900 control-1", "5000 entry-1", "5100 entry-1"] },
-        Case { id: "other", told: &["1000 entry-1", "1500 control-1"] },
-        Case { id: "nobody", told: &[] },
+        Case { id: "abc", expected: &["4900 control-1", "5000 entry-1", "5100 entry-1"] },
+        Case { id: "other", expected: &["1000 entry-1", "1500 control-1"] },
+        Case { id: "nobody", expected: &[] },
     ];
-    for Case { id, told } in cases {
+    for Case { id, expected } in cases {
         let lines = timeline(id, &[entry.clone(), control.clone()]);
-        let heads: Vec<String> = lines.iter().map(|l| format!("{} {}", l.at, l.log)).collect();
-        assert_eq!(heads, told, "{id}: {lines:#?}");
+        let sources: Vec<String> = lines.iter().map(|l| format!("{} {}", l.at, l.log)).collect();
+        assert_eq!(sources, expected, "{id}: {lines:#?}");
     }
 }
--- a/daemons/sill/tests/verdict.rs
+++ b/daemons/sill/tests/verdict.rs
@@ -1,4 +1,4 @@
-//! The checks of `sill try --once`, shown to notice each promise that they watch over.
+//! The checks of `sill try --once` detect each broken promise.
 
 use std::time::Duration;
 
@@ -8,7 +8,9 @@
 use sill_load::exchange::{Ending, Exchange};
 use sill_wire::endpoint::LedgerEntry;
 
-/// A sent request and the runs that two endpoints noted, the first of them reclaimed.
+/// A sent request, the runs in the ledgers of two endpoints, of which the first is reclaimed, and
+/// the promises that the check must report as broken. A run is given by the token at which it
+/// resumed.
 struct Case {
     name: &'static str,
     kind: Kind,
@@ -30,7 +32,7 @@
         broken: &[],
     },
     Case {
-        name: "a run that goes on at another endpoint",
+        name: "a run that another endpoint resumes",
         kind: Kind::Once,
         ending: Ending::Whole,
         status: 200,
@@ -48,7 +50,7 @@
         broken: &[Promise::AtMostOnce],
     },
     Case {
-        name: "an answer that stops early",
+        name: "an answer that is cut",
         kind: Kind::Streamed,
         ending: Ending::Cut,
         status: 200,
@@ -84,7 +86,7 @@
         broken: &[Promise::NotRunIsTrue],
     },
     Case {
-        name: "a request given up after it was sent",
+        name: "a request abandoned after it was sent",
         kind: Kind::Short,
         ending: Ending::Refused,
         status: 502,
@@ -103,8 +105,10 @@
     },
 ];
 
+/// A check that misses a broken promise lets `sill try --once` pass although requests were lost,
+/// repeated or cut; one that reports a promise that was kept fails a correct system.
 #[test]
-fn each_broken_promise_is_noticed() {
+fn each_broken_promise_is_detected() {
     for case in CASES {
         let sent = Sent {
             kind: case.kind,
@@ -120,10 +124,10 @@
     }
 }
 
-/// The notice reached one entry instance only, and another one goes on sending to the endpoint.
-/// Requests that it took late die with it.
+/// A reclaim notice reaches one entry instance only, and another one still sends requests to the
+/// endpoint. Requests that it accepts late are lost when it exits.
 #[test]
-fn new_work_at_a_leaving_endpoint_is_noticed() {
+fn new_requests_at_a_leaving_endpoint_are_detected() {
     let sent = Sent { kind: Kind::Short, key: None, exchange: exchange(Ending::Whole, 200, false) };
     let broken = check(&record(sent, 0), &Ledgers(vec![vec![run(0)], vec![]]));
     assert_eq!(broken[0].promise, Promise::LeavingGetsNothing);
