--- a/coordination/dispatch/tests/settings.rs
+++ b/coordination/dispatch/tests/settings.rs
@@ -30,7 +30,7 @@
 }
 
 fn cut(revision: u64, document: &Document) -> (Manifest, Map<PieceId, Piece>) {
-    let parts = pieces::cut(document).into_iter();
+    let parts = pieces::split(document).into_iter();
     let pieces = parts.map(|part| Piece::new(DocumentText::of(&part).as_str()));
     let pieces: Vec<Piece> = pieces.collect();
     let ids = pieces.iter().map(|piece| piece.id.clone()).collect();
--- a/daemons/control/src/api/caller.rs
+++ b/daemons/control/src/api/caller.rs
@@ -28,7 +28,7 @@
     }
     let token = authorization.strip_prefix("Bearer ").unwrap_or_default().trim();
     let hash = KeyHash::of(token);
-    if !token.is_empty() && shared.log.app().read().is_known(&Operator::Holder(hash.clone())) {
+    if !token.is_empty() && shared.log.app().read().is_known(&Operator::TokenHolder(hash.clone())) {
         return Ok(Holder::Token(hash));
     }
     shared.metrics.unknown_tokens.inc();
--- a/daemons/control/src/api/tree.rs
+++ b/daemons/control/src/api/tree.rs
@@ -90,7 +90,7 @@
     let is_owner = state.tree().is_owned_by(&holder.operator(), path);
     let document = match is_owner {
         true => serde_json::to_value(&*subtree.document),
-        false => serde_json::to_value(sill_tree::redacted(&subtree.document)),
+        false => serde_json::to_value(sill_tree::redact(&subtree.document)),
     };
     Ok(SubtreeReply {
         path: path.into(),
--- a/daemons/control/src/app/command.rs
+++ b/daemons/control/src/app/command.rs
@@ -168,7 +168,7 @@
     pub fn operator(&self) -> Operator {
         match self {
             Self::Root => Operator::Root,
-            Self::Token(hash) => Operator::Holder(hash.clone()),
+            Self::Token(hash) => Operator::TokenHolder(hash.clone()),
         }
     }
 }
--- a/daemons/control/src/app/judge.rs
+++ b/daemons/control/src/app/judge.rs
@@ -68,7 +68,7 @@
         // Teams need not keep the hash of their own token in their files.
         let current = tree.subtrees.get(&ask.path).and_then(|s| s.document.owner.as_ref());
         if let (Some(owner), Some(fields)) = (current, document.as_object_mut())
-            && !tree.is_granted_by(&operator, &ask.path)
+            && !tree.may_change_owner(&operator, &ask.path)
             && !fields.contains_key("owner")
         {
             fields.insert("owner".to_owned(), owner.0.as_str().into());
@@ -84,7 +84,7 @@
         if !tree.subtrees.contains_key(&ask.path) {
             return Err(refusal("not_found", "no such subtree"));
         }
-        if !tree.is_granted_by(&ask.origin.holder.operator(), &ask.path) {
+        if !tree.may_change_owner(&ask.origin.holder.operator(), &ask.path) {
             let message = "only the owner of a subtree above may remove it";
             return Err(refusal("forbidden", message));
         }
--- a/daemons/control/src/log/disk.rs
+++ b/daemons/control/src/log/disk.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use sill_base::{Millis, Name, event};
 use sill_quorum::{PersistentState, ReplicaId, Write};
-use sill_store::{AnyDisk, FolderDisk, Recovered, Store, WriteError};
+use sill_store::{AnyDisk, FolderDisk, RecoveredState, Store, WriteError};
 
 /// Opens the disk under a data folder; tests give one that fails.
 pub type OpenDisk = Box<dyn Fn(&Path) -> io::Result<AnyDisk> + Send>;
@@ -127,13 +127,13 @@
     }
 }
 
-fn report(recovered: &Recovered) {
-    if let Some(torn) = &recovered.torn {
+fn report(recovered: &RecoveredState) {
+    if let Some(torn) = &recovered.torn_tail {
         event!(Warn, "log_tail_cut", file = torn.file, offset = torn.offset, bytes = torn.len);
     }
 }
 
-fn replay(recovered: Recovered) -> Result<(Option<ReplicaId>, PersistentState)> {
+fn replay(recovered: RecoveredState) -> Result<(Option<ReplicaId>, PersistentState)> {
     let (mut id, mut persisted) = (None, PersistentState::default());
     if let Some(snapshot) = recovered.snapshot {
         let text = String::from_utf8(snapshot).wrap_err("the snapshot")?;
--- a/daemons/control/src/log/driver.rs
+++ b/daemons/control/src/log/driver.rs
@@ -252,7 +252,7 @@
         match action {
             Action::Persist(write) => {
                 let start = Instant::now();
-                let disk = self.disk.as_mut().ok_or(WriteError::Broken)?;
+                let disk = self.disk.as_mut().ok_or(WriteError::ReopenRequired)?;
                 disk.write(write)?;
                 self.metrics.append_seconds.observe(start.elapsed().as_secs_f64());
             }
@@ -363,7 +363,7 @@
         // After a failed sync the commands may be on the disk or not.
         let of_proposed = match err {
             WriteError::Full => Submitted::NotLeader,
-            WriteError::Io(_) | WriteError::Broken => Submitted::Unknown,
+            WriteError::Io(_) | WriteError::ReopenRequired => Submitted::Unknown,
         };
         for done in std::mem::take(&mut self.proposed).into_values().flatten() {
             let _ = done.send(of_proposed.clone());
--- a/daemons/control/src/served.rs
+++ b/daemons/control/src/served.rs
@@ -142,7 +142,7 @@
     fn cut(&self, revision: Revision, document: &Document, cut_at: Millis) -> Cut {
         let mut pieces = Map::default();
         let mut ids = Vec::new();
-        for part in pieces::cut(document) {
+        for part in pieces::split(document) {
             let text = DocumentText::of(&part);
             let id = PieceId::of(text.as_str());
             let packed = self.piece(&id).unwrap_or_else(|| CompressedText::new(text.as_str()));
--- a/daemons/control/tests/app.rs
+++ b/daemons/control/tests/app.rs
@@ -150,7 +150,7 @@
     {
         assert!(!text.contains(secret), "{secret} in {text}");
     }
-    let of_team = app.audit(&Operator::Holder(KeyHash::of("ga")), &AuditFilter::default());
+    let of_team = app.audit(&Operator::TokenHolder(KeyHash::of("ga")), &AuditFilter::default());
     assert!(of_team.iter().all(|record| &*record.subject == "ga"), "{of_team:?}");
 }
 
--- a/daemons/control/tests/cluster.rs
+++ b/daemons/control/tests/cluster.rs
@@ -11,7 +11,7 @@
 use sill_control::{Control, ControlCfg};
 use sill_net::PeerClient;
 use sill_standin::loopback::free_addresses;
-use sill_store::faulty::DiskFault;
+use sill_store::faulty_disk::DiskFault;
 use sill_store::{FaultyDisk, Store};
 use sill_wire::Incarnation;
 use sill_wire::claim::{
@@ -251,7 +251,7 @@
     let read = http(control.address, "GET", "/tree/ga", "");
     assert!(read.contains("\"price_cap\":1") && !read.contains("sill-stale"), "{read}");
 
-    disk.arm(DiskFault::SyncFails);
+    disk.inject_fault(DiskFault::SyncFails);
     let unknown = put(2);
     assert!(unknown.starts_with("HTTP/1.1 503") && unknown.contains("unknown"), "{unknown}");
     wait_until("the disk is used again", is_ready);
--- a/daemons/entry/src/api.rs
+++ b/daemons/entry/src/api.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use sill_base::Name;
 use sill_net::http;
-use sill_tree::{Effective, Service};
+use sill_tree::{EffectiveSettings, Service};
 
 use crate::body::Body;
 use crate::daemon::Shared;
@@ -57,10 +57,9 @@
         Ok(account) => account,
         Err(failure) => return failure.response(&app.request_id()),
     };
-    let visible = settings
-        .services
-        .values()
-        .filter(|s| matches!(s.kind, Service::Model { .. }) && Effective::may_use(&account, s));
+    let visible = settings.services.values().filter(|s| {
+        matches!(s.kind, Service::Model { .. }) && EffectiveSettings::may_use(&account, s)
+    });
     let mut names: Vec<&Name> = visible.map(|s| &s.name).collect();
     names.sort();
     let data: Vec<Value> = names
--- a/daemons/entry/src/limits.rs
+++ b/daemons/entry/src/limits.rs
@@ -8,7 +8,7 @@
     AccountLimit, Action, Cost, Event, Limiter, LimiterCfg, Members, Peer, SplitCfg, Verdict,
 };
 use sill_net::PeerError;
-use sill_tree::Effective;
+use sill_tree::EffectiveSettings;
 use sill_wire::Incarnation;
 use sill_wire::limits::{DemandExchange, DemandReply, DemandReport};
 
@@ -128,7 +128,7 @@
     }
 }
 
-fn limits(settings: &Effective) -> Vec<AccountLimit> {
+fn limits(settings: &EffectiveSettings) -> Vec<AccountLimit> {
     let is_limited = |l: &AccountLimit| l.requests_per_s.is_some() || l.tokens_per_s.is_some();
     let limit = |account: &Arc<sill_tree::EffectiveAccount>| AccountLimit {
         account: account.name.clone(),
--- a/daemons/entry/src/request.rs
+++ b/daemons/entry/src/request.rs
@@ -9,7 +9,7 @@
 use sill_base::{Findings, Millis, Name};
 use sill_net::http::Failure;
 use sill_tree::document::CallRule;
-use sill_tree::{Effective, EffectiveAccount, EffectiveService, KeyHash, Service};
+use sill_tree::{EffectiveAccount, EffectiveService, EffectiveSettings, KeyHash, Service};
 use sill_wire::chat::ChatSummary;
 use sill_wire::claim::BodyHash;
 use sill_wire::handoff::ReplyHeader;
@@ -155,9 +155,9 @@
         || decoded.ends_with("/..")
         || decoded.contains('%');
     let matches = |rule: &CallRule| {
-        rule.marks(method, path)
-            || rule.marks(method, &decoded)
-            || (is_ambiguous && rule.marks(method, &rule.path))
+        rule.matches(method, path)
+            || rule.matches(method, &decoded)
+            || (is_ambiguous && rule.matches(method, &rule.path))
     };
     rules.iter().any(matches)
 }
@@ -168,7 +168,7 @@
 ///
 /// Returns the refusal when the key is missing or unknown.
 pub fn find_account(
-    settings: &Effective,
+    settings: &EffectiveSettings,
     headers: &HeaderMap,
 ) -> Result<Arc<EffectiveAccount>, Failure> {
     let Some(key) = header_text(headers, "authorization").and_then(|h| h.strip_prefix("Bearer "))
@@ -192,13 +192,13 @@
 }
 
 fn find_service(
-    settings: &Effective,
+    settings: &EffectiveSettings,
     account: &EffectiveAccount,
     name: &Name,
     is_kind: impl Fn(&EffectiveService) -> bool,
 ) -> Result<Arc<EffectiveService>, Failure> {
     let service = settings.services.get(name);
-    let usable = service.filter(|s| is_kind(s) && Effective::may_use(account, s));
+    let usable = service.filter(|s| is_kind(s) && EffectiveSettings::may_use(account, s));
     usable.cloned().ok_or_else(|| {
         let message = format!("{name:?} is not served to this client account");
         Failure::new(ErrorCode::NotFound, message)
--- a/daemons/entry/src/settings.rs
+++ b/daemons/entry/src/settings.rs
@@ -6,7 +6,7 @@
 
 use parking_lot::RwLock;
 use sill_base::{Findings, Name, Promise, assert_promise};
-use sill_tree::{Document, Effective, Tree};
+use sill_tree::{Document, EffectiveSettings, Tree};
 use sill_wire::control::Revision;
 use sill_wire::feed::{Change, FeedReply};
 use tokio::sync::watch;
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub struct Held {
     tree: Tree,
-    effective: Arc<Effective>,
+    effective: Arc<EffectiveSettings>,
     /// The last change of each subtree as it came, for snapshots.
     last: BTreeMap<Name, Change>,
     /// The newest changes without a gap.
@@ -85,7 +85,7 @@
     }
 
     /// Returns the settings as requests use them.
-    pub fn effective(&self) -> &Arc<Effective> {
+    pub fn effective(&self) -> &Arc<EffectiveSettings> {
         &self.effective
     }
 
@@ -152,7 +152,7 @@
         let mut next = Self::default().with(read);
         next.recent.clear();
         next.tree.revision = revision.0;
-        next.effective = Arc::new(Effective::of(&next.tree));
+        next.effective = Arc::new(EffectiveSettings::of(&next.tree));
         Taken { next: Some(next), refused: None }
     }
 
@@ -178,7 +178,7 @@
         }
         let surplus = recent.len().saturating_sub(KEPT_CHANGES);
         recent.drain(..surplus);
-        let effective = Arc::new(Effective::of(&tree));
+        let effective = Arc::new(EffectiveSettings::of(&tree));
         Self { tree, effective, last, recent }
     }
 }
@@ -197,7 +197,7 @@
     }
 
     /// Returns the settings in force.
-    pub fn current(&self) -> Arc<Effective> {
+    pub fn current(&self) -> Arc<EffectiveSettings> {
         self.held.read().effective.clone()
     }
 
--- a/daemons/gateway/tests/support/cut.rs
+++ b/daemons/gateway/tests/support/cut.rs
@@ -15,7 +15,7 @@
 impl Cut {
     /// Cuts a document.
     pub fn of(revision: u64, document: &Document) -> Self {
-        let parts = pieces::cut(document).into_iter();
+        let parts = pieces::split(document).into_iter();
         let pieces = parts.map(|part| Piece::new(DocumentText::of(&part).as_str()));
         let pieces: Vec<Piece> = pieces.collect();
         let ids = pieces.iter().map(|piece| piece.id.clone()).collect();
--- a/daemons/sill/src/settings_file.rs
+++ b/daemons/sill/src/settings_file.rs
@@ -15,7 +15,7 @@
     let text = fs::read(file).map_err(|err| Findings::one(file, err.to_string()))?;
     let checked = read_json(path, &text).and_then(|value| {
         // What can be told from the file alone is told before any other process is asked.
-        sill_tree::read::alone(path, &value).map(|_| value)
+        sill_tree::read::standalone_document(path, &value).map(|_| value)
     });
     checked.map_err(|findings| in_file(file, &findings))
 }
--- a/daemons/sill/src/verbs/diff.rs
+++ b/daemons/sill/src/verbs/diff.rs
@@ -64,7 +64,7 @@
 
 /// Leaves out what says nothing, so that `[]` and a field left out count as the same.
 fn normal(path: &str, document: &Value) -> Result<Value> {
-    Ok(serde_json::to_value(read::alone(path, document)?)?)
+    Ok(serde_json::to_value(read::standalone_document(path, document)?)?)
 }
 
 fn as_json(difference: &Difference) -> Value {
--- a/state/store/src/error.rs
+++ b/state/store/src/error.rs
@@ -17,7 +17,7 @@
         expected: &'static str,
     },
     /// A record that was acknowledged can't be read any more.
-    Damaged {
+    Corrupt {
         /// The file.
         file: String,
         /// Where the bad record starts, in bytes.
@@ -42,7 +42,7 @@
     /// The write failed; nothing was changed.
     Io(io::Error),
     /// An earlier sync failed, so what lies on the disk is unknown until the folder is opened again.
-    Broken,
+    ReopenRequired,
 }
 
 impl Display for OpenError {
@@ -52,7 +52,7 @@
             Self::Format { found, expected } => {
                 write!(f, "the data folder has format {found:?}; this program reads {expected:?}")
             }
-            Self::Damaged { file, offset, reason } => {
+            Self::Corrupt { file, offset, reason } => {
                 write!(f, "{file}: damaged at byte {offset}: {reason}")
             }
             Self::Missing { file } => write!(f, "{file}: missing from the data folder"),
@@ -74,7 +74,9 @@
         match self {
             Self::Full => f.write_str("the disk is full"),
             Self::Io(err) => write!(f, "the disk failed: {err}"),
-            Self::Broken => f.write_str("an earlier sync failed; the folder must be opened again"),
+            Self::ReopenRequired => {
+                f.write_str("an earlier sync failed; the folder must be opened again")
+            }
         }
     }
 }
--- a/state/store/src/faulty.rs
+++ b/state/store/src/faulty_disk.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiskFault {
     /// A write stores only this many bytes and fails, as on a full disk.
-    Full {
+    DiskFull {
         /// Bytes that are stored.
         stored: usize,
     },
@@ -26,7 +26,7 @@
     TruncateFails,
     /// The next sync of the folder after a rename fails. A process that is killed between the two leaves
     /// the same behind: a new name that reads well, and that a loss of power may take away.
-    RenameStaysUnsynced,
+    FolderSyncFailsAfterRename,
 }
 
 #[derive(Debug, Default, Clone)]
@@ -71,7 +71,7 @@
     }
 
     /// Arms a fault, for the next operation that it concerns.
-    pub fn arm(&self, fault: DiskFault) {
+    pub fn inject_fault(&self, fault: DiskFault) {
         self.content().faults.push(fault);
     }
 
@@ -118,12 +118,12 @@
     }
 
     /// Loses everything, as when the disk is replaced.
-    pub fn lose(&self) {
+    pub fn erase(&self) {
         *self.content() = Content::default();
     }
 
     /// Flips a bit of a stored file.
-    pub fn damage(&self, name: &str, offset: usize) {
+    pub fn flip_bit(&self, name: &str, offset: usize) {
         let mut content = self.content();
         if let Some(byte) = content.file(name).and_then(|f| f.bytes.get_mut(offset)) {
             *byte ^= 1;
@@ -172,8 +172,8 @@
         let has_renamed = self.unsynced_names.iter().any(is_rename);
         let concerns = |fault: &DiskFault| match fault {
             DiskFault::SyncFails => true,
-            DiskFault::RenameStaysUnsynced => has_renamed,
-            DiskFault::Full { .. } | DiskFault::TruncateFails => false,
+            DiskFault::FolderSyncFailsAfterRename => has_renamed,
+            DiskFault::DiskFull { .. } | DiskFault::TruncateFails => false,
         };
         self.take_fault(concerns).is_some()
     }
@@ -212,9 +212,9 @@
             content.files.push(FileContent::default());
             content.change_names(NameChange::Create { name: name.to_owned(), file: index });
         }
-        let fault = content.take_fault(|fault| matches!(fault, DiskFault::Full { .. }));
+        let fault = content.take_fault(|fault| matches!(fault, DiskFault::DiskFull { .. }));
         let stored = match fault {
-            Some(DiskFault::Full { stored }) => stored,
+            Some(DiskFault::DiskFull { stored }) => stored,
             _ if content.full && !bytes.is_empty() => 0,
             _ => usize::MAX,
         };
--- a/state/store/src/frame.rs
+++ b/state/store/src/frame.rs
@@ -8,7 +8,7 @@
 
 /// What stands at a position of a file.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Found<'a> {
+pub enum FrameRead<'a> {
     /// The end of the file.
     End,
     /// A whole frame.
@@ -19,11 +19,11 @@
         next: usize,
     },
     /// Something else.
-    Bad(&'static str),
+    Invalid(&'static str),
 }
 
 /// Adds a frame with these records to a buffer.
-pub fn push<R>(buf: &mut Vec<u8>, records: &[R])
+pub fn append_frame<R>(buf: &mut Vec<u8>, records: &[R])
 where
     R: AsRef<[u8]>,
 {
@@ -41,37 +41,37 @@
 }
 
 /// Reads what stands at a position.
-pub fn at(bytes: &[u8], start: usize) -> Found<'_> {
+pub fn read_at(bytes: &[u8], start: usize) -> FrameRead<'_> {
     let rest = &bytes[start..];
     if rest.is_empty() {
-        return Found::End;
+        return FrameRead::End;
     }
     if rest.len() < HEADER {
-        return Found::Bad("a cut-off header");
+        return FrameRead::Invalid("a cut-off header");
     }
     if rest[..2] != MAGIC {
-        return Found::Bad("not the start of a record");
+        return FrameRead::Invalid("not the start of a record");
     }
     let len_bytes = [rest[2], rest[3], rest[4], rest[5]];
     let len = u32::from_le_bytes(len_bytes) as usize;
     let sum = u32::from_le_bytes([rest[6], rest[7], rest[8], rest[9]]);
     let Some(payload) = rest[HEADER..].get(..len) else {
-        return Found::Bad("a record longer than the file");
+        return FrameRead::Invalid("a record longer than the file");
     };
     if checksum(&len_bytes, payload) != sum {
-        return Found::Bad("wrong checksum");
+        return FrameRead::Invalid("wrong checksum");
     }
-    Found::Frame { payload, next: start + HEADER + len }
+    FrameRead::Frame { payload, next: start + HEADER + len }
 }
 
 /// Returns whether a whole frame starts anywhere from a position on.
-pub fn any_from(bytes: &[u8], start: usize) -> bool {
+pub fn has_frame_from(bytes: &[u8], start: usize) -> bool {
     let starts = (start..bytes.len()).filter(|&at| bytes[at..].starts_with(&MAGIC));
-    starts.into_iter().any(|start| matches!(at(bytes, start), Found::Frame { .. }))
+    starts.into_iter().any(|start| matches!(read_at(bytes, start), FrameRead::Frame { .. }))
 }
 
 /// Splits a payload into its records; none if their lengths don't add up.
-pub fn records(mut payload: &[u8]) -> Option<Vec<Vec<u8>>> {
+pub fn decode_records(mut payload: &[u8]) -> Option<Vec<Vec<u8>>> {
     let mut records = Vec::new();
     while !payload.is_empty() {
         let (len, rest) = payload.split_first_chunk::<4>()?;
--- a/state/store/src/lib.rs
+++ b/state/store/src/lib.rs
@@ -2,11 +2,11 @@
 
 pub mod disk;
 pub mod error;
-pub mod faulty;
+pub mod faulty_disk;
 pub mod frame;
 pub mod store;
 
 pub use disk::{AnyDisk, Disk, FolderDisk};
 pub use error::{OpenError, WriteError};
-pub use faulty::FaultyDisk;
-pub use store::{Recovered, Store, TornTail};
+pub use faulty_disk::FaultyDisk;
+pub use store::{RecoveredState, Store, TornTail};
--- a/state/store/src/store.rs
+++ b/state/store/src/store.rs
@@ -5,7 +5,7 @@
 
 use crate::disk::Disk;
 use crate::error::{OpenError, WriteError};
-use crate::frame::{self, Found};
+use crate::frame::{self, FrameRead};
 
 /// The format that this program reads and writes.
 const FORMAT: &str = "sill-store 1\n";
@@ -28,13 +28,13 @@
 
 /// What an opened folder held.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Recovered {
+pub struct RecoveredState {
     /// The newest snapshot.
     pub snapshot: Option<Vec<u8>>,
     /// The records written since.
     pub records: Vec<Vec<u8>>,
     /// A write that had not been finished, if there was one; it was cut off.
-    pub torn: Option<TornTail>,
+    pub torn_tail: Option<TornTail>,
 }
 
 /// The rest of an unfinished write.
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// Fails when the folder has another format or when acknowledged records can't be read.
-    pub fn open(mut disk: D) -> Result<(Self, Recovered), OpenError> {
+    pub fn open(mut disk: D) -> Result<(Self, RecoveredState), OpenError> {
         let names = disk.list()?;
         let generation = generation(&names);
         if names.iter().any(|name| name == FORMAT_FILE) {
@@ -73,7 +73,7 @@
             create(&mut disk, &names)?;
         }
         let mut store = Self { disk, generation, log_len: 0, snapshot_len: 0, broken: false };
-        let mut recovered = Recovered::default();
+        let mut recovered = RecoveredState::default();
         if generation > 0 {
             recovered.snapshot = Some(store.read_snapshot()?);
         }
@@ -92,10 +92,10 @@
         R: AsRef<[u8]>,
     {
         if self.broken {
-            return Err(WriteError::Broken);
+            return Err(WriteError::ReopenRequired);
         }
         let mut buf = Vec::new();
-        frame::push(&mut buf, records);
+        frame::append_frame(&mut buf, records);
         let log = log_name(self.generation);
         if let Err(err) = self.disk.append(&log, &buf) {
             // What was written of the frame must go, or the next append would stand behind
@@ -130,7 +130,7 @@
         R: AsRef<[u8]>,
     {
         if self.broken {
-            return Err(WriteError::Broken);
+            return Err(WriteError::ReopenRequired);
         }
         let next = self.generation + 1;
         match self.write_generation(next, snapshot, records) {
@@ -183,10 +183,10 @@
         let (log, name) = (log_name(next), snapshot_name(next));
         let mut log_buf = Vec::new();
         if !records.is_empty() {
-            frame::push(&mut log_buf, records);
+            frame::append_frame(&mut log_buf, records);
         }
         let mut snapshot_buf = Vec::new();
-        frame::push(&mut snapshot_buf, &[snapshot]);
+        frame::append_frame(&mut snapshot_buf, &[snapshot]);
         self.disk.append(&log, &log_buf)?;
         self.disk.sync(&log)?;
         self.disk.append(UNFINISHED, &snapshot_buf)?;
@@ -208,17 +208,17 @@
         let file = snapshot_name(self.generation);
         let bytes = self.disk.read(&file)?;
         self.snapshot_len = bytes.len() as u64;
-        let damaged = |reason| OpenError::Damaged { file: file.clone(), offset: 0, reason };
-        match frame::at(&bytes, 0) {
-            Found::Frame { payload, .. } => frame::records(payload)
+        let damaged = |reason| OpenError::Corrupt { file: file.clone(), offset: 0, reason };
+        match frame::read_at(&bytes, 0) {
+            FrameRead::Frame { payload, .. } => frame::decode_records(payload)
                 .and_then(|mut records| records.pop())
                 .ok_or_else(|| damaged("an empty snapshot")),
-            Found::Bad(reason) => Err(damaged(reason)),
-            Found::End => Err(damaged("an empty file")),
+            FrameRead::Invalid(reason) => Err(damaged(reason)),
+            FrameRead::End => Err(damaged("an empty file")),
         }
     }
 
-    fn read_log(&mut self, recovered: &mut Recovered) -> Result<(), OpenError> {
+    fn read_log(&mut self, recovered: &mut RecoveredState) -> Result<(), OpenError> {
         let file = log_name(self.generation);
         if !self.disk.list()?.contains(&file) {
             return Err(OpenError::Missing { file });
@@ -226,28 +226,28 @@
         let bytes = self.disk.read(&file)?;
         let mut start = 0;
         loop {
-            let reason = match frame::at(&bytes, start) {
-                Found::End => break,
-                Found::Frame { payload, next } => {
-                    let Some(records) = frame::records(payload) else {
+            let reason = match frame::read_at(&bytes, start) {
+                FrameRead::End => break,
+                FrameRead::Frame { payload, next } => {
+                    let Some(records) = frame::decode_records(payload) else {
                         let reason = "lengths that don't add up";
-                        return Err(OpenError::Damaged { file, offset: start as u64, reason });
+                        return Err(OpenError::Corrupt { file, offset: start as u64, reason });
                     };
                     recovered.records.extend(records);
                     start = next;
                     continue;
                 }
-                Found::Bad(reason) => reason,
+                FrameRead::Invalid(reason) => reason,
             };
             // Each append is one frame and waits for the one before, so an unfinished append is
             // the last thing in the file. A whole frame behind a bad one shows damage to
             // something that was acknowledged, and going on without it would revert a change.
-            if frame::any_from(&bytes, start + 1) {
-                return Err(OpenError::Damaged { file, offset: start as u64, reason });
+            if frame::has_frame_from(&bytes, start + 1) {
+                return Err(OpenError::Corrupt { file, offset: start as u64, reason });
             }
             let (offset, len) = (start as u64, (bytes.len() - start) as u64);
             self.disk.truncate(&file, offset)?;
-            recovered.torn = Some(TornTail { file: file.clone(), offset, len });
+            recovered.torn_tail = Some(TornTail { file: file.clone(), offset, len });
             break;
         }
         // A killed process may have written a record without syncing it. It was read here, so it
--- a/state/store/tests/store.rs
+++ b/state/store/tests/store.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 use sill_base::random::{cases, seed, seeded};
-use sill_store::faulty::DiskFault;
+use sill_store::faulty_disk::DiskFault;
 use sill_store::{FaultyDisk, FolderDisk, OpenError, Store, WriteError};
 
 fn open(disk: &FaultyDisk) -> (Store<FaultyDisk>, Vec<Vec<u8>>) {
@@ -30,13 +30,13 @@
         let disk = FaultyDisk::new();
         let (mut store, _) = open(&disk);
         store.append(&[b"one", b"two"]).expect(case.name);
-        disk.arm(DiskFault::SyncFails);
-        disk.arm(DiskFault::TruncateFails);
+        disk.inject_fault(DiskFault::SyncFails);
+        disk.inject_fault(DiskFault::TruncateFails);
         assert!(store.append(&[b"never acknowledged"]).is_err(), "{}", case.name);
         disk.crash(case.kept);
         let (mut store, recovered) = Store::open(disk.clone()).expect(case.name);
         assert_eq!(recovered.records, [b"one", b"two"], "{}", case.name);
-        assert_eq!(recovered.torn.is_some(), case.torn, "{}", case.name);
+        assert_eq!(recovered.torn_tail.is_some(), case.torn, "{}", case.name);
         store.append(&[b"three"]).expect(case.name);
         assert_eq!(open(&disk).1.len(), 3, "{}", case.name);
     }
@@ -52,9 +52,9 @@
     let second = store.log_size();
     store.append(&[b"second"]).expect("written");
     store.append(&[b"third"]).expect("written");
-    disk.damage("log-0", second as usize + 16);
+    disk.flip_bit("log-0", second as usize + 16);
     match Store::open(disk) {
-        Err(OpenError::Damaged { offset, .. }) => assert_eq!(offset, second),
+        Err(OpenError::Corrupt { offset, .. }) => assert_eq!(offset, second),
         other => panic!("{other:?}"),
     }
 }
@@ -66,7 +66,7 @@
     let disk = FaultyDisk::new();
     let (mut store, _) = open(&disk);
     store.append(&[b"before"]).expect("written");
-    disk.arm(DiskFault::Full { stored: 7 });
+    disk.inject_fault(DiskFault::DiskFull { stored: 7 });
     assert!(matches!(store.append(&[b"refused"]), Err(WriteError::Full)));
     disk.set_full(true);
     assert!(matches!(store.replace(b"state", &[b"x"]), Err(WriteError::Full)));
@@ -81,11 +81,11 @@
     // acknowledgement based on the later success would be for a record that a crash takes away.
     let disk = FaultyDisk::new();
     let (mut store, _) = open(&disk);
-    disk.arm(DiskFault::SyncFails);
-    disk.arm(DiskFault::TruncateFails);
+    disk.inject_fault(DiskFault::SyncFails);
+    disk.inject_fault(DiskFault::TruncateFails);
     assert!(matches!(store.append(&[b"x"]), Err(WriteError::Io(_))));
-    assert!(matches!(store.append(&[b"y"]), Err(WriteError::Broken)));
-    assert!(matches!(store.replace(b"s", &[b"y"]), Err(WriteError::Broken)));
+    assert!(matches!(store.append(&[b"y"]), Err(WriteError::ReopenRequired)));
+    assert!(matches!(store.replace(b"s", &[b"y"]), Err(WriteError::ReopenRequired)));
     drop(store);
     let (mut store, found) = open(&disk);
     store.replace(b"state", &found).expect("written anew");
@@ -105,7 +105,7 @@
     let disk = FaultyDisk::new();
     let (mut store, _) = open(&disk);
     store.append(&[b"one"]).expect("written");
-    disk.arm(DiskFault::SyncFails);
+    disk.inject_fault(DiskFault::SyncFails);
     assert!(store.append(&[b"never acknowledged"]).is_err());
     drop(store);
     let (mut store, found) = open(&disk);
@@ -124,9 +124,9 @@
     let disk = FaultyDisk::new();
     let (mut store, _) = open(&disk);
     store.append(&[b"one"]).expect("written");
-    disk.arm(DiskFault::RenameStaysUnsynced);
+    disk.inject_fault(DiskFault::FolderSyncFailsAfterRename);
     assert!(store.replace::<Vec<u8>>(b"state", &[]).is_err());
-    assert!(matches!(store.append(&[b"two"]), Err(WriteError::Broken)));
+    assert!(matches!(store.append(&[b"two"]), Err(WriteError::ReopenRequired)));
     drop(store);
     let (_, recovered) = Store::open(disk).expect("the folder opens");
     assert_eq!(recovered.snapshot.as_deref(), Some(&b"state"[..]));
@@ -151,7 +151,7 @@
     ];
     for Case { name, kept } in cases {
         let disk = FaultyDisk::new();
-        disk.arm(DiskFault::RenameStaysUnsynced);
+        disk.inject_fault(DiskFault::FolderSyncFailsAfterRename);
         assert!(Store::open(disk.clone()).is_err(), "killed while it makes the folder");
         let (mut store, _) = open(&disk);
         store.append(&[b"one"]).expect("written");
@@ -160,7 +160,7 @@
         let (mut store, found) = open(&disk);
         assert_eq!(found, [b"one"], "a new folder, {name} kept");
 
-        disk.arm(DiskFault::RenameStaysUnsynced);
+        disk.inject_fault(DiskFault::FolderSyncFailsAfterRename);
         assert!(
             store.replace::<Vec<u8>>(b"state", &[]).is_err(),
             "killed while it takes a snapshot"
@@ -209,13 +209,13 @@
         for _ in 0..60 {
             steps += 1;
             match rng.random_range(0..11) {
-                10 => disk.arm(DiskFault::RenameStaysUnsynced),
-                0 => disk.arm(DiskFault::Full { stored: rng.random_range(0..40) }),
+                10 => disk.inject_fault(DiskFault::FolderSyncFailsAfterRename),
+                0 => disk.inject_fault(DiskFault::DiskFull { stored: rng.random_range(0..40) }),
                 1 => {
-                    disk.arm(DiskFault::SyncFails);
+                    disk.inject_fault(DiskFault::SyncFails);
                     armed += 1;
                     if rng.random_bool(0.3) {
-                        disk.arm(DiskFault::TruncateFails);
+                        disk.inject_fault(DiskFault::TruncateFails);
                         may_fail_to_cut = true;
                     }
                 }
--- a/state/tree/src/check.rs
+++ b/state/tree/src/check.rs
@@ -14,7 +14,7 @@
 
 /// Returns every finding that concerns more than one value of the tree, of which `changed` is the
 /// document that is new.
-pub fn whole_tree(documents: &Documents<'_>, changed: &str) -> Findings {
+pub fn check_tree(documents: &Documents<'_>, changed: &str) -> Findings {
     let mut findings = Findings::new();
     let is_new = |(path, _): &(&&str, &&Document)| **path == changed;
     // The new document comes last, so that it is the one to blame for what stands twice.
--- a/state/tree/src/document.rs
+++ b/state/tree/src/document.rs
@@ -177,7 +177,7 @@
 
 impl CallRule {
     /// Returns whether the rule marks a call.
-    pub fn marks(&self, method: &str, path: &str) -> bool {
+    pub fn matches(&self, method: &str, path: &str) -> bool {
         (self.method.as_str() == "*" || self.method.eq_ignore_ascii_case(method))
             && path.starts_with(&self.path)
     }
--- a/state/tree/src/effective.rs
+++ b/state/tree/src/effective.rs
@@ -9,7 +9,7 @@
 
 /// Settings in force at one revision.
 #[derive(Debug, Default, Clone)]
-pub struct Effective {
+pub struct EffectiveSettings {
     /// The revision.
     pub revision: u64,
     /// Models and services by name.
@@ -50,7 +50,7 @@
     pub limit: Limit,
 }
 
-impl Effective {
+impl EffectiveSettings {
     /// Works out the settings in force.
     pub fn of(tree: &Tree) -> Self {
         let mut effective = Self { revision: tree.revision, ..Self::default() };
--- a/state/tree/src/lib.rs
+++ b/state/tree/src/lib.rs
@@ -16,9 +16,9 @@
 pub use document::{
     Account, CallRule, Document, KeyHash, LatencyTarget, Limit, Placement, Service,
 };
-pub use effective::{Effective, EffectiveAccount, EffectiveService};
+pub use effective::{EffectiveAccount, EffectiveService, EffectiveSettings};
 pub use json::read_json;
-pub use owner::{Operator, redacted};
+pub use owner::{Operator, redact};
 pub use pieces::PieceId;
 pub use route::{CallerBounds, CapacityRange, Engine, Pool, Route, RouteKind, Share};
 pub use stored::{DocumentText, StoredDocument};
--- a/state/tree/src/object.rs
+++ b/state/tree/src/object.rs
@@ -129,7 +129,7 @@
     }
 
     /// Reads a field that holds one object for each name.
-    pub fn by_name<T, F>(
+    pub fn entries_by_name<T, F>(
         &mut self,
         name: &'static str,
         findings: &mut Findings,
@@ -151,7 +151,7 @@
         let mut read = Vec::new();
         for (key, value) in fields {
             if !Name::is_well_formed(key) {
-                findings.add(place.field(key).text(), WELL_FORMED);
+                findings.add(place.field(key).text(), INVALID_NAME);
             }
             if let Some(value) = reader(value, place.field(key), findings) {
                 read.push((Name::from(key.as_str()), value));
@@ -161,7 +161,7 @@
     }
 
     /// Notes every field that was not asked for.
-    pub fn close(self, findings: &mut Findings) {
+    pub fn reject_unknown_fields(self, findings: &mut Findings) {
         for name in self.fields.keys().filter(|name| !self.known.contains(&name.as_str())) {
             let known = self.known.join(", ");
             findings
@@ -171,7 +171,7 @@
 }
 
 /// The reason for a name of the wrong shape.
-pub const WELL_FORMED: &str =
+pub const INVALID_NAME: &str =
     "not a well-formed name; expected 1 to 64 of letters, digits, `-_.`, the first no sign";
 
 /// Reads any text.
@@ -187,13 +187,13 @@
 pub fn name(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<Name> {
     let text = text(value, place, findings)?;
     if !Name::is_well_formed(&text) {
-        findings.add(place.text(), WELL_FORMED);
+        findings.add(place.text(), INVALID_NAME);
     }
     Some(text.into())
 }
 
 /// Reads true or false.
-pub fn switch(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<bool> {
+pub fn boolean(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<bool> {
     if value.as_bool().is_none() {
         expected(place, "true or false", value, findings);
     }
@@ -201,7 +201,7 @@
 }
 
 /// Reads a whole number.
-pub fn whole(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<u64> {
+pub fn integer(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<u64> {
     if value.as_u64().is_none() {
         expected(place, "a whole number", value, findings);
     }
@@ -209,8 +209,8 @@
 }
 
 /// Reads a whole number that fits 32 bits.
-pub fn whole_u32(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<u32> {
-    let number = whole(value, place, findings)?;
+pub fn integer_u32(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<u32> {
+    let number = integer(value, place, findings)?;
     let fitting = u32::try_from(number).ok();
     if fitting.is_none() {
         findings.add(place.text(), format!("{number} is more than {}", u32::MAX));
--- a/state/tree/src/owner.rs
+++ b/state/tree/src/owner.rs
@@ -13,7 +13,7 @@
     /// The holder of the root token.
     Root,
     /// The holder of a token with this hash.
-    Holder(KeyHash),
+    TokenHolder(KeyHash),
 }
 
 impl Tree {
@@ -24,7 +24,7 @@
     }
 
     /// Returns whether an operator owns a subtree above the path. Who does may name its owner.
-    pub fn is_granted_by(&self, operator: &Operator, path: &str) -> bool {
+    pub fn may_change_owner(&self, operator: &Operator, path: &str) -> bool {
         self.owns(operator, |owned| owned != path && is_at_or_above(owned, path))
     }
 
@@ -46,7 +46,7 @@
             return Err(Findings::one(place, "the token does not own this subtree"));
         }
         let current = self.subtrees.get(path).and_then(|subtree| subtree.document.owner.as_ref());
-        if current != document.owner.as_ref() && !self.is_granted_by(operator, path) {
+        if current != document.owner.as_ref() && !self.may_change_owner(operator, path) {
             let place = Place::top(path).field("owner").text();
             return Err(Findings::one(place, "only the owner of a subtree above may change it"));
         }
@@ -56,7 +56,7 @@
     fn owns(&self, operator: &Operator, covers: impl Fn(&str) -> bool) -> bool {
         match operator {
             Operator::Root => true,
-            Operator::Holder(hash) => self.subtrees.iter().any(|(path, subtree)| {
+            Operator::TokenHolder(hash) => self.subtrees.iter().any(|(path, subtree)| {
                 covers(path) && subtree.document.owner.as_ref() == Some(hash)
             }),
         }
@@ -64,7 +64,7 @@
 }
 
 /// Returns a document without its hashes of keys and tokens, for those who don't own it.
-pub fn redacted(document: &Document) -> Document {
+pub fn redact(document: &Document) -> Document {
     let mut redacted = document.clone();
     redacted.owner = None;
     for account in redacted.accounts.values_mut() {
--- a/state/tree/src/pieces.rs
+++ b/state/tree/src/pieces.rs
@@ -36,7 +36,7 @@
 
 /// Cuts a document into documents that hold parts of it; the first one holds everything but accounts and
 /// routes. The same document is cut in the same way everywhere.
-pub fn cut(document: &Document) -> Vec<Document> {
+pub fn split(document: &Document) -> Vec<Document> {
     let Document { accounts, routes, .. } = document;
     let head = Document {
         accounts: BTreeMap::new(),
--- a/state/tree/src/read.rs
+++ b/state/tree/src/read.rs
@@ -20,7 +20,7 @@
 /// # Errors
 ///
 /// Returns every finding with its place.
-pub fn alone(path: &str, value: &Value) -> Result<Document, Findings> {
+pub fn standalone_document(path: &str, value: &Value) -> Result<Document, Findings> {
     let mut findings = Findings::new();
     let read = document(path, value, &mut findings);
     findings.into_result(read)
@@ -34,19 +34,19 @@
     };
     read.owner = fields.read("owner", findings, key_hash);
     read.latency = fields.read("latency", findings, latency);
-    read.price_cap = fields.read("price_cap", findings, object::whole);
+    read.price_cap = fields.read("price_cap", findings, object::integer);
     read.placement = fields.read("placement", findings, placement);
     read.deadline_ms = fields.read("deadline_ms", findings, object::millis);
     read.limit = fields.read("limit", findings, limit);
-    read.services.extend(fields.by_name("services", findings, |value, place, findings| {
+    read.services.extend(fields.entries_by_name("services", findings, |value, place, findings| {
         // One that can't be read still stands there, so that references to it don't dangle.
         let unreadable = Service::Plain { non_idempotent: Vec::new(), min_endpoints: 0 };
         Some(service(value, place, findings).unwrap_or(unreadable))
     }));
-    read.accounts.extend(fields.by_name("accounts", findings, account));
-    read.routes.extend(fields.by_name("routes", findings, read_route::route));
+    read.accounts.extend(fields.entries_by_name("accounts", findings, account));
+    read.routes.extend(fields.entries_by_name("routes", findings, read_route::route));
     read.caller_bounds = fields.read("caller_bounds", findings, read_route::caller_bounds);
-    fields.close(findings);
+    fields.reject_unknown_fields(findings);
     read
 }
 
@@ -58,14 +58,14 @@
             version: fields.read("version", findings, version).unwrap_or_default(),
             adapters: distinct(&mut fields, "adapters", findings, object::name),
             min_endpoints: fields
-                .read("min_endpoints", findings, object::whole_u32)
+                .read("min_endpoints", findings, object::integer_u32)
                 .unwrap_or_default(),
             latency: fields.read("latency", findings, latency),
         },
         "plain" => Service::Plain {
             non_idempotent: fields.list("non_idempotent", findings, call_rule),
             min_endpoints: fields
-                .read("min_endpoints", findings, object::whole_u32)
+                .read("min_endpoints", findings, object::integer_u32)
                 .unwrap_or_default(),
         },
         "pool" => Service::Pool(read_route::pool(&mut fields, findings)),
@@ -75,7 +75,7 @@
             return None;
         }
     };
-    fields.close(findings);
+    fields.reject_unknown_fields(findings);
     Some(service)
 }
 
@@ -89,8 +89,8 @@
         max_priority: fields.read("max_priority", findings, priority),
         services: distinct(&mut fields, "services", findings, object::name),
         urgency: fields.read("urgency", findings, read_route::urgency),
-        burst: fields.read("burst", findings, read_route::amount),
-        default_tokens: fields.read("default_tokens", findings, object::whole),
+        burst: fields.read("burst", findings, read_route::non_negative),
+        default_tokens: fields.read("default_tokens", findings, object::integer),
     };
     let rank = |name: &Option<Name>| PRIORITIES.iter().position(|p| Some(*p) == name.as_deref());
     if let (Some(usual), Some(highest)) = (rank(&account.priority), rank(&account.max_priority))
@@ -98,7 +98,7 @@
     {
         findings.add(fields.place("priority").text(), "higher than max_priority");
     }
-    fields.close(findings);
+    fields.reject_unknown_fields(findings);
     Some(account)
 }
 
@@ -111,7 +111,7 @@
 }
 
 fn weight(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<u32> {
-    let weight = object::whole_u32(value, place, findings)?;
+    let weight = object::integer_u32(value, place, findings)?;
     if weight == 0 {
         findings.add(place.text(), "expected at least 1");
     }
@@ -131,7 +131,7 @@
     let mut fields = Object::open(value, *place, findings)?;
     let ttft_ms = fields.required("ttft_ms", findings, object::millis);
     let between_tokens_ms = fields.required("between_tokens_ms", findings, object::millis);
-    fields.close(findings);
+    fields.reject_unknown_fields(findings);
     Some(LatencyTarget { ttft_ms: ttft_ms?, between_tokens_ms: between_tokens_ms? })
 }
 
@@ -141,7 +141,7 @@
         requests_per_s: fields.read("requests_per_s", findings, object::rate),
         tokens_per_s: fields.read("tokens_per_s", findings, object::rate),
     };
-    fields.close(findings);
+    fields.reject_unknown_fields(findings);
     Some(limit)
 }
 
@@ -150,9 +150,9 @@
     let placement = Placement {
         domains: distinct(&mut fields, "domains", findings, object::name),
         classes: distinct(&mut fields, "classes", findings, object::name),
-        reclaimable: fields.read("reclaimable", findings, object::switch),
+        reclaimable: fields.read("reclaimable", findings, object::boolean),
     };
-    fields.close(findings);
+    fields.reject_unknown_fields(findings);
     Some(placement)
 }
 
@@ -160,7 +160,7 @@
     let mut fields = Object::open(value, *place, findings)?;
     let method = fields.required("method", findings, method);
     let path = fields.required("path", findings, call_path);
-    fields.close(findings);
+    fields.reject_unknown_fields(findings);
     Some(CallRule { method: method?, path: path? })
 }
 
--- a/state/tree/src/read_route.rs
+++ b/state/tree/src/read_route.rs
@@ -22,14 +22,14 @@
         urgency: fields.read("urgency", findings, urgency).unwrap_or_default(),
         split: fields.list("split", findings, share),
         max_attempts: fields
-            .read("max_attempts", findings, object::whole_u32)
+            .read("max_attempts", findings, object::integer_u32)
             .unwrap_or(DEFAULT_ATTEMPTS),
-        anonymous: fields.read("anonymous", findings, object::switch).unwrap_or_default(),
+        anonymous: fields.read("anonymous", findings, object::boolean).unwrap_or_default(),
     };
     if route.split.iter().all(|share| share.weight == 0) {
         findings.add(fields.place("split").text(), "the weights add up to 0");
     }
-    fields.close(findings);
+    fields.reject_unknown_fields(findings);
     Some(route)
 }
 
@@ -37,7 +37,7 @@
 pub fn pool(fields: &mut Object<'_>, findings: &mut Findings) -> Pool {
     Pool {
         health_path: fields.read("health_path", findings, text),
-        max_connections: fields.read("max_connections", findings, object::whole_u32),
+        max_connections: fields.read("max_connections", findings, object::integer_u32),
         engine: fields.read("engine", findings, engine),
         capacity: fields.read("capacity", findings, capacity),
     }
@@ -51,17 +51,17 @@
 ) -> Option<CallerBounds> {
     let mut fields = Object::open(value, *place, findings)?;
     let bounds = CallerBounds {
-        header_bytes: fields.read("header_bytes", findings, object::whole),
-        body_bytes: fields.read("body_bytes", findings, object::whole),
+        header_bytes: fields.read("header_bytes", findings, object::integer),
+        body_bytes: fields.read("body_bytes", findings, object::integer),
         idle_ms: fields.read("idle_ms", findings, object::millis),
     };
-    fields.close(findings);
+    fields.reject_unknown_fields(findings);
     Some(bounds)
 }
 
 /// Reads the rank of an account or a route.
 pub fn urgency(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<u8> {
-    let number = object::whole(value, place, findings)?;
+    let number = object::integer(value, place, findings)?;
     let fitting = u8::try_from(number).ok();
     if fitting.is_none() {
         findings.add(place.text(), format!("{number} is more than {}", u8::MAX));
@@ -70,7 +70,7 @@
 }
 
 /// Reads a number that is not below zero.
-pub fn amount(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<f64> {
+pub fn non_negative(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<f64> {
     let number = value.as_f64().filter(|number| *number >= 0.0);
     if number.is_none() {
         findings.add(place.text(), "expected a number of at least 0");
@@ -81,43 +81,45 @@
 fn engine(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<Engine> {
     let mut fields = Object::open(value, *place, findings)?;
     let engine = Engine {
-        slots: fields.read("slots", findings, object::whole_u32).unwrap_or_default(),
-        cache_tokens: fields.read("cache_tokens", findings, object::whole).unwrap_or_default(),
-        moves: fields.read("moves", findings, object::switch).unwrap_or_default(),
-        backups: fields.read("backups", findings, object::switch).unwrap_or_default(),
+        slots: fields.read("slots", findings, object::integer_u32).unwrap_or_default(),
+        cache_tokens: fields.read("cache_tokens", findings, object::integer).unwrap_or_default(),
+        moves: fields.read("moves", findings, object::boolean).unwrap_or_default(),
+        backups: fields.read("backups", findings, object::boolean).unwrap_or_default(),
     };
-    fields.close(findings);
+    fields.reject_unknown_fields(findings);
     Some(engine)
 }
 
 fn capacity(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<CapacityRange> {
     let mut fields = Object::open(value, *place, findings)?;
     let range = CapacityRange {
-        min: fields.read("min", findings, object::whole_u32).unwrap_or_default(),
-        max: fields.required("max", findings, object::whole_u32).unwrap_or_default(),
+        min: fields.read("min", findings, object::integer_u32).unwrap_or_default(),
+        max: fields.required("max", findings, object::integer_u32).unwrap_or_default(),
         boot_ms: fields.read("boot_ms", findings, whole_millis).unwrap_or_default(),
-        reclaimable_price: fields.read("reclaimable_price", findings, amount),
+        reclaimable_price: fields.read("reclaimable_price", findings, non_negative),
         prices: fields
-            .by_name("prices", findings, |value, place, findings| amount(value, &place, findings))
+            .entries_by_name("prices", findings, |value, place, findings| {
+                non_negative(value, &place, findings)
+            })
             .into_iter()
             .collect(),
     };
     if range.min > range.max {
         findings.add(fields.place("min").text(), "more than max");
     }
-    fields.close(findings);
+    fields.reject_unknown_fields(findings);
     Some(range)
 }
 
 fn whole_millis(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<Millis> {
-    object::whole(value, place, findings).map(Millis)
+    object::integer(value, place, findings).map(Millis)
 }
 
 fn share(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<Share> {
     let mut fields = Object::open(value, *place, findings)?;
     let service = fields.required("service", findings, text);
-    let weight = fields.required("weight", findings, object::whole_u32);
-    fields.close(findings);
+    let weight = fields.required("weight", findings, object::integer_u32);
+    fields.reject_unknown_fields(findings);
     Some(Share { service: service?, weight: weight? })
 }
 
--- a/state/tree/src/tree.rs
+++ b/state/tree/src/tree.rs
@@ -64,9 +64,9 @@
         let mut documents: Documents<'_> =
             self.subtrees.iter().map(|(path, subtree)| (&**path, &*subtree.document)).collect();
         // What the tree has already is not this change's fault and must not hold it up.
-        let before = check::whole_tree(&documents, path);
+        let before = check::check_tree(&documents, path);
         documents.insert(path, &document);
-        for finding in check::whole_tree(&documents, path).iter() {
+        for finding in check::check_tree(&documents, path).iter() {
             if !before.iter().any(|known| known == finding) {
                 findings.add(&finding.place, &finding.reason);
             }
--- a/state/tree/tests/owners.rs
+++ b/state/tree/tests/owners.rs
@@ -1,7 +1,7 @@
 //! Who may change which subtree, and who sees its secrets.
 
 use serde_json::json;
-use sill_tree::{Document, KeyHash, Operator, Tree, redacted};
+use sill_tree::{Document, KeyHash, Operator, Tree, redact};
 
 /// A change by the holder of a token.
 struct Case {
@@ -35,7 +35,7 @@
 }
 
 fn operator(token: &str) -> Operator {
-    if token == "root" { Operator::Root } else { Operator::Holder(KeyHash::of(token)) }
+    if token == "root" { Operator::Root } else { Operator::TokenHolder(KeyHash::of(token)) }
 }
 
 #[test]
@@ -52,7 +52,7 @@
     let document =
         json!({ "owner": KeyHash::of("t"), "accounts": { "a": { "keys": [KeyHash::of("k")] } } });
     let document: Document = serde_json::from_value(document).expect("a document");
-    let shown = serde_json::to_string(&redacted(&document)).expect("JSON");
+    let shown = serde_json::to_string(&redact(&document)).expect("JSON");
     assert!(!shown.contains("blake3:"), "{shown}");
     assert!(shown.contains("\"a\""), "{shown}");
 }
--- a/state/tree/tests/pieces.rs
+++ b/state/tree/tests/pieces.rs
@@ -47,7 +47,7 @@
 }
 
 fn ids(document: &Document) -> Vec<PieceId> {
-    let parts = pieces::cut(document);
+    let parts = pieces::split(document);
     parts.iter().map(|part| PieceId::of(DocumentText::of(part).as_str())).collect()
 }
 
@@ -55,7 +55,7 @@
 fn pieces_hold_the_whole_document_and_none_is_large() {
     for routes in [0, 1, 1400, 20_000] {
         let document = document(routes);
-        let parts = pieces::cut(&document);
+        let parts = pieces::split(&document);
         assert_eq!(join(&parts), document, "{routes} routes");
         assert!(parts.iter().all(|part| part.routes.len() <= 256), "{routes} routes");
         assert!(parts.len() <= 10 + routes / 20, "{} pieces of {routes} routes", parts.len());
--- a/state/tree/tests/random.rs
+++ b/state/tree/tests/random.rs
@@ -7,7 +7,7 @@
 use serde_json::{Map, Value, json};
 use sill_base::random::{cases, seed};
 use sill_tree::effective::is_at_or_above;
-use sill_tree::{Effective, Tree, read_json};
+use sill_tree::{EffectiveSettings, Tree, read_json};
 
 const PATHS: [&str; 6] = ["", "a", "a/b", "a/b/c", "a/d", "e"];
 
@@ -137,7 +137,7 @@
                 tree.put(PATHS[i].into(), i as u64 + 1, "test".into(), document);
             }
         }
-        let effective = Effective::of(&tree);
+        let effective = EffectiveSettings::of(&tree);
         for service in effective.services.values() {
             let mut above: Vec<_> =
                 tree.subtrees.iter().filter(|(p, _)| is_at_or_above(p, &service.path)).collect();
