--- a/state/store/src/disk.rs
+++ b/state/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! The few operations on files that the store needs.
+//! The file operations that the store needs, and their implementation on the file system.
 
 use std::fmt::Debug;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -7,7 +7,7 @@
 
 use sill_base::Map;
 
-/// A folder of files, without folders inside.
+/// A flat folder of files, without subfolders.
 pub trait Disk: Debug {
     /// Returns the names of all files.
     ///
@@ -23,28 +23,29 @@
     /// Fails when the file can't be read.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Adds bytes to the end of a file, which is made if missing; they are not yet durable.
+    /// Appends bytes to a file and creates it if it is missing. The bytes are durable only after
+    /// [`Disk::sync`].
     ///
     /// # Errors
     ///
-    /// Fails when the bytes can't all be written; some of them may be.
+    /// Fails when not all bytes can be written; a part of them may have been written then.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
     /// Makes the content of a file durable.
     ///
     /// # Errors
     ///
-    /// Fails when that can't be done; what is durable is unknown then.
+    /// Fails when the sync fails; which bytes are durable is unknown then.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Cuts a file off at a length.
+    /// Truncates a file to a length in bytes.
     ///
     /// # Errors
     ///
     /// Fails when the file can't be changed.
     fn truncate(&mut self, name: &str, len: u64) -> io::Result<()>;
 
-    /// Renames a file over another one.
+    /// Renames a file, replacing any file that has the new name.
     ///
     /// # Errors
     ///
@@ -58,15 +59,16 @@
     /// Fails when the folder can't be changed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes the names in the folder durable.
+    /// Makes all created, renamed and removed names in the folder durable.
     ///
     /// # Errors
     ///
-    /// Fails when that can't be done.
+    /// Fails when the folder can't be synced; which names are durable is unknown then.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// Any disk, for programs that are tested on one that fails.
+/// A boxed disk, so that a program can run on a folder and its tests on a disk with injected
+/// faults.
 pub type AnyDisk = Box<dyn Disk + Send>;
 
 impl Disk for AnyDisk {
@@ -103,43 +105,43 @@
     }
 }
 
-/// The name of the file whose lock keeps a second process out.
-const LOCK: &str = "lock";
+/// Name of the file that the process locks, so that no second process uses the folder.
+const LOCK_FILE: &str = "lock";
 
-/// A folder of the file system, locked for this process.
+/// A folder of the file system, locked by this process until the value is dropped.
 #[derive(Debug)]
 pub struct FolderDisk {
     path: PathBuf,
-    open: Map<String, File>,
+    open_files: Map<String, File>,
     _lock: File,
 }
 
 impl FolderDisk {
-    /// Makes the folder if it is missing, and locks it.
+    /// Creates the folder if it is missing, and locks it.
     ///
     /// # Errors
     ///
-    /// Fails with [`io::ErrorKind::WouldBlock`] when another process has the lock.
+    /// Fails with [`io::ErrorKind::WouldBlock`] when another process holds the lock.
     pub fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
-        // Without its parent synced, a new folder can vanish in a crash with all that it held.
+        // If its parent isn't synced, a new folder and all its files can be lost in a crash.
         if let Some(parent) = path.parent().filter(|p| !p.as_os_str().is_empty()) {
             File::open(parent)?.sync_all()?;
         }
-        let lock = OpenOptions::new().create(true).append(true).open(path.join(LOCK))?;
+        let lock = OpenOptions::new().create(true).append(true).open(path.join(LOCK_FILE))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Self { path: path.to_owned(), open: Map::default(), _lock: lock }),
+            Ok(()) => Ok(Self { path: path.to_owned(), open_files: Map::default(), _lock: lock }),
             Err(TryLockError::WouldBlock) => Err(io::ErrorKind::WouldBlock.into()),
             Err(TryLockError::Error(err)) => Err(err),
         }
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        if !self.open.contains_key(name) {
+        if !self.open_files.contains_key(name) {
             let file = OpenOptions::new().create(true).append(true).open(self.path.join(name))?;
-            self.open.insert(name.to_owned(), file);
+            self.open_files.insert(name.to_owned(), file);
         }
-        Ok(self.open.get_mut(name).expect("inserted above"))
+        Ok(self.open_files.get_mut(name).expect("the file was inserted above if missing"))
     }
 }
 
@@ -148,7 +150,7 @@
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let name = entry?.file_name().to_string_lossy().into_owned();
-            if name != LOCK {
+            if name != LOCK_FILE {
                 names.push(name);
             }
         }
@@ -172,13 +174,13 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.open.remove(from);
-        self.open.remove(to);
+        self.open_files.remove(from);
+        self.open_files.remove(to);
         fs::rename(self.path.join(from), self.path.join(to))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.open.remove(name);
+        self.open_files.remove(name);
         fs::remove_file(self.path.join(name))
     }
 
--- a/state/store/src/error.rs
+++ b/state/store/src/error.rs
@@ -1,47 +1,47 @@
-//! Why a data folder can't be opened or written.
+//! Errors of opening a data folder and of writing to it.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
 use std::io;
 
-/// Why a data folder can't be opened.
+/// The reason why a data folder can't be opened.
 #[derive(Debug)]
 pub enum OpenError {
-    /// Another process has it open.
+    /// Another process holds the lock on the folder.
     InUse,
-    /// It was written by a version that this program can't read.
+    /// The folder has a format that this version of the program can't read.
     Format {
-        /// What the folder's format file says.
+        /// Content of the folder's format file, trimmed.
         found: String,
-        /// What this program reads and writes.
+        /// The format that this program reads and writes.
         expected: &'static str,
     },
-    /// A record that was acknowledged can't be read any more.
+    /// An acknowledged record can't be read.
     Corrupt {
-        /// The file.
+        /// Name of the corrupt file.
         file: String,
-        /// Where the bad record starts, in bytes.
+        /// Offset in bytes at which the unreadable frame starts.
         offset: u64,
-        /// What is wrong with it.
+        /// What is wrong with the frame.
         reason: &'static str,
     },
-    /// A file that must be there is missing.
+    /// A file that the folder must contain is missing.
     Missing {
-        /// The file.
+        /// Name of the missing file.
         file: String,
     },
-    /// The disk can't be used.
+    /// A file operation failed.
     Io(io::Error),
 }
 
-/// Why a write was not taken in.
+/// The reason why a write was rejected.
 #[derive(Debug)]
 pub enum WriteError {
-    /// The disk is full; nothing was changed, and reads go on.
+    /// The disk is full. The stored state is unchanged and reads still work.
     Full,
-    /// The write failed; nothing was changed.
+    /// The write failed. The stored state is unchanged.
     Io(io::Error),
-    /// An earlier sync failed, so what lies on the disk is unknown until the folder is opened again.
+    /// An earlier sync failed, so the content of the disk is unknown until the folder is reopened.
     ReopenRequired,
 }
 
@@ -75,7 +75,7 @@
             Self::Full => f.write_str("the disk is full"),
             Self::Io(err) => write!(f, "the disk failed: {err}"),
             Self::ReopenRequired => {
-                f.write_str("an earlier sync failed; the folder must be opened again")
+                f.write_str("an earlier sync failed; the folder must be reopened")
             }
         }
     }
--- a/state/store/src/faulty_disk.rs
+++ b/state/store/src/faulty_disk.rs
@@ -1,36 +1,39 @@
-//! A disk in memory that fails on demand, for tests.
+//! An in-memory disk with injected faults and simulated power loss, for tests.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 use std::ops::Range;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A disk whose clones share one content, as a restarted process shares it with the one before.
+/// A disk whose clones share one content, as a restarted process finds the files of the previous
+/// one.
 #[derive(Debug, Clone, Default)]
 pub struct FaultyDisk {
     content: Arc<Mutex<Content>>,
 }
 
-/// What the next operation of its kind does wrong.
+/// A fault of the next operation that it applies to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiskFault {
-    /// A write stores only this many bytes and fails, as on a full disk.
+    /// A write stores only a part of its bytes and fails with [`ErrorKind::StorageFull`].
     DiskFull {
-        /// Bytes that are stored.
+        /// Number of bytes that are stored.
         stored: usize,
     },
-    /// A sync fails, and what it should have stored reads well until a crash, but is lost then,
-    /// even if later syncs succeed.
+    /// A sync fails. The bytes that it should have made durable can be read until a crash and are
+    /// lost then, even if later syncs succeed.
     SyncFails,
-    /// A cut of a file fails.
+    /// Truncating a file fails.
     TruncateFails,
-    /// The next sync of the folder after a rename fails. A process that is killed between the two leaves
-    /// the same behind: a new name that reads well, and that a loss of power may take away.
+    /// The next sync of the folder after a rename fails. This leaves the same state as a process
+    /// killed between the two: the new name can be read, and a power loss may revert it.
     FolderSyncFailsAfterRename,
 }
 
+/// Files and names, as the process sees them and as a crash would leave them.
 #[derive(Debug, Default, Clone)]
 struct Content {
+    /// Files; maps of names refer to them by index.
     files: Vec<FileContent>,
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
@@ -39,7 +42,7 @@
     full: bool,
 }
 
-/// A change to the names in the folder; each is on the disk as a whole or not at all.
+/// A change to the names in the folder. Each change is durable as a whole or not at all.
 #[derive(Debug, Clone)]
 enum NameChange {
     Create { name: String, file: usize },
@@ -49,8 +52,11 @@
 
 #[derive(Debug, Default, Clone)]
 struct FileContent {
+    /// Bytes that a read returns.
     bytes: Vec<u8>,
+    /// Bytes that are left after a crash.
     durable: Vec<u8>,
+    /// Range of bytes whose sync failed; a later sync stores zeros in their place.
     dropped: Option<Range<usize>>,
 }
 
@@ -65,28 +71,30 @@
 }
 
 impl FaultyDisk {
-    /// Makes an empty disk.
+    /// Creates an empty disk without faults.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Arms a fault, for the next operation that it concerns.
+    /// Injects a fault into the next operation that it applies to.
     pub fn inject_fault(&self, fault: DiskFault) {
         self.content().faults.push(fault);
     }
 
-    /// Makes every write fail until further notice, or no longer.
+    /// Sets whether every write of at least one byte fails as on a full disk.
     pub fn set_full(&self, full: bool) {
         self.content().full = full;
     }
 
-    /// Crashes the machine: what was not synced is lost, but for `kept` bytes of each file's tail.
+    /// Simulates a power loss. Unsynced bytes are lost, except the first `kept` of each file.
+    /// Unsynced changes to names and pending faults are dropped.
     pub fn crash(&self, kept: usize) {
         self.crash_keeping_names(kept, |_| false);
     }
 
-    /// Does the same, but each change to names that was not synced is kept if its number, from the
-    /// oldest, is. A disk writes them in any order.
+    /// Simulates a power loss like [`FaultyDisk::crash`], but keeps each unsynced change to names
+    /// for which `is_kept` returns true. Changes are numbered from 0, the oldest first. A disk
+    /// writes them in any order, so any of them may be kept.
     pub fn crash_keeping_names<F>(&self, kept: usize, mut is_kept: F)
     where
         F: FnMut(usize) -> bool,
@@ -109,7 +117,7 @@
         content.faults.clear();
     }
 
-    /// Returns a disk of its own that holds what this one would after a crash at this moment.
+    /// Returns an independent disk with the content that this one would have after a crash now.
     pub fn after_crash(&self, kept: usize) -> Self {
         let content = self.content().clone();
         let disk = Self { content: Arc::new(Mutex::new(content)) };
@@ -117,12 +125,12 @@
         disk
     }
 
-    /// Loses everything, as when the disk is replaced.
+    /// Erases all files and names, as when the disk is replaced.
     pub fn erase(&self) {
         *self.content() = Content::default();
     }
 
-    /// Flips a bit of a stored file.
+    /// Flips the lowest bit of the byte at `offset` of a file.
     pub fn flip_bit(&self, name: &str, offset: usize) {
         let mut content = self.content();
         if let Some(byte) = content.file(name).and_then(|f| f.bytes.get_mut(offset)) {
@@ -130,7 +138,7 @@
         }
     }
 
-    /// Overwrites a file, durably.
+    /// Replaces the content of an existing file and makes it durable.
     pub fn overwrite(&self, name: &str, bytes: &[u8]) {
         let mut content = self.content();
         if let Some(file) = content.file(name) {
@@ -167,15 +175,16 @@
         self.unsynced_names.push(change);
     }
 
-    fn fails_folder_sync(&mut self) -> bool {
+    /// Removes a fault that applies to a sync of the folder, and returns whether there was one.
+    fn take_folder_sync_fault(&mut self) -> bool {
         let is_rename = |change: &NameChange| matches!(change, NameChange::Rename { .. });
-        let has_renamed = self.unsynced_names.iter().any(is_rename);
-        let concerns = |fault: &DiskFault| match fault {
+        let has_unsynced_rename = self.unsynced_names.iter().any(is_rename);
+        let applies = |fault: &DiskFault| match fault {
             DiskFault::SyncFails => true,
-            DiskFault::FolderSyncFailsAfterRename => has_renamed,
+            DiskFault::FolderSyncFailsAfterRename => has_unsynced_rename,
             DiskFault::DiskFull { .. } | DiskFault::TruncateFails => false,
         };
-        self.take_fault(concerns).is_some()
+        self.take_fault(applies).is_some()
     }
 
     fn file(&mut self, name: &str) -> Option<&mut FileContent> {
@@ -183,15 +192,15 @@
         self.files.get_mut(index)
     }
 
-    fn existing(&mut self, name: &str) -> io::Result<&mut FileContent> {
+    fn existing_file(&mut self, name: &str) -> io::Result<&mut FileContent> {
         self.file(name).ok_or_else(|| ErrorKind::NotFound.into())
     }
 
-    fn take_fault<F>(&mut self, concerns: F) -> Option<DiskFault>
+    fn take_fault<F>(&mut self, applies: F) -> Option<DiskFault>
     where
         F: Fn(&DiskFault) -> bool,
     {
-        let index = self.faults.iter().position(concerns)?;
+        let index = self.faults.iter().position(applies)?;
         Some(self.faults.remove(index))
     }
 }
@@ -202,7 +211,7 @@
     }
 
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
-        Ok(self.content().existing(name)?.bytes.clone())
+        Ok(self.content().existing_file(name)?.bytes.clone())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -218,7 +227,7 @@
             _ if content.full && !bytes.is_empty() => 0,
             _ => usize::MAX,
         };
-        let file = content.existing(name)?;
+        let file = content.existing_file(name)?;
         file.bytes.extend(bytes.iter().take(stored));
         if stored < bytes.len() { Err(ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
@@ -226,23 +235,23 @@
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let mut content = self.content();
         if content.take_fault(|fault| *fault == DiskFault::SyncFails).is_some() {
-            let file = content.existing(name)?;
+            let file = content.existing_file(name)?;
             let start = file.dropped.as_ref().map_or(file.durable.len(), |d| d.start);
             file.dropped = Some(start.min(file.bytes.len())..file.bytes.len());
             return Err(io::Error::other("sync failed"));
         }
-        content.existing(name)?.sync();
+        content.existing_file(name)?.sync();
         Ok(())
     }
 
     fn truncate(&mut self, name: &str, len: u64) -> io::Result<()> {
         let mut content = self.content();
         if content.take_fault(|fault| *fault == DiskFault::TruncateFails).is_some() {
-            return Err(io::Error::other("cut failed"));
+            return Err(io::Error::other("truncate failed"));
         }
-        let (file, len) = (content.existing(name)?, len as usize);
+        let (file, len) = (content.existing_file(name)?, len as usize);
         file.bytes.truncate(len);
-        // What is written there later is written for the first time, and its sync is what it says.
+        // Bytes written there later are new, so a successful sync makes them durable.
         let left = file.dropped.take().map(|d| d.start.min(len)..d.end.min(len));
         file.dropped = left.filter(|dropped| !dropped.is_empty());
         Ok(())
@@ -257,14 +266,14 @@
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut content = self.content();
-        content.existing(name)?;
+        content.existing_file(name)?;
         content.change_names(NameChange::Remove { name: name.to_owned() });
         Ok(())
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
         let mut content = self.content();
-        if content.fails_folder_sync() {
+        if content.take_folder_sync_fault() {
             return Err(io::Error::other("sync failed"));
         }
         content.durable_names = content.names.clone();
--- a/state/store/src/frame.rs
+++ b/state/store/src/frame.rs
@@ -1,28 +1,30 @@
-//! Checksummed frames: one for each append, so that an append is there as a whole or not at all.
+//! Checksummed frames. Each append writes one frame, so that a restart reads either all records of
+//! an append or none.
 
-/// Starts each frame. The bytes can't occur in UTF-8 text, so payloads never look like frames.
+/// The first bytes of each frame. They can't occur in UTF-8 text, so no payload is mistaken for a
+/// frame.
 const MAGIC: [u8; 2] = [0xB5, 0xF1];
 
-/// Bytes before the payload: magic, length, checksum.
-const HEADER: usize = 10;
+/// Bytes before the payload: 2 of magic, 4 of length, 4 of checksum.
+const HEADER_BYTES: usize = 10;
 
-/// What stands at a position of a file.
+/// The result of reading a frame at an offset of a file.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FrameRead<'a> {
-    /// The end of the file.
+    /// The offset is the end of the file.
     End,
-    /// A whole frame.
+    /// A complete frame with a matching checksum.
     Frame {
-        /// Its payload.
+        /// The payload; [`decode_records`] splits it into records.
         payload: &'a [u8],
-        /// Where the next one starts.
+        /// Offset in bytes at which the next frame starts.
         next: usize,
     },
-    /// Something else.
+    /// The bytes are not a valid frame, for the given reason.
     Invalid(&'static str),
 }
 
-/// Adds a frame with these records to a buffer.
+/// Appends one frame that holds all `records` to a buffer.
 pub fn append_frame<R>(buf: &mut Vec<u8>, records: &[R])
 where
     R: AsRef<[u8]>,
@@ -40,37 +42,37 @@
     buf.extend_from_slice(&payload);
 }
 
-/// Reads what stands at a position.
+/// Reads the frame that starts at an offset in bytes.
 pub fn read_at(bytes: &[u8], start: usize) -> FrameRead<'_> {
     let rest = &bytes[start..];
     if rest.is_empty() {
         return FrameRead::End;
     }
-    if rest.len() < HEADER {
-        return FrameRead::Invalid("a cut-off header");
+    if rest.len() < HEADER_BYTES {
+        return FrameRead::Invalid("truncated frame header");
     }
     if rest[..2] != MAGIC {
-        return FrameRead::Invalid("not the start of a record");
+        return FrameRead::Invalid("no frame starts here");
     }
     let len_bytes = [rest[2], rest[3], rest[4], rest[5]];
     let len = u32::from_le_bytes(len_bytes) as usize;
     let sum = u32::from_le_bytes([rest[6], rest[7], rest[8], rest[9]]);
-    let Some(payload) = rest[HEADER..].get(..len) else {
-        return FrameRead::Invalid("a record longer than the file");
+    let Some(payload) = rest[HEADER_BYTES..].get(..len) else {
+        return FrameRead::Invalid("frame longer than the file");
     };
     if checksum(&len_bytes, payload) != sum {
-        return FrameRead::Invalid("wrong checksum");
+        return FrameRead::Invalid("checksum mismatch");
     }
-    FrameRead::Frame { payload, next: start + HEADER + len }
+    FrameRead::Frame { payload, next: start + HEADER_BYTES + len }
 }
 
-/// Returns whether a whole frame starts anywhere from a position on.
+/// Returns whether a complete frame starts at or after an offset in bytes.
 pub fn has_frame_from(bytes: &[u8], start: usize) -> bool {
-    let starts = (start..bytes.len()).filter(|&at| bytes[at..].starts_with(&MAGIC));
+    let starts = (start..bytes.len()).filter(|&offset| bytes[offset..].starts_with(&MAGIC));
     starts.into_iter().any(|start| matches!(read_at(bytes, start), FrameRead::Frame { .. }))
 }
 
-/// Splits a payload into its records; none if their lengths don't add up.
+/// Splits a payload into its records. Returns `None` if a record's length exceeds the payload.
 pub fn decode_records(mut payload: &[u8]) -> Option<Vec<Vec<u8>>> {
     let mut records = Vec::new();
     while !payload.is_empty() {
--- a/state/store/src/lib.rs
+++ b/state/store/src/lib.rs
@@ -1,4 +1,5 @@
-//! A data folder: a checksummed log and snapshots, synced before they are acknowledged.
+//! A data folder that holds a checksummed log and snapshots. Writes are synced to disk before they
+//! are acknowledged.
 
 pub mod disk;
 pub mod error;
