--- a/state/tree/src/check.rs
+++ b/state/tree/src/check.rs
@@ -1,4 +1,5 @@
-//! Checks that span several subtrees: names, references, limits, caps.
+//! Checks that span several values or subtrees: unique names and keys, references, limits, price
+//! caps and placement.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -9,24 +10,24 @@
 use crate::effective::is_at_or_above;
 use crate::object::Place;
 
-/// All documents by path, as they would be after a change.
+/// All documents of a tree by path, as they would be after a change.
 pub type Documents<'a> = BTreeMap<&'a str, &'a Document>;
 
-/// Returns every finding that concerns more than one value of the tree, of which `changed` is the
-/// document that is new.
+/// Returns every finding that concerns more than one value of the tree. `changed` is the path of
+/// the document that is new.
 pub fn check_tree(documents: &Documents<'_>, changed: &str) -> Findings {
     let mut findings = Findings::new();
     let is_new = |(path, _): &(&&str, &&Document)| **path == changed;
-    // The new document comes last, so that it is the one to blame for what stands twice.
+    // The new document comes last, so that findings for duplicates point to it.
     let (new, old): (Vec<_>, Vec<_>) = documents.iter().partition(is_new);
-    let in_turn: Vec<(&str, &Document)> =
+    let ordered: Vec<(&str, &Document)> =
         old.into_iter().chain(new).map(|(p, d)| (*p, *d)).collect();
-    check_service_names(&in_turn, &mut findings);
-    check_keys(&in_turn, &mut findings);
-    check_route_places(&in_turn, &mut findings);
+    check_service_names(&ordered, &mut findings);
+    check_keys(&ordered, &mut findings);
+    check_route_addresses(&ordered, &mut findings);
     for (path, document) in documents {
-        check_references(documents, path, document, &mut findings);
-        check_splits(documents, path, document, &mut findings);
+        check_account_services(documents, path, document, &mut findings);
+        check_route_services(documents, path, document, &mut findings);
         check_limit(documents, path, document, &mut findings);
         check_price_cap(documents, path, document, &mut findings);
         check_placement(documents, path, document, &mut findings);
@@ -34,7 +35,7 @@
     findings
 }
 
-/// Callers ask for a service by its bare name, so two of one name could not be told apart.
+/// Service names must be unique in the tree, because callers select a service by its name alone.
 fn check_service_names(documents: &[(&str, &Document)], findings: &mut Findings) {
     let mut first: Map<&Name, &str> = Map::default();
     for (path, document) in documents {
@@ -48,7 +49,8 @@
     }
 }
 
-/// A key names one client account; a second one would be charged and served by chance.
+/// A key must belong to one client account. Otherwise it is arbitrary which account a call is served
+/// and charged as.
 fn check_keys(documents: &[(&str, &Document)], findings: &mut Findings) {
     let mut first: Map<&KeyHash, (&str, &Name)> = Map::default();
     for (path, document) in documents {
@@ -68,8 +70,8 @@
     }
 }
 
-/// Two routes of one host and path could not be told apart.
-fn check_route_places(documents: &[(&str, &Document)], findings: &mut Findings) {
+/// A host and path must belong to one route, because a call has nothing else to select a route by.
+fn check_route_addresses(documents: &[(&str, &Document)], findings: &mut Findings) {
     let mut first: Map<(&Name, &Name), (&str, &Name)> = Map::default();
     let text = |path, name| Place::top(path).field("routes").field(name).text();
     for (path, document) in documents {
@@ -82,14 +84,14 @@
     }
 }
 
-/// Returns whether a service stands in a subtree or above it.
+/// Returns whether a service is defined in the subtree at `path` or above it.
 fn is_reachable(documents: &Documents<'_>, path: &str, service: &Name) -> bool {
-    let mut above = documents.iter().filter(|(upper, _)| is_at_or_above(upper, path));
-    above.any(|(_, document)| document.services.contains_key(service))
+    let mut at_or_above = documents.iter().filter(|(upper, _)| is_at_or_above(upper, path));
+    at_or_above.any(|(_, document)| document.services.contains_key(service))
 }
 
-/// A route leads to services of its own subtree and of those above.
-fn check_splits(
+/// A route may send calls only to services of its own subtree and of those above.
+fn check_route_services(
     documents: &Documents<'_>,
     path: &str,
     document: &Document,
@@ -106,12 +108,13 @@
     }
 }
 
+/// Returns the reason of the finding for a service that the subtree may not refer to.
 fn unreachable_service(service: &Name) -> String {
     format!("{service:?} is no service of this subtree or one above")
 }
 
-/// An account may use services of its own subtree and of those above.
-fn check_references(
+/// An account may list only services of its own subtree and of those above.
+fn check_account_services(
     documents: &Documents<'_>,
     path: &str,
     document: &Document,
@@ -132,7 +135,8 @@
     }
 }
 
-/// A limit covers what is promised below it; else accounts within their limits would be refused.
+/// A limit must be at least the sum of the limits below it. Otherwise calls of accounts within
+/// their own limits would be rejected.
 fn check_limit(
     documents: &Documents<'_>,
     path: &str,
@@ -142,35 +146,34 @@
     let Some(limit) = document.limit else {
         return;
     };
-    let promised = promised_below(documents, path);
+    let allocated = limits_below(documents, path);
     let top = Place::top(path);
     let place = top.field("limit");
     let parts = [
-        ("requests_per_s", limit.requests_per_s, promised.requests_per_s),
-        ("tokens_per_s", limit.tokens_per_s, promised.tokens_per_s),
+        ("requests_per_s", limit.requests_per_s, allocated.requests_per_s),
+        ("tokens_per_s", limit.tokens_per_s, allocated.tokens_per_s),
     ];
-    for (name, limit, promised) in parts {
-        if let (Some(limit), Some(promised)) = (limit, promised)
-            && limit < promised
+    for (name, limit, allocated) in parts {
+        if let (Some(limit), Some(allocated)) = (limit, allocated)
+            && limit < allocated
         {
-            let reason = format!("{limit} is below the sum of the limits under it, {promised}");
+            let reason = format!("{limit} is below the sum of the limits under it, {allocated}");
             findings.add(place.field(name).text(), reason);
         }
     }
 }
 
-/// Sums the limits of a subtree's accounts and of the subtrees next below; one without a limit of
-/// its own counts with what it promises.
-fn promised_below(documents: &Documents<'_>, path: &str) -> Limit {
+/// Returns the sum of the limits of a subtree's accounts and of its child subtrees. A child without
+/// a limit of its own counts with the sum of the limits below it.
+fn limits_below(documents: &Documents<'_>, path: &str) -> Limit {
     let mut sum = Limit::default();
     let accounts = documents.get(path).into_iter().flat_map(|document| document.accounts.values());
     for limit in accounts.filter_map(|account| account.limit) {
         add(&mut sum, limit);
     }
-    for (lower, document) in
-        documents.iter().filter(|(lower, _)| is_next_below(documents, path, lower))
+    for (lower, document) in documents.iter().filter(|(lower, _)| is_child(documents, path, lower))
     {
-        let below = promised_below(documents, lower);
+        let below = limits_below(documents, lower);
         let own = document.limit.unwrap_or_default();
         add(
             &mut sum,
@@ -183,11 +186,13 @@
     sum
 }
 
-fn is_next_below(documents: &Documents<'_>, upper: &str, lower: &str) -> bool {
+/// Returns whether `upper` is the nearest existing subtree above `lower`.
+fn is_child(documents: &Documents<'_>, upper: &str, lower: &str) -> bool {
     parent(documents, lower).is_some_and(|(path, _)| path == upper)
 }
 
-/// Returns the nearest subtree above that exists.
+/// Returns the nearest existing subtree above `path`. A path may have no subtree at its parent
+/// path.
 fn parent<'a>(documents: &Documents<'a>, path: &str) -> Option<(&'a str, &'a Document)> {
     let before = (Bound::Unbounded, Bound::Excluded(path));
     let above = documents.range::<str, _>(before).rev();
@@ -203,14 +208,15 @@
     sum.tokens_per_s = plus(sum.tokens_per_s, more.tokens_per_s);
 }
 
-/// A team may narrow what it was given, and not widen it.
+/// A price cap must not exceed the inherited one: a team may narrow its permissions but not widen
+/// them.
 fn check_price_cap(
     documents: &Documents<'_>,
     path: &str,
     document: &Document,
     findings: &mut Findings,
 ) {
-    let inherited = nearest(documents, path, |upper| upper.price_cap);
+    let inherited = nearest_above(documents, path, |upper| upper.price_cap);
     if let (Some(cap), Some((upper, highest))) = (document.price_cap, inherited)
         && cap > highest
     {
@@ -219,7 +225,8 @@
     }
 }
 
-/// Failure domains and machine classes are those that the subtree above names, if it names any.
+/// Failure domains and machine classes must be among those of the nearest placement above, if it
+/// lists any, and reclaimable instances must not be allowed where that placement forbids them.
 fn check_placement(
     documents: &Documents<'_>,
     path: &str,
@@ -229,7 +236,8 @@
     let Some(placement) = &document.placement else {
         return;
     };
-    let Some((upper, above)) = nearest(documents, path, |upper| upper.placement.clone()) else {
+    let Some((upper, above)) = nearest_above(documents, path, |upper| upper.placement.clone())
+    else {
         return;
     };
     let top = Place::top(path);
@@ -238,9 +246,9 @@
         ("domains", &placement.domains, &above.domains),
         ("classes", &placement.classes, &above.classes),
     ];
-    for (field, own, known) in lists {
+    for (field, own, allowed) in lists {
         for (i, name) in own.iter().enumerate() {
-            if !known.is_empty() && !known.contains(name) {
+            if !allowed.is_empty() && !allowed.contains(name) {
                 let reason = format!("{name:?} is not among those of {}", Place::top(upper).text());
                 findings.add(place.field(field).element(i).text(), reason);
             }
@@ -252,18 +260,19 @@
     }
 }
 
-/// Returns the nearest value that a subtree above `path` sets, and where.
-fn nearest<'a, T>(
+/// Returns the value of the nearest subtree above `path` that sets one, with the path of that
+/// subtree.
+fn nearest_above<'a, T>(
     documents: &Documents<'a>,
     path: &str,
     get: impl Fn(&Document) -> Option<T>,
 ) -> Option<(&'a str, T)> {
-    let mut at = parent(documents, path);
-    while let Some((upper, document)) = at {
+    let mut next = parent(documents, path);
+    while let Some((upper, document)) = next {
         if let Some(value) = get(document) {
             return Some((upper, value));
         }
-        at = parent(documents, upper);
+        next = parent(documents, upper);
     }
     None
 }
--- a/state/tree/src/effective.rs
+++ b/state/tree/src/effective.rs
@@ -1,4 +1,4 @@
-//! The tree as entry instances use it: inheritance worked out, looked up by name.
+//! The tree as entry instances use it: with inheritance resolved and indexed by service and key.
 
 use std::sync::Arc;
 
@@ -7,55 +7,55 @@
 use crate::document::{Account, KeyHash, LatencyTarget, Limit, Placement, Service};
 use crate::tree::Tree;
 
-/// Settings in force at one revision.
+/// The settings in effect at one revision of the tree.
 #[derive(Debug, Default, Clone)]
 pub struct EffectiveSettings {
-    /// The revision.
+    /// The revision of the tree.
     pub revision: u64,
-    /// Models and services by name.
+    /// Services of all subtrees by name, which is unique in the tree.
     pub services: Map<Name, Arc<EffectiveService>>,
-    /// Accounts by the hash of each of their keys.
+    /// Accounts by the hash of a key; one with several keys has as many entries.
     pub accounts: Map<KeyHash, Arc<EffectiveAccount>>,
 }
 
-/// A service with what it inherits.
+/// A service with the settings that it inherits.
 #[derive(Debug, Clone)]
 pub struct EffectiveService {
-    /// Its name.
+    /// The name that callers use.
     pub name: Name,
-    /// The path of its subtree.
+    /// The path of the subtree that defines it.
     pub path: Name,
-    /// What it is.
+    /// The service as written in its document.
     pub kind: Service,
-    /// Its latency target.
+    /// Its own latency target, or the inherited one.
     pub latency: Option<LatencyTarget>,
-    /// The highest price of its instances.
+    /// Inherited maximum price of its instances, in thousandths of a currency unit per hour.
     pub price_cap: Option<u64>,
-    /// Where its endpoints may run.
+    /// Inherited constraints on where its endpoints may run.
     pub placement: Placement,
-    /// The deadline of requests that name none.
+    /// Inherited deadline of requests that don't set one.
     pub deadline: Option<Millis>,
 }
 
-/// A client account with what it inherits.
+/// A client account with the settings that it inherits.
 #[derive(Debug, Clone)]
 pub struct EffectiveAccount {
-    /// Its full name: path and name joined by `/`.
+    /// Its full name: path of the subtree and name, joined by `/`.
     pub name: Name,
-    /// The path of its subtree.
+    /// The path of the subtree that defines it.
     pub path: Name,
-    /// The account as written.
+    /// The account as written in its document.
     pub account: Account,
-    /// Its limit.
+    /// Its own limit, completed by the inherited one.
     pub limit: Limit,
 }
 
 impl EffectiveSettings {
-    /// Works out the settings in force.
+    /// Resolves the inheritance of all services and accounts of a tree.
     pub fn of(tree: &Tree) -> Self {
         let mut effective = Self { revision: tree.revision, ..Self::default() };
         for (path, subtree) in &tree.subtrees {
-            let inherited = Inherited::at(tree, path);
+            let inherited = InheritedSettings::at(tree, path);
             for (name, service) in &subtree.document.services {
                 let own_latency = match service {
                     Service::Model { latency, .. } => *latency,
@@ -73,10 +73,10 @@
                 effective.services.insert(name.clone(), Arc::new(service));
             }
             for (name, account) in &subtree.document.accounts {
-                let full =
+                let full_name =
                     if path.is_empty() { name.clone() } else { format!("{path}/{name}").into() };
                 let account = Arc::new(EffectiveAccount {
-                    name: full,
+                    name: full_name,
                     path: path.clone(),
                     account: account.clone(),
                     limit: inherited.limit_of(account),
@@ -89,23 +89,25 @@
         effective
     }
 
-    /// Returns whether an account may use a service: one of its own subtree, or of one above it.
+    /// Returns whether an account may use a service. The service must be defined in the account's
+    /// subtree or above it, and be in the account's list if that is not empty.
     pub fn may_use(account: &EffectiveAccount, service: &EffectiveService) -> bool {
-        let listed =
+        let is_listed =
             account.account.services.is_empty() || account.account.services.contains(&service.name);
-        listed && is_at_or_above(&service.path, &account.path)
+        is_listed && is_at_or_above(&service.path, &account.path)
     }
 }
 
-/// Returns whether `upper` is `lower` or one of the paths above it.
+/// Returns whether the path `upper` is equal to `lower` or an ancestor of it.
 pub fn is_at_or_above(upper: &str, lower: &str) -> bool {
     upper.is_empty()
         || lower.strip_prefix(upper).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-/// What a subtree gets from itself and those above it, the nearest first.
+/// For each setting, the value of the nearest subtree that sets it, starting with the subtree
+/// itself.
 #[derive(Default)]
-struct Inherited {
+struct InheritedSettings {
     latency: Option<LatencyTarget>,
     price_cap: Option<u64>,
     placement: Placement,
@@ -113,8 +115,8 @@
     limit: Limit,
 }
 
-impl Inherited {
-    /// An account without a limit of its own is held to that of its subtree.
+impl InheritedSettings {
+    /// Returns the limit of an account. Where it sets no limit, that of its subtree applies.
     fn limit_of(&self, account: &Account) -> Limit {
         let own = account.limit.unwrap_or_default();
         Limit {
@@ -126,8 +128,9 @@
     fn at(tree: &Tree, path: &str) -> Self {
         let mut inherited = Self::default();
         let mut has_placement = false;
-        let above = tree.subtrees.iter().rev().filter(|(p, _)| is_at_or_above(p, path));
-        for (_, subtree) in above {
+        // Paths are sorted, so a reversed iteration yields the nearest subtree first.
+        let at_or_above = tree.subtrees.iter().rev().filter(|(p, _)| is_at_or_above(p, path));
+        for (_, subtree) in at_or_above {
             let document = &subtree.document;
             inherited.latency = inherited.latency.or(document.latency);
             inherited.price_cap = inherited.price_cap.or(document.price_cap);
--- a/state/tree/src/json.rs
+++ b/state/tree/src/json.rs
@@ -1,7 +1,7 @@
-//! Reads JSON text and notes names that stand twice in one object.
+//! Parses JSON text and reports duplicate names within one object.
 //!
-//! JSON libraries keep the last of two equal names. A settings file with an account written twice
-//! would lose one of them silently, and its callers would be refused.
+//! JSON libraries keep the last of two equal names. A settings file that contains an account twice
+//! would silently lose one of them, and its callers would be rejected.
 
 use std::cell::RefCell;
 use std::fmt::{self, Formatter};
@@ -13,19 +13,19 @@
 
 use crate::object::Place;
 
-/// Reads the JSON text of a subtree's document.
+/// Parses the JSON text of a subtree's document.
 ///
 /// # Errors
 ///
-/// Returns a finding for each name that stands twice, or for text that is not JSON.
+/// Returns a finding for each duplicate name, and one if the text is not valid JSON.
 pub fn read_json(path: &str, text: &[u8]) -> Result<Value, Findings> {
     let place = Place::top(path);
     let findings = RefCell::new(Findings::new());
     let reader = Reader { place, findings: &findings };
     let mut source = serde_json::Deserializer::from_slice(text);
-    let read = reader.deserialize(&mut source).and_then(|value| source.end().map(|()| value));
+    let result = reader.deserialize(&mut source).and_then(|value| source.end().map(|()| value));
     let mut findings = findings.into_inner();
-    match read {
+    match result {
         Ok(value) => findings.into_result(value),
         Err(err) => {
             findings.add(place.text(), format!("not JSON: {err}"));
@@ -34,7 +34,7 @@
     }
 }
 
-/// Reads one value at its place.
+/// Parses one value and collects findings with its place.
 struct Reader<'a> {
     place: Place<'a>,
     findings: &'a RefCell<Findings>,
--- a/state/tree/src/lib.rs
+++ b/state/tree/src/lib.rs
@@ -1,4 +1,5 @@
-//! The settings tree: one subtree for each team, typed, inherited downwards, with revisions.
+//! The settings tree: a typed document for each subtree, validated on each change, inherited by the
+//! subtrees below and versioned by revisions.
 
 pub mod check;
 pub mod document;
--- a/state/tree/src/object.rs
+++ b/state/tree/src/object.rs
@@ -1,79 +1,81 @@
-//! Reads the fields of a JSON object and notes every fault with its place.
+//! Parses the fields of a JSON object and adds a finding with its place for each fault.
 
 use serde_json::{Map, Value};
 use sill_base::{Findings, Millis, Name};
 
-/// Where something stands: the subtree's path and the fields down to it. It refers to the place above, as
-/// few places are ever written out.
+/// The location of a value: the path of the subtree and the fields and indexes that lead to it. It
+/// borrows the enclosing place instead of building a text, because only the places of findings are
+/// printed.
 #[derive(Debug, Clone, Copy)]
 pub enum Place<'a> {
-    /// The top of the document of the subtree with this path.
+    /// The whole document of the subtree with this path.
     Top(&'a str),
-    /// A field of what stands above.
+    /// A field of the object at the enclosing place.
     Field(&'a Place<'a>, &'a str),
-    /// An element of what stands above.
+    /// An element, by index, of the list at the enclosing place.
     Element(&'a Place<'a>, usize),
 }
 
-/// An object whose fields are read one after another; those left over are unknown.
+/// A JSON object whose fields are parsed one by one. Fields that were never requested are unknown.
 #[derive(Debug)]
 pub struct Object<'a> {
     fields: &'a Map<String, Value>,
     place: Place<'a>,
-    known: Vec<&'static str>,
+    /// Names of the fields that were requested so far.
+    requested: Vec<&'static str>,
 }
 
 impl<'a> Place<'a> {
-    /// The top of a subtree's document.
+    /// Returns the place of a subtree's whole document; `/` stands for the root.
     pub fn top(path: &'a str) -> Self {
         Self::Top(if path.is_empty() { "/" } else { path })
     }
 
-    /// A field below.
+    /// Returns the place of a field of the object at this place.
     pub fn field(&'a self, name: &'a str) -> Self {
         Self::Field(self, name)
     }
 
-    /// An element below.
+    /// Returns the place of an element of the list at this place.
     pub fn element(&'a self, index: usize) -> Self {
         Self::Element(self, index)
     }
 
-    /// Returns the text for a finding.
+    /// Returns the place as findings print it, such as `team/a: routes.r.split[0]`.
     pub fn text(&self) -> String {
         match self {
             Self::Top(path) => (*path).to_owned(),
             Self::Field(Self::Top(path), name) => format!("{path}: {name}"),
-            Self::Field(above, name) => format!("{}.{name}", above.text()),
-            Self::Element(above, index) => format!("{}[{index}]", above.text()),
+            Self::Field(parent, name) => format!("{}.{name}", parent.text()),
+            Self::Element(parent, index) => format!("{}[{index}]", parent.text()),
         }
     }
 }
 
 impl<'a> Object<'a> {
-    /// Opens a value that has to be an object.
+    /// Starts to parse a value that must be an object; adds a finding if it is not.
     pub fn open(value: &'a Value, place: Place<'a>, findings: &mut Findings) -> Option<Self> {
         match value {
-            Value::Object(fields) => Some(Self { fields, place, known: Vec::new() }),
+            Value::Object(fields) => Some(Self { fields, place, requested: Vec::new() }),
             other => {
-                expected(&place, "an object", other, findings);
+                add_type_mismatch(&place, "an object", other, findings);
                 None
             }
         }
     }
 
-    /// Returns the place of a field.
+    /// Returns the place of a field of this object.
     pub fn place<'b>(&'b self, name: &'b str) -> Place<'b> {
         self.place.field(name)
     }
 
-    /// Returns a field; `null` counts as left out.
+    /// Returns the value of a field, or `None` if it is missing or `null`.
     pub fn get(&mut self, name: &'static str) -> Option<&'a Value> {
-        self.known.push(name);
+        self.requested.push(name);
         self.fields.get(name).filter(|value| !value.is_null())
     }
 
-    /// Reads a field with a reader of its value.
+    /// Parses an optional field with `reader`.
     pub fn read<T, F>(
         &mut self,
         name: &'static str,
@@ -87,7 +89,7 @@
         reader(value, &self.place(name), findings)
     }
 
-    /// Reads a field that must be there.
+    /// Parses a required field with `reader`; adds a finding if it is missing.
     pub fn required<T, F>(
         &mut self,
         name: &'static str,
@@ -104,7 +106,8 @@
         self.read(name, findings, reader)
     }
 
-    /// Reads a list field, empty where left out; every bad element is noted.
+    /// Parses each element of an optional list with `reader`. A missing list is empty, and elements
+    /// that can't be parsed are left out.
     pub fn list<T, F>(
         &mut self,
         name: &'static str,
@@ -114,13 +117,13 @@
     where
         F: FnMut(&'a Value, &Place<'_>, &mut Findings) -> Option<T>,
     {
-        let above = self.place;
-        let place = above.field(name);
+        let parent = self.place;
+        let place = parent.field(name);
         let elements = match self.get(name) {
             None => return Vec::new(),
             Some(Value::Array(elements)) => elements,
             Some(other) => {
-                expected(&place, "a list", other, findings);
+                add_type_mismatch(&place, "a list", other, findings);
                 return Vec::new();
             }
         };
@@ -128,7 +131,8 @@
         elements.iter().enumerate().filter_map(read).collect()
     }
 
-    /// Reads a field that holds one object for each name.
+    /// Parses each entry of an optional object whose keys are names. Adds a finding for each key
+    /// that is not a valid name.
     pub fn entries_by_name<T, F>(
         &mut self,
         name: &'static str,
@@ -138,52 +142,52 @@
     where
         F: FnMut(&'a Value, Place<'_>, &mut Findings) -> Option<T>,
     {
-        let above = self.place;
-        let place = above.field(name);
+        let parent = self.place;
+        let place = parent.field(name);
         let fields = match self.get(name) {
             None => return Vec::new(),
             Some(Value::Object(fields)) => fields,
             Some(other) => {
-                expected(&place, "an object with a field for each name", other, findings);
+                add_type_mismatch(&place, "an object with a field for each name", other, findings);
                 return Vec::new();
             }
         };
-        let mut read = Vec::new();
+        let mut entries = Vec::new();
         for (key, value) in fields {
             if !Name::is_well_formed(key) {
                 findings.add(place.field(key).text(), INVALID_NAME);
             }
             if let Some(value) = reader(value, place.field(key), findings) {
-                read.push((Name::from(key.as_str()), value));
+                entries.push((Name::from(key.as_str()), value));
             }
         }
-        read
+        entries
     }
 
-    /// Notes every field that was not asked for.
+    /// Adds a finding for each field that was not requested before.
     pub fn reject_unknown_fields(self, findings: &mut Findings) {
-        for name in self.fields.keys().filter(|name| !self.known.contains(&name.as_str())) {
-            let known = self.known.join(", ");
+        for name in self.fields.keys().filter(|name| !self.requested.contains(&name.as_str())) {
+            let known = self.requested.join(", ");
             findings
                 .add(self.place(name).text(), format!("unknown field; expected one of {known}"));
         }
     }
 }
 
-/// The reason for a name of the wrong shape.
+/// Reason of the finding for an invalid name.
 pub const INVALID_NAME: &str =
     "not a well-formed name; expected 1 to 64 of letters, digits, `-_.`, the first no sign";
 
-/// Reads any text.
+/// Parses a string.
 pub fn text(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<String> {
     let text = value.as_str().map(str::to_owned);
     if text.is_none() {
-        expected(place, "a text", value, findings);
+        add_type_mismatch(place, "a text", value, findings);
     }
     text
 }
 
-/// Reads a well-formed name.
+/// Parses a name; adds a finding if it is not well-formed.
 pub fn name(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<Name> {
     let text = text(value, place, findings)?;
     if !Name::is_well_formed(&text) {
@@ -192,36 +196,36 @@
     Some(text.into())
 }
 
-/// Reads true or false.
+/// Parses a boolean.
 pub fn boolean(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<bool> {
     if value.as_bool().is_none() {
-        expected(place, "true or false", value, findings);
+        add_type_mismatch(place, "true or false", value, findings);
     }
     value.as_bool()
 }
 
-/// Reads a whole number.
+/// Parses an integer from 0 to `u64::MAX`.
 pub fn integer(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<u64> {
     if value.as_u64().is_none() {
-        expected(place, "a whole number", value, findings);
+        add_type_mismatch(place, "a whole number", value, findings);
     }
     value.as_u64()
 }
 
-/// Reads a whole number that fits 32 bits.
+/// Parses an integer from 0 to `u32::MAX`.
 pub fn integer_u32(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<u32> {
     let number = integer(value, place, findings)?;
-    let fitting = u32::try_from(number).ok();
-    if fitting.is_none() {
+    let converted = u32::try_from(number).ok();
+    if converted.is_none() {
         findings.add(place.text(), format!("{number} is more than {}", u32::MAX));
     }
-    fitting
+    converted
 }
 
-/// Reads a span of time above zero.
+/// Parses a duration in milliseconds, which must be above 0.
 pub fn millis(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<Millis> {
     let Some(number) = value.as_u64() else {
-        expected(place, "a whole number of milliseconds", value, findings);
+        add_type_mismatch(place, "a whole number of milliseconds", value, findings);
         return None;
     };
     if number == 0 {
@@ -230,10 +234,10 @@
     Some(Millis(number))
 }
 
-/// Reads a rate above zero.
+/// Parses a rate per second, which must be above 0.
 pub fn rate(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<f64> {
     let Some(number) = value.as_f64() else {
-        expected(place, "a number a second", value, findings);
+        add_type_mismatch(place, "a number a second", value, findings);
         return None;
     };
     if number <= 0.0 {
@@ -242,13 +246,13 @@
     Some(number)
 }
 
-/// Notes a value of the wrong type.
-fn expected(place: &Place<'_>, what: &str, found: &Value, findings: &mut Findings) {
+/// Adds a finding for a value of the wrong type.
+fn add_type_mismatch(place: &Place<'_>, what: &str, found: &Value, findings: &mut Findings) {
     let found = match found {
         Value::Null => "null".to_owned(),
         Value::Bool(found) => found.to_string(),
         Value::Number(found) => found.to_string(),
-        // Texts may be keys that were put where a hash belongs.
+        // A string may be a secret key in place of its hash, so findings don't repeat it.
         Value::String(_) => "a text".to_owned(),
         Value::Array(_) => "a list".to_owned(),
         Value::Object(_) => "an object".to_owned(),
--- a/state/tree/src/owner.rs
+++ b/state/tree/src/owner.rs
@@ -1,4 +1,4 @@
-//! Who may change a subtree, and who may see its secrets.
+//! Authorization of operators: who may change a subtree and who may see its hashes.
 
 use sill_base::Findings;
 
@@ -7,34 +7,35 @@
 use crate::object::Place;
 use crate::tree::Tree;
 
-/// Who asks for something.
+/// The operator who sends a request, as identified by the token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Operator {
-    /// The holder of the root token.
+    /// The holder of the root token, who owns all subtrees.
     Root,
     /// The holder of a token with this hash.
     TokenHolder(KeyHash),
 }
 
 impl Tree {
-    /// Returns whether an operator owns the subtree or one above it. Who does may change it and
-    /// see its secrets.
+    /// Returns whether an operator owns the subtree at `path` or one above it, and so may change it
+    /// and see its hashes of keys and tokens.
     pub fn is_owned_by(&self, operator: &Operator, path: &str) -> bool {
-        self.owns(operator, |owned| is_at_or_above(owned, path))
+        self.owns_any(operator, |owned| is_at_or_above(owned, path))
     }
 
-    /// Returns whether an operator owns a subtree above the path. Who does may name its owner.
+    /// Returns whether an operator owns a subtree above `path`, and so may change the owner of the
+    /// subtree at `path`.
     pub fn may_change_owner(&self, operator: &Operator, path: &str) -> bool {
-        self.owns(operator, |owned| owned != path && is_at_or_above(owned, path))
+        self.owns_any(operator, |owned| owned != path && is_at_or_above(owned, path))
     }
 
-    /// Checks that an operator may put a document in place.
+    /// Checks that an operator may store `document` at `path`.
     ///
     /// # Errors
     ///
-    /// Returns a finding where the subtree is another's, or where `owner` differs and the operator
-    /// doesn't own a subtree above: a team that could name its own owner could lock out the one
-    /// who granted it the subtree.
+    /// Returns a finding if the operator doesn't own the subtree, or if `owner` changes and the
+    /// operator doesn't own a subtree above. A team that could change its own owner could lock out
+    /// the operator who granted it the subtree.
     pub fn check_owner(
         &self,
         operator: &Operator,
@@ -53,17 +54,18 @@
         Ok(())
     }
 
-    fn owns(&self, operator: &Operator, covers: impl Fn(&str) -> bool) -> bool {
+    fn owns_any(&self, operator: &Operator, is_covered: impl Fn(&str) -> bool) -> bool {
         match operator {
             Operator::Root => true,
             Operator::TokenHolder(hash) => self.subtrees.iter().any(|(path, subtree)| {
-                covers(path) && subtree.document.owner.as_ref() == Some(hash)
+                is_covered(path) && subtree.document.owner.as_ref() == Some(hash)
             }),
         }
     }
 }
 
-/// Returns a document without its hashes of keys and tokens, for those who don't own it.
+/// Returns a copy of a document without its hashes of keys and tokens, for operators who don't own
+/// it.
 pub fn redact(document: &Document) -> Document {
     let mut redacted = document.clone();
     redacted.owner = None;
--- a/state/tree/src/pieces.rs
+++ b/state/tree/src/pieces.rs
@@ -1,8 +1,10 @@
-//! A document cut into pieces that are named by what they hold.
+//! Content-defined splitting of a document into pieces that are identified by a hash of their
+//! content.
 //!
-//! Two revisions of a document share all pieces in which nothing changed, so a reader that has one
-//! revision fetches only the other pieces of the next. Pieces end where the names of their entries say,
-//! not after a count: an entry that is added or removed moves no border but its own piece's.
+//! Two revisions of a document share all unchanged pieces, so a reader that has one revision
+//! fetches only the changed pieces of the next. The hash of an entry's name decides whether the
+//! entry ends a piece, not a count, so adding or removing an entry changes no boundary except that
+//! of its own piece.
 
 use std::collections::BTreeMap;
 
@@ -11,31 +13,32 @@
 
 use crate::document::Document;
 
-/// One name in so many ends a piece, on average. Smaller pieces cost less when one entry changes, and
-/// more for their names.
-const ENTRIES_A_PIECE: u8 = 64;
+/// Average number of entries in a piece. With smaller pieces, a change of one entry transfers less,
+/// but the list of piece ids is longer.
+const AVERAGE_ENTRIES: u8 = 64;
 
-/// The most entries in a piece. Names can be chosen such that none ends one.
+/// Maximum number of entries in a piece. It is needed because names can be chosen so that none ends
+/// a piece.
 const MAX_ENTRIES: usize = 256;
 
-/// Hexadecimal digits of a piece's name: 128 bits of its hash.
+/// Hexadecimal digits of a piece's id: the first 128 bits of its hash.
 const ID_DIGITS: usize = 32;
 
-/// The name of a piece: a hash of its text.
+/// The id of a piece: a hash of its text.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PieceId(Name);
 
 impl PieceId {
-    /// Returns the name of the piece with this text.
+    /// Returns the id of the piece with this text.
     pub fn of(text: &str) -> Self {
         let hash = blake3::hash(text.as_bytes()).to_hex();
         Self((&hash[..ID_DIGITS]).into())
     }
 }
 
-/// Cuts a document into documents that hold parts of it; the first one holds everything but accounts and
-/// routes. The same document is cut in the same way everywhere.
+/// Splits a document into documents that hold parts of it. The first one holds everything except
+/// accounts and routes. The split is deterministic, so all instances get the same pieces.
 pub fn split(document: &Document) -> Vec<Document> {
     let Document { accounts, routes, .. } = document;
     let head = Document {
@@ -46,13 +49,16 @@
         owner: document.owner.clone(),
         ..*document
     };
-    let of_accounts = runs(accounts).map(|accounts| Document { accounts, ..Document::default() });
-    let of_routes = runs(routes).map(|routes| Document { routes, ..Document::default() });
-    std::iter::once(head).chain(of_accounts).chain(of_routes).collect()
+    let account_pieces =
+        split_entries(accounts).map(|accounts| Document { accounts, ..Document::default() });
+    let route_pieces =
+        split_entries(routes).map(|routes| Document { routes, ..Document::default() });
+    std::iter::once(head).chain(account_pieces).chain(route_pieces).collect()
 }
 
-/// Cuts entries into runs at the names that end one.
-fn runs<T>(entries: &BTreeMap<Name, T>) -> impl Iterator<Item = BTreeMap<Name, T>>
+/// Splits entries into runs, in order. A run ends after a name that ends a piece, or at
+/// [`MAX_ENTRIES`].
+fn split_entries<T>(entries: &BTreeMap<Name, T>) -> impl Iterator<Item = BTreeMap<Name, T>>
 where
     T: Clone,
 {
@@ -71,5 +77,5 @@
 }
 
 fn ends_piece(name: &Name) -> bool {
-    blake3::hash(name.as_bytes()).as_bytes()[0].is_multiple_of(ENTRIES_A_PIECE)
+    blake3::hash(name.as_bytes()).as_bytes()[0].is_multiple_of(AVERAGE_ENTRIES)
 }
--- a/state/tree/src/read.rs
+++ b/state/tree/src/read.rs
@@ -1,4 +1,5 @@
-//! Reads a settings document out of JSON and notes every fault, where serde stops at the first.
+//! Parses a settings document from JSON and reports all faults, whereas serde stops at the first
+//! one.
 
 use serde_json::Value;
 use sill_base::{Findings, Name};
@@ -9,45 +10,50 @@
 use crate::object::{self, Object, Place};
 use crate::read_route;
 
-/// Priorities, from the lowest.
+/// Names of the priorities, lowest first.
 pub const PRIORITIES: [&str; 3] = ["low", "normal", "high"];
 
-/// Methods that a call rule may name.
+/// Methods that a call rule may have.
 const METHODS: [&str; 8] = ["*", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
 
-/// Reads the document of a subtree by itself, without a look at the rest of the tree.
+/// Parses the document of a subtree without the checks that need the rest of the tree.
 ///
 /// # Errors
 ///
 /// Returns every finding with its place.
 pub fn standalone_document(path: &str, value: &Value) -> Result<Document, Findings> {
     let mut findings = Findings::new();
-    let read = document(path, value, &mut findings);
-    findings.into_result(read)
+    let document = document(path, value, &mut findings);
+    findings.into_result(document)
 }
 
-/// Reads the document of a subtree; what could not be read is left out and noted.
+/// Parses the document of a subtree. Values that can't be parsed are left out, each with a finding.
 pub fn document(path: &str, value: &Value, findings: &mut Findings) -> Document {
-    let mut read = Document::default();
+    let mut document = Document::default();
     let Some(mut fields) = Object::open(value, Place::top(path), findings) else {
-        return read;
+        return document;
     };
-    read.owner = fields.read("owner", findings, key_hash);
-    read.latency = fields.read("latency", findings, latency);
-    read.price_cap = fields.read("price_cap", findings, object::integer);
-    read.placement = fields.read("placement", findings, placement);
-    read.deadline_ms = fields.read("deadline_ms", findings, object::millis);
-    read.limit = fields.read("limit", findings, limit);
-    read.services.extend(fields.entries_by_name("services", findings, |value, place, findings| {
-        // One that can't be read still stands there, so that references to it don't dangle.
-        let unreadable = Service::Plain { non_idempotent: Vec::new(), min_endpoints: 0 };
-        Some(service(value, place, findings).unwrap_or(unreadable))
-    }));
-    read.accounts.extend(fields.entries_by_name("accounts", findings, account));
-    read.routes.extend(fields.entries_by_name("routes", findings, read_route::route));
-    read.caller_bounds = fields.read("caller_bounds", findings, read_route::caller_bounds);
+    document.owner = fields.read("owner", findings, key_hash);
+    document.latency = fields.read("latency", findings, latency);
+    document.price_cap = fields.read("price_cap", findings, object::integer);
+    document.placement = fields.read("placement", findings, placement);
+    document.deadline_ms = fields.read("deadline_ms", findings, object::millis);
+    document.limit = fields.read("limit", findings, limit);
+    document.services.extend(fields.entries_by_name(
+        "services",
+        findings,
+        |value, place, findings| {
+            // Keep the name of a service that can't be parsed, so that references to it cause no
+            // further findings.
+            let placeholder = Service::Plain { non_idempotent: Vec::new(), min_endpoints: 0 };
+            Some(service(value, place, findings).unwrap_or(placeholder))
+        },
+    ));
+    document.accounts.extend(fields.entries_by_name("accounts", findings, account));
+    document.routes.extend(fields.entries_by_name("routes", findings, read_route::route));
+    document.caller_bounds = fields.read("caller_bounds", findings, read_route::caller_bounds);
     fields.reject_unknown_fields(findings);
-    read
+    document
 }
 
 fn service(value: &Value, place: Place<'_>, findings: &mut Findings) -> Option<Service> {
@@ -56,7 +62,7 @@
     let service = match kind.as_str() {
         "model" => Service::Model {
             version: fields.read("version", findings, version).unwrap_or_default(),
-            adapters: distinct(&mut fields, "adapters", findings, object::name),
+            adapters: unique_list(&mut fields, "adapters", findings, object::name),
             min_endpoints: fields
                 .read("min_endpoints", findings, object::integer_u32)
                 .unwrap_or_default(),
@@ -82,19 +88,19 @@
 fn account(value: &Value, place: Place<'_>, findings: &mut Findings) -> Option<Account> {
     let mut fields = Object::open(value, place, findings)?;
     let account = Account {
-        keys: distinct(&mut fields, "keys", findings, key_hash),
+        keys: unique_list(&mut fields, "keys", findings, key_hash),
         limit: fields.read("limit", findings, limit),
         weight: fields.read("weight", findings, weight),
         priority: fields.read("priority", findings, priority),
         max_priority: fields.read("max_priority", findings, priority),
-        services: distinct(&mut fields, "services", findings, object::name),
+        services: unique_list(&mut fields, "services", findings, object::name),
         urgency: fields.read("urgency", findings, read_route::urgency),
         burst: fields.read("burst", findings, read_route::non_negative),
         default_tokens: fields.read("default_tokens", findings, object::integer),
     };
     let rank = |name: &Option<Name>| PRIORITIES.iter().position(|p| Some(*p) == name.as_deref());
-    if let (Some(usual), Some(highest)) = (rank(&account.priority), rank(&account.max_priority))
-        && usual > highest
+    if let (Some(default), Some(highest)) = (rank(&account.priority), rank(&account.max_priority))
+        && default > highest
     {
         findings.add(fields.place("priority").text(), "higher than max_priority");
     }
@@ -102,7 +108,7 @@
     Some(account)
 }
 
-/// The version is empty where none is wanted.
+/// Parses a version, which is empty if none is required.
 fn version(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<Name> {
     match value.as_str() {
         Some("") => Some(Name::default()),
@@ -148,8 +154,8 @@
 fn placement(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<Placement> {
     let mut fields = Object::open(value, *place, findings)?;
     let placement = Placement {
-        domains: distinct(&mut fields, "domains", findings, object::name),
-        classes: distinct(&mut fields, "classes", findings, object::name),
+        domains: unique_list(&mut fields, "domains", findings, object::name),
+        classes: unique_list(&mut fields, "classes", findings, object::name),
         reclaimable: fields.read("reclaimable", findings, object::boolean),
     };
     fields.reject_unknown_fields(findings);
@@ -181,7 +187,8 @@
     Some(text)
 }
 
-/// A key itself in place of its hash must be refused, and must not be repeated in the finding.
+/// Parses a hash. A secret key in place of its hash is rejected, and the finding must not repeat
+/// it.
 fn key_hash(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<KeyHash> {
     let text = object::text(value, place, findings)?;
     let hash = KeyHash(text.into());
@@ -192,8 +199,8 @@
     Some(hash)
 }
 
-/// Reads a list and notes what stands in it twice.
-fn distinct<'a, T, F>(
+/// Parses a list and adds a finding for each duplicate element.
+fn unique_list<'a, T, F>(
     fields: &mut Object<'a>,
     name: &'static str,
     findings: &mut Findings,
--- a/state/tree/src/read_route.rs
+++ b/state/tree/src/read_route.rs
@@ -1,4 +1,4 @@
-//! Reads routes and pools out of JSON and notes every fault.
+//! Parses routes and pools from JSON and reports all faults.
 
 use serde_json::Value;
 use sill_base::{Findings, Millis, Name};
@@ -6,10 +6,10 @@
 use crate::object::{self, Object, Place};
 use crate::route::{CallerBounds, CapacityRange, Engine, Pool, Route, RouteKind, Share};
 
-/// Attempts of a route that names none.
-const DEFAULT_ATTEMPTS: u32 = 1;
+/// Maximum number of attempts of a route that doesn't set one.
+const DEFAULT_MAX_ATTEMPTS: u32 = 1;
 
-/// Reads a route.
+/// Parses a route. Its references to services are checked with the whole tree.
 pub fn route(value: &Value, place: Place<'_>, findings: &mut Findings) -> Option<Route> {
     let mut fields = Object::open(value, place, findings)?;
     let route = Route {
@@ -23,7 +23,7 @@
         split: fields.list("split", findings, share),
         max_attempts: fields
             .read("max_attempts", findings, object::integer_u32)
-            .unwrap_or(DEFAULT_ATTEMPTS),
+            .unwrap_or(DEFAULT_MAX_ATTEMPTS),
         anonymous: fields.read("anonymous", findings, object::boolean).unwrap_or_default(),
     };
     if route.split.iter().all(|share| share.weight == 0) {
@@ -33,7 +33,7 @@
     Some(route)
 }
 
-/// Reads the fields of a pool; its `kind` was read before.
+/// Parses the fields of a pool, after the caller has parsed its `kind`.
 pub fn pool(fields: &mut Object<'_>, findings: &mut Findings) -> Pool {
     Pool {
         health_path: fields.read("health_path", findings, text),
@@ -43,7 +43,7 @@
     }
 }
 
-/// Reads the bounds on what callers send.
+/// Parses the bounds on requests and connections of callers.
 pub fn caller_bounds(
     value: &Value,
     place: &Place<'_>,
@@ -59,17 +59,17 @@
     Some(bounds)
 }
 
-/// Reads the rank of an account or a route.
+/// Parses the urgency of an account or a route.
 pub fn urgency(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<u8> {
     let number = object::integer(value, place, findings)?;
-    let fitting = u8::try_from(number).ok();
-    if fitting.is_none() {
+    let converted = u8::try_from(number).ok();
+    if converted.is_none() {
         findings.add(place.text(), format!("{number} is more than {}", u8::MAX));
     }
-    fitting
+    converted
 }
 
-/// Reads a number that is not below zero.
+/// Parses a number of at least 0.
 pub fn non_negative(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<f64> {
     let number = value.as_f64().filter(|number| *number >= 0.0);
     if number.is_none() {
@@ -95,7 +95,7 @@
     let range = CapacityRange {
         min: fields.read("min", findings, object::integer_u32).unwrap_or_default(),
         max: fields.required("max", findings, object::integer_u32).unwrap_or_default(),
-        boot_ms: fields.read("boot_ms", findings, whole_millis).unwrap_or_default(),
+        boot_ms: fields.read("boot_ms", findings, millis_or_zero).unwrap_or_default(),
         reclaimable_price: fields.read("reclaimable_price", findings, non_negative),
         prices: fields
             .entries_by_name("prices", findings, |value, place, findings| {
@@ -111,7 +111,8 @@
     Some(range)
 }
 
-fn whole_millis(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<Millis> {
+/// Parses a duration in milliseconds, which may be 0.
+fn millis_or_zero(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<Millis> {
     object::integer(value, place, findings).map(Millis)
 }
 
@@ -125,19 +126,20 @@
 
 fn kind(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<RouteKind> {
     let text = object::text(value, place, findings)?;
-    let known = RouteKind::NAMES.iter().find(|(_, name)| *name == text);
-    if known.is_none() {
+    let entry = RouteKind::NAMES.iter().find(|(_, name)| *name == text);
+    if entry.is_none() {
         let names: Vec<&str> = RouteKind::NAMES.iter().map(|(_, name)| *name).collect();
         let reason = format!("unknown kind {text:?}; expected one of {}", names.join(", "));
         findings.add(place.text(), reason);
     }
-    known.map(|(kind, _)| *kind)
+    entry.map(|(kind, _)| *kind)
 }
 
 fn text(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<Name> {
     object::text(value, place, findings).map(Name::from)
 }
 
+/// Parses the path prefix of a route.
 fn path(value: &Value, place: &Place<'_>, findings: &mut Findings) -> Option<Name> {
     let path = text(value, place, findings)?;
     if !path.starts_with('/') || !path.ends_with('/') {
--- a/state/tree/src/route.rs
+++ b/state/tree/src/route.rs
@@ -1,50 +1,51 @@
-//! Routes and pools: which calls of callers go to which endpoints, byte for byte.
+//! Routes and pools: which calls are forwarded, byte for byte, to which endpoints.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use sill_base::{Millis, Name};
 
-/// What may be repeated of a route's calls.
+/// Whether a route's calls may be repeated, and how they are answered.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// A call may run more than once.
+    /// A call may be executed more than once.
     Idempotent,
-    /// A call may run once at most.
+    /// A call may be executed at most once.
     #[default]
     NonIdempotent,
-    /// The answer is a stream of events; the call may run once at most.
+    /// The answer is a stream of events, and the call may be executed at most once.
     Stream,
-    /// The answer is a stream of events that may go on at another endpoint after any of them.
+    /// The answer is a stream of events that another endpoint can resume after any event.
     ResumableStream,
 }
 
-/// Calls of one host below one path.
+/// A route for the calls of one host below one path.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Route {
-    /// The host that callers name.
+    /// The host that callers send in the request.
     pub host: Name,
-    /// The beginning of the path; it begins and ends with a slash.
+    /// Prefix of the path; it begins and ends with a slash.
     pub path: Name,
-    /// What may be repeated.
+    /// Whether calls may be repeated, and how they are answered.
     pub kind: RouteKind,
-    /// How long a caller is kept waiting at most.
+    /// Maximum time that a caller waits.
     pub timeout_ms: Millis,
-    /// The time to the answer, or to its first event, that callers count as good.
+    /// Target for the time to the answer, or to its first event; callers count answers within it as
+    /// good.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub target_ms: Option<Millis>,
-    /// The longest pause between two events that callers count as good.
+    /// Target for the longest pause between two events; callers count streams within it as good.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub interval_ms: Option<Millis>,
-    /// The rank of its calls; 0 goes first.
+    /// Urgency of its calls; 0 is the most urgent.
     pub urgency: u8,
-    /// The services that its calls go to, by weight.
+    /// Services that its calls are split among by weight.
     pub split: Vec<Share>,
-    /// Endpoints that one call may be sent to.
+    /// Maximum number of endpoints that one call may be sent to.
     pub max_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether calls without a key are accepted.
     pub anonymous: bool,
 }
 
@@ -52,41 +53,41 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
-    /// The service.
+    /// Name of a service of this subtree or one above.
     pub service: Name,
-    /// Its weight against the others of the route.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// A service whose endpoints are reached by routes.
+/// A service whose endpoints receive calls through routes.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Pool {
-    /// Where an endpoint tells whether it is healthy.
+    /// Path of the health check of an endpoint.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub health_path: Option<Name>,
-    /// Connections that an endpoint takes from all callers together.
+    /// Maximum number of connections that an endpoint accepts from all callers together.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_connections: Option<u32>,
-    /// What its engines can do, where they are model engines.
+    /// Capabilities of its engines, if they are model engines.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub engine: Option<Engine>,
-    /// How many endpoints may be ordered; without it there are as many as there are.
+    /// How many endpoints may be ordered. If `None`, the number of endpoints is not managed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub capacity: Option<CapacityRange>,
 }
 
-/// A model engine.
+/// The capabilities of a model engine.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Engine {
-    /// Requests that it runs side by side.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds, of requests that run and of cached prompts.
+    /// Size of its KV cache in tokens, of running requests and cached prompts together.
     pub cache_tokens: u64,
-    /// Whether a running request can be moved to another engine.
+    /// Whether a running request can be migrated to another engine.
     pub moves: bool,
-    /// Whether a running request can be copied to another engine as it grows.
+    /// Whether a running request can be replicated to another engine while it grows.
     pub backups: bool,
 }
 
@@ -94,30 +95,30 @@
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CapacityRange {
-    /// At least so many, reclaimable or not.
+    /// Minimum number of endpoints, reclaimable or not.
     pub min: u32,
-    /// At most so many, reclaimable or not.
+    /// Maximum number of endpoints, reclaimable or not.
     pub max: u32,
-    /// Time from an order until an endpoint serves.
+    /// Time from the order of an endpoint until it serves calls; may be 0.
     pub boot_ms: Millis,
-    /// Price of a reclaimable endpoint, as a share of the others' price.
+    /// Price of a reclaimable endpoint as a fraction of the price of other endpoints.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub reclaimable_price: Option<f64>,
     /// Price of an endpoint by failure domain.
     pub prices: BTreeMap<Name, f64>,
 }
 
-/// Bounds on what callers send.
+/// Bounds on requests and connections of callers.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallerBounds {
-    /// Bytes of a request's headers.
+    /// Maximum size of a request's headers in bytes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub header_bytes: Option<u64>,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub body_bytes: Option<u64>,
-    /// Time that a connection may stay idle.
+    /// Maximum time that a connection may be idle.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub idle_ms: Option<Millis>,
 }
@@ -131,7 +132,7 @@
         (Self::ResumableStream, "resumable_stream"),
     ];
 
-    /// Returns whether a call may run again after it may have run.
+    /// Returns whether a call may be sent again although it may have been executed.
     pub const fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
--- a/state/tree/src/stored.rs
+++ b/state/tree/src/stored.rs
@@ -1,8 +1,8 @@
-//! A document as the tree holds it: text until somebody looks into it.
+//! A document as the tree stores it: JSON text that is parsed on first access.
 //!
-//! An instance that restarts applies every change of its log again, and each but the last one of a
-//! subtree is replaced without having been looked at. Reading them all took seconds with documents of
-//! thousands of routes, and the instance took no part in the log meanwhile.
+//! A restarted instance replays every change of its log, and each document except the last one of a
+//! subtree is replaced without being accessed. With documents of thousands of routes, parsing all
+//! of them took seconds, during which the instance could not take part in replication.
 
 use std::fmt::{self, Debug, Formatter};
 use std::ops::Deref;
@@ -16,34 +16,35 @@
 
 use crate::document::Document;
 
-/// The text of a document as JSON. Clones share it. A long one is written packed.
+/// The JSON text of a document. Clones share it. A text of at least [`COMPRESSION_THRESHOLD`] bytes
+/// is serialized compressed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DocumentText(Arc<str>);
 
-/// A document that is read from its text when it is first looked at.
+/// A document that is parsed from its text on first access.
 #[derive(Clone)]
 pub struct StoredDocument {
-    /// Empty for one that came as a document, until its text is asked for.
+    /// Unset for a value created from a [`Document`], until the text is requested.
     text: OnceLock<DocumentText>,
     document: OnceLock<Arc<Document>>,
 }
 
 impl DocumentText {
-    /// Writes a document.
+    /// Serializes a document.
     ///
     /// # Panics
     ///
-    /// Never: a document can always be written as JSON.
+    /// Never: every document can be serialized as JSON.
     pub fn of(document: &Document) -> Self {
-        Self(serde_json::to_string(document).expect("a document can be written as JSON").into())
+        Self(serde_json::to_string(document).expect("a document can be serialized as JSON").into())
     }
 
-    /// Returns the text.
+    /// Returns the JSON text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// Returns the text as a JSON value.
+    /// Parses the text as a JSON value; returns `null` if it is not JSON.
     pub fn value(&self) -> Value {
         serde_json::from_str(&self.0).unwrap_or_default()
     }
@@ -72,16 +73,16 @@
     where
         D: Deserializer<'de>,
     {
-        /// Short documents are written as they are.
+        /// Documents below the threshold are serialized uncompressed.
         #[derive(Deserialize)]
         #[serde(untagged)]
         enum Either {
-            Packed(CompressedText),
+            Compressed(CompressedText),
             Plain(Value),
         }
         match Either::deserialize(deserializer)? {
-            Either::Packed(packed) => {
-                Ok(Self(packed.decompress().map_err(D::Error::custom)?.into()))
+            Either::Compressed(compressed) => {
+                Ok(Self(compressed.decompress().map_err(D::Error::custom)?.into()))
             }
             Either::Plain(value) => Ok((&value).into()),
         }
@@ -89,16 +90,16 @@
 }
 
 impl StoredDocument {
-    /// Returns its text.
+    /// Returns the document's JSON text.
     pub fn text(&self) -> &DocumentText {
         self.text.get_or_init(|| DocumentText::of(self))
     }
 
-    /// Reads it now, if nobody has yet.
+    /// Returns the document; parses it on the first call.
     ///
     /// # Errors
     ///
-    /// Fails where a newer version of the program wrote what this one doesn't know.
+    /// Fails if a newer version of the program wrote fields that this one doesn't know.
     pub fn read(&self) -> Result<&Document, serde_json::Error> {
         if let Some(document) = self.document.get() {
             return Ok(document);
@@ -114,9 +115,10 @@
 
     /// # Panics
     ///
-    /// Panics on a document of a newer version of the program, which [`StoredDocument::read`] tells.
+    /// Panics on a document that can't be parsed, such as one of a newer version of the program.
+    /// Call [`StoredDocument::read`] first to get the error.
     fn deref(&self) -> &Document {
-        self.read().expect("documents are read, or found unreadable, when they are applied")
+        self.read().expect("unreadable documents are rejected by `read` before they are accessed")
     }
 }
 
--- a/state/tree/src/tree.rs
+++ b/state/tree/src/tree.rs
@@ -1,4 +1,4 @@
-//! The tree of subtrees, and how changes are taken in.
+//! The tree of subtrees, and the validation and application of changes.
 
 use std::collections::BTreeMap;
 
@@ -12,69 +12,69 @@
 use crate::read;
 use crate::stored::StoredDocument;
 
-/// The longest path, in bytes.
-const MAX_PATH: usize = 512;
+/// Maximum length of a path in bytes.
+const MAX_PATH_BYTES: usize = 512;
 
-/// The reason for a path of the wrong shape.
-const BAD_PATH: &str = "a path is well-formed names joined by `/`, 512 bytes at most";
+/// Reason of the finding for an invalid path.
+const INVALID_PATH: &str = "a path is well-formed names joined by `/`, 512 bytes at most";
 
-/// One subtree with its last change.
+/// A subtree as of its last change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Subtree {
-    /// The revision of its last change.
+    /// The tree's revision that the last change of this subtree created.
     pub revision: u64,
-    /// Who made it.
+    /// The operator who made the last change.
     pub author: Name,
-    /// Its document.
+    /// The settings that the last change wrote.
     pub document: StoredDocument,
 }
 
-/// All subtrees by path; a path is names joined by `/`, and the root's is empty.
+/// All subtrees by path. A path consists of names joined by `/`; the path of the root is empty.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Tree {
-    /// The newest revision.
+    /// The newest revision; each change sets it.
     pub revision: u64,
-    /// The subtrees.
+    /// The subtrees by path.
     pub subtrees: BTreeMap<Name, Subtree>,
 }
 
 impl Tree {
-    /// Checks what the tree would be with `document` at `path`.
+    /// Validates the tree as it would be with `document` at `path`.
     ///
     /// # Errors
     ///
-    /// Returns every finding with its place; the tree stays as it was.
+    /// Returns every finding with its place; the tree is not changed.
     pub fn check(&self, path: &str, document: &Document) -> Result<(), Findings> {
         let value = serde_json::to_value(document)
             .map_err(|err| Findings::one(Place::top(path).text(), err.to_string()))?;
         self.check_value(path, &value).map(|_| ())
     }
 
-    /// Reads the document in `value` and checks what the tree would be with it at `path`.
+    /// Parses the document in `value` and validates the tree as it would be with it at `path`.
     ///
     /// # Errors
     ///
-    /// Returns every finding with its place; the tree stays as it was.
+    /// Returns every finding with its place; the tree is not changed.
     pub fn check_value(&self, path: &str, value: &Value) -> Result<Document, Findings> {
         let mut findings = Findings::new();
         if !is_path(path) {
-            findings.add(Place::top(path).text(), BAD_PATH);
+            findings.add(Place::top(path).text(), INVALID_PATH);
         }
         let document = read::document(path, value, &mut findings);
         let mut documents: Documents<'_> =
             self.subtrees.iter().map(|(path, subtree)| (&**path, &*subtree.document)).collect();
-        // What the tree has already is not this change's fault and must not hold it up.
+        // Findings that the tree has without this change must not block it.
         let before = check::check_tree(&documents, path);
         documents.insert(path, &document);
         for finding in check::check_tree(&documents, path).iter() {
-            if !before.iter().any(|known| known == finding) {
+            if !before.iter().any(|existing| existing == finding) {
                 findings.add(&finding.place, &finding.reason);
             }
         }
         findings.into_result(document)
     }
 
-    /// Puts a checked document in place as `revision`.
+    /// Stores a validated document at `path` as `revision`.
     pub fn put<D>(&mut self, path: Name, revision: u64, author: Name, document: D)
     where
         D: Into<StoredDocument>,
@@ -84,14 +84,14 @@
         self.subtrees.insert(path, Subtree { revision, author, document });
     }
 
-    /// Removes a subtree as `revision`.
+    /// Removes the subtree at `path` as `revision`.
     pub fn remove(&mut self, path: &str, revision: u64) {
         self.revision = revision;
         self.subtrees.remove(path);
     }
 }
 
-/// Returns whether a text is fit for the path of a subtree.
+/// Returns whether `text` is a valid path of a subtree.
 pub fn is_path(text: &str) -> bool {
-    text.len() <= MAX_PATH && (text.is_empty() || text.split('/').all(Name::is_well_formed))
+    text.len() <= MAX_PATH_BYTES && (text.is_empty() || text.split('/').all(Name::is_well_formed))
 }
--- a/state/tree/tests/findings.rs
+++ b/state/tree/tests/findings.rs
@@ -1,14 +1,15 @@
-//! Every fault of a settings document is found, named by its place, and nothing is applied.
+//! Validation of settings documents: each fault is reported with its place and a reason.
 
 use serde_json::{Value, json};
 use sill_base::Findings;
 use sill_tree::{KeyHash, Tree, read_json};
 
-/// A document for `ga/desk` with a fault, and where the finding must stand.
+/// A document for `ga/desk` with one fault, and the finding that it must cause.
 struct Case {
     name: &'static str,
     document: &'static str,
     place: &'static str,
+    /// A part of the finding's reason.
     reason: &'static str,
 }
 
@@ -20,19 +21,19 @@
         reason: "is no service",
     },
     Case {
-        name: "a route whose weights add up to nothing",
+        name: "a route whose weights add up to 0",
         document: r#"{"services":{"s":{"kind":"pool"}},"routes":{"r":{"host":"h","path":"/a/","kind":"idempotent","timeout_ms":1,"split":[{"service":"s","weight":0}]}}}"#,
         place: "ga/desk: routes.r.split",
         reason: "add up to 0",
     },
     Case {
-        name: "a route without time",
+        name: "a route with a timeout of 0",
         document: r#"{"services":{"s":{"kind":"pool"}},"routes":{"r":{"host":"h","path":"/a/","kind":"idempotent","timeout_ms":0,"split":[{"service":"s","weight":1}]}}}"#,
         place: "ga/desk: routes.r.timeout_ms",
         reason: "more than 0",
     },
     Case {
-        name: "a route of no known kind",
+        name: "a route of an unknown kind",
         document: r#"{"services":{"s":{"kind":"pool"}},"routes":{"r":{"host":"h","path":"/a/","kind":"safe","timeout_ms":1,"split":[{"service":"s","weight":1}]}}}"#,
         place: "ga/desk: routes.r.kind",
         reason: "idempotent, non_idempotent, stream, resumable_stream",
@@ -50,7 +51,7 @@
         reason: "same host and path as ga/desk: routes.q",
     },
     Case {
-        name: "more endpoints at least than at most",
+        name: "a minimum of endpoints above the maximum",
         document: r#"{"services":{"s":{"kind":"pool","capacity":{"min":3,"max":2}}}}"#,
         place: "ga/desk: services.s.capacity.min",
         reason: "more than max",
@@ -86,13 +87,13 @@
         reason: "whole number of milliseconds",
     },
     Case {
-        name: "half a latency target",
+        name: "latency target without one of its fields",
         document: r#"{"latency":{"ttft_ms":1}}"#,
         place: "ga/desk: latency.between_tokens_ms",
         reason: "missing",
     },
     Case {
-        name: "no deadline at all",
+        name: "deadline of 0",
         document: r#"{"deadline_ms":0}"#,
         place: "ga/desk: deadline_ms",
         reason: "more than 0",
@@ -116,7 +117,7 @@
         reason: "whole number",
     },
     Case {
-        name: "adapter twice",
+        name: "duplicate adapter",
         document: r#"{"services":{"chat":{"kind":"model","adapters":["x","x"]}}}"#,
         place: "ga/desk: services.chat.adapters[1]",
         reason: "twice",
@@ -128,13 +129,13 @@
         reason: "unknown method",
     },
     Case {
-        name: "bad call path",
+        name: "invalid call path",
         document: r#"{"services":{"s":{"kind":"plain","non_idempotent":[{"method":"POST","path":"x"}]}}}"#,
         place: "ga/desk: services.s.non_idempotent[0].path",
         reason: "starts with `/`",
     },
     Case {
-        name: "bad name",
+        name: "invalid name",
         document: r#"{"accounts":{"the clerks":{}}}"#,
         place: "ga/desk: accounts.the clerks",
         reason: "not a well-formed name",
@@ -158,13 +159,13 @@
         reason: "higher than max_priority",
     },
     Case {
-        name: "limit of nothing",
+        name: "limit of 0",
         document: r#"{"accounts":{"clerks":{"limit":{"requests_per_s":0}}}}"#,
         place: "ga/desk: accounts.clerks.limit.requests_per_s",
         reason: "more than 0",
     },
     Case {
-        name: "weight of nothing",
+        name: "weight of 0",
         document: r#"{"accounts":{"clerks":{"weight":0}}}"#,
         place: "ga/desk: accounts.clerks.weight",
         reason: "at least 1",
@@ -176,13 +177,13 @@
         reason: "no service of this subtree or one above",
     },
     Case {
-        name: "service of a subtree beside",
+        name: "service of a sibling subtree",
         document: r#"{"accounts":{"clerks":{"services":["beside"]}}}"#,
         place: "ga/desk: accounts.clerks.services[0]",
         reason: "no service of this subtree or one above",
     },
     Case {
-        name: "a name that another subtree has",
+        name: "service name of another subtree",
         document: r#"{"services":{"beside":{"kind":"plain"}}}"#,
         place: "ga/desk: services.beside",
         reason: "duplicate name; ga/other has it too",
@@ -194,7 +195,7 @@
         reason: "below the sum of the limits under it, 6",
     },
     Case {
-        name: "more than is left of the limit above",
+        name: "limits that exceed the limit of the subtree above",
         document: r#"{"accounts":{"a":{"limit":{"tokens_per_s":1001}}}}"#,
         place: "ga: limit.tokens_per_s",
         reason: "below the sum of the limits under it, 1001",
@@ -219,7 +220,8 @@
     },
 ];
 
-/// Returns a tree with a team's subtree and one beside the one under test.
+/// Returns a tree with the subtree `ga` of a team and `ga/other`, a sibling of the subtree under
+/// test.
 fn tree() -> Tree {
     let mut tree = Tree::default();
     let documents = [
@@ -235,31 +237,37 @@
         ("ga/other", json!({ "services": { "beside": { "kind": "plain" } } })),
     ];
     for (i, (path, document)) in documents.into_iter().enumerate() {
-        let document = tree.check_value(path, &document).expect("a sound document");
+        let document = tree.check_value(path, &document).expect("the document is valid");
         tree.put(path.into(), i as u64 + 1, "test".into(), document);
     }
     tree
 }
 
+/// Validates a document for `ga/desk`.
 fn check(document: &str) -> Result<(), Findings> {
     let value = read_json("ga/desk", document.as_bytes())?;
     tree().check_value("ga/desk", &value).map(|_| ())
 }
 
 #[test]
-fn each_fault_is_found_at_its_place() {
+fn each_fault_causes_one_finding_with_its_place() {
+    // An operator corrects a settings file by the findings alone, so a fault must not be missed,
+    // reported at another place or cause follow-up findings.
     for case in CASES {
         let findings = check(case.document).expect_err(case.name);
-        let fits = |place: &str, reason: &str| place == case.place && reason.contains(case.reason);
-        let found = findings.iter().any(|f| fits(&f.place, &f.reason));
+        let matches =
+            |place: &str, reason: &str| place == case.place && reason.contains(case.reason);
+        let found = findings.iter().any(|f| matches(&f.place, &f.reason));
         assert!(found && findings.len() == 1, "{}: {findings}", case.name);
     }
 }
 
 #[test]
-fn all_faults_of_a_document_are_found_at_once() {
+fn all_faults_of_a_document_are_reported_at_once() {
+    // Reporting only the first fault would make an operator submit a file once for each fault. No
+    // finding may contain a secret key that was put in place of its hash.
     let document = r#"{"x":1,"deadline_ms":"2s","services":{"chat":{"kind":"model","latency":{"ttft_ms":0,"between_tokens_ms":1}}},"accounts":{"clerks":{"keys":["k"],"services":["chat","gone"]}}}"#;
-    let findings = check(document).expect_err("faults");
+    let findings = check(document).expect_err("the document has faults");
     let places: Vec<&str> = findings.iter().map(|f| f.place.as_str()).collect();
     assert_eq!(
         places,
@@ -271,46 +279,51 @@
             "ga/desk: accounts.clerks.services[1]",
         ]
     );
-    assert!(!findings.to_string().contains("\"k\""), "a secret in a finding");
+    assert!(!findings.to_string().contains("\"k\""), "a finding contains the secret: {findings}");
 }
 
 /// A merge of two edits leaves an account in the file twice. JSON libraries keep the last one, and
-/// the callers of the first would be refused with nothing in any log.
+/// the callers of the first would be rejected without any log line.
 #[test]
-fn a_name_that_stands_twice_is_found_in_the_text() {
+fn duplicate_names_in_an_object_are_reported() {
     let text = r#"{"accounts":{"a":{"weight":1,"weight":2},"a":{}},"accounts":{}}"#;
-    let findings = read_json("ga", text.as_bytes()).expect_err("duplicates");
+    let findings = read_json("ga", text.as_bytes()).expect_err("the text has duplicate names");
     let places: Vec<&str> = findings.iter().map(|f| f.place.as_str()).collect();
     assert_eq!(places, ["ga: accounts.a.weight", "ga: accounts.a", "ga: accounts"]);
 }
 
 #[test]
-fn a_key_belongs_to_one_account() {
+fn a_key_of_two_accounts_is_reported_without_its_hash() {
+    // Calls with a key of two accounts would be charged to an arbitrary one of them.
     let key = KeyHash::of("k");
     let document = json!({ "accounts": { "a": { "keys": [key] }, "b": { "keys": [key] } } });
-    let findings = tree().check_value("ga/desk", &document).expect_err("a shared key");
+    let findings = tree().check_value("ga/desk", &document).expect_err("the key is shared");
     assert_eq!(findings.len(), 1, "{findings}");
-    assert!(!findings.to_string().contains("blake3:"), "a hash in a finding");
+    assert!(!findings.to_string().contains("blake3:"), "a finding contains the hash: {findings}");
 }
 
-/// A team removes a service that accounts of a lower subtree still name.
+/// A team removes a service that accounts of a subtree below still list.
 #[test]
-fn a_change_above_that_breaks_a_subtree_below_is_refused() {
+fn a_change_that_invalidates_a_subtree_below_is_rejected() {
     let mut tree = tree();
     let below = json!({ "accounts": { "clerks": { "services": ["desk-7b"] } } });
-    let below = tree.check_value("ga/desk", &below).expect("a sound document");
+    let below = tree.check_value("ga/desk", &below).expect("the document is valid");
     tree.put("ga/desk".into(), 3, "test".into(), below);
-    let findings = tree.check_value("ga", &json!({})).expect_err("a dangling reference");
-    assert_eq!(findings.iter().next().expect("one").place, "ga/desk: accounts.clerks.services[0]");
+    let findings = tree.check_value("ga", &json!({})).expect_err("a reference is dangling");
+    assert_eq!(
+        findings.iter().next().expect("there is a finding").place,
+        "ga/desk: accounts.clerks.services[0]"
+    );
 }
 
 #[test]
-fn paths_are_checked() {
+fn invalid_paths_are_rejected() {
+    // A path must consist of well-formed names, without a leading slash or an empty name.
     let cases = [("", true), ("ga", true), ("ga/desk", true), ("/ga", false), ("ga//x", false)];
-    for (path, sound) in cases {
+    for (path, is_valid) in cases {
         assert_eq!(
             tree().check_value(path, &Value::Object(Default::default())).is_ok(),
-            sound,
+            is_valid,
             "{path}"
         );
     }
--- a/state/tree/tests/owners.rs
+++ b/state/tree/tests/owners.rs
@@ -1,27 +1,27 @@
-//! Who may change which subtree, and who sees its secrets.
+//! Which operators may change a subtree and its owner, and which see its hashes.
 
 use serde_json::json;
 use sill_tree::{Document, KeyHash, Operator, Tree, redact};
 
-/// A change by the holder of a token.
+/// A change of a subtree's owner by the holder of a token.
 struct Case {
     token: &'static str,
     path: &'static str,
     new_owner: Option<&'static str>,
-    allowed: bool,
+    is_allowed: bool,
 }
 
 const CASES: [Case; 10] = [
-    Case { token: "root", path: "ga", new_owner: Some("other"), allowed: true },
-    Case { token: "ga", path: "ga", new_owner: Some("ga"), allowed: true },
-    Case { token: "ga", path: "ga", new_owner: Some("friend"), allowed: false },
-    Case { token: "ga", path: "ga", new_owner: None, allowed: false },
-    Case { token: "ga", path: "ga/desk", new_owner: Some("friend"), allowed: true },
-    Case { token: "desk", path: "ga/desk", new_owner: Some("desk"), allowed: true },
-    Case { token: "desk", path: "ga/desk", new_owner: Some("friend"), allowed: false },
-    Case { token: "desk", path: "ga", new_owner: Some("ga"), allowed: false },
-    Case { token: "desk", path: "ga/desks", new_owner: None, allowed: false },
-    Case { token: "waitaha", path: "ga/desk", new_owner: Some("desk"), allowed: false },
+    Case { token: "root", path: "ga", new_owner: Some("other"), is_allowed: true },
+    Case { token: "ga", path: "ga", new_owner: Some("ga"), is_allowed: true },
+    Case { token: "ga", path: "ga", new_owner: Some("friend"), is_allowed: false },
+    Case { token: "ga", path: "ga", new_owner: None, is_allowed: false },
+    Case { token: "ga", path: "ga/desk", new_owner: Some("friend"), is_allowed: true },
+    Case { token: "desk", path: "ga/desk", new_owner: Some("desk"), is_allowed: true },
+    Case { token: "desk", path: "ga/desk", new_owner: Some("friend"), is_allowed: false },
+    Case { token: "desk", path: "ga", new_owner: Some("ga"), is_allowed: false },
+    Case { token: "desk", path: "ga/desks", new_owner: None, is_allowed: false },
+    Case { token: "waitaha", path: "ga/desk", new_owner: Some("desk"), is_allowed: false },
 ];
 
 fn tree() -> Tree {
@@ -39,20 +39,24 @@
 }
 
 #[test]
-fn only_the_owner_of_a_subtree_above_names_an_owner() {
-    for Case { token, path, new_owner, allowed } in CASES {
+fn an_owner_is_changed_only_by_the_owner_of_a_subtree_above() {
+    // A team that could change the owner of its own subtree could lock out the operator who granted
+    // it. A token of a sibling subtree, or of one whose path only has the same prefix, must have no
+    // access.
+    for Case { token, path, new_owner, is_allowed } in CASES {
         let document = Document { owner: new_owner.map(KeyHash::of), ..Document::default() };
-        let checked = tree().check_owner(&operator(token), path, &document);
-        assert_eq!(checked.is_ok(), allowed, "{token} sets the owner of {path} to {new_owner:?}");
+        let result = tree().check_owner(&operator(token), path, &document);
+        assert_eq!(result.is_ok(), is_allowed, "{token} sets the owner of {path} to {new_owner:?}");
     }
 }
 
 #[test]
-fn hashes_are_left_out_for_others() {
+fn a_redacted_document_has_no_hashes() {
+    // Operators who don't own a subtree may read it, but not its hashes of keys and tokens.
     let document =
         json!({ "owner": KeyHash::of("t"), "accounts": { "a": { "keys": [KeyHash::of("k")] } } });
-    let document: Document = serde_json::from_value(document).expect("a document");
-    let shown = serde_json::to_string(&redact(&document)).expect("JSON");
-    assert!(!shown.contains("blake3:"), "{shown}");
-    assert!(shown.contains("\"a\""), "{shown}");
+    let document: Document = serde_json::from_value(document).expect("the document is valid");
+    let text = serde_json::to_string(&redact(&document)).expect("the document can be serialized");
+    assert!(!text.contains("blake3:"), "a hash is left: {text}");
+    assert!(text.contains("\"a\""), "the account is missing: {text}");
 }
--- a/state/tree/tests/pieces.rs
+++ b/state/tree/tests/pieces.rs
@@ -1,4 +1,4 @@
-//! Documents are cut into pieces that revisions share, and are read when they are first looked at.
+//! Splitting of documents into pieces that revisions share, and the storage of documents as text.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -37,13 +37,14 @@
     }
 }
 
+/// Merges the pieces of a document.
 fn join(parts: &[Document]) -> Document {
-    let mut whole = parts[0].clone();
+    let mut document = parts[0].clone();
     for part in &parts[1..] {
-        whole.accounts.extend(part.accounts.clone());
-        whole.routes.extend(part.routes.clone());
+        document.accounts.extend(part.accounts.clone());
+        document.routes.extend(part.routes.clone());
     }
-    whole
+    document
 }
 
 fn ids(document: &Document) -> Vec<PieceId> {
@@ -52,7 +53,10 @@
 }
 
 #[test]
-fn pieces_hold_the_whole_document_and_none_is_large() {
+fn pieces_hold_the_complete_document_and_have_a_size_bound() {
+    // A reader assembles a document from its pieces, so none of its content may be missing. A piece
+    // is transferred when one of its entries changes, so its size must be bounded. A reader fetches
+    // the list of all piece ids, so their number must be bounded too.
     for routes in [0, 1, 1400, 20_000] {
         let document = document(routes);
         let parts = pieces::split(&document);
@@ -63,25 +67,27 @@
 }
 
 #[test]
-fn a_change_of_one_route_changes_one_piece() {
-    // Automation changes a route now and then in a tree of thousands. Were other pieces changed as well,
-    // each entry instance would fetch the whole tree for it.
+fn a_change_of_one_entry_changes_only_one_piece() {
+    // Automation changes single routes in a tree of thousands. If other pieces changed as well,
+    // each entry instance would fetch the complete tree for every change.
     struct Case {
         name: &'static str,
         change: fn(&mut Document),
     }
     let cases = [
         Case {
-            name: "changed",
-            change: |d| d.routes.get_mut("route-700").expect("it is there").max_attempts = 2,
+            name: "a route is changed",
+            change: |d| {
+                d.routes.get_mut("route-700").expect("the document has the route").max_attempts = 2
+            },
         },
-        Case { name: "removed", change: |d| drop(d.routes.remove("route-700")) },
+        Case { name: "a route is removed", change: |d| drop(d.routes.remove("route-700")) },
         Case {
-            name: "added",
+            name: "a route is added",
             change: |d| drop(d.routes.insert("route-7000".into(), route(7000).1)),
         },
         Case {
-            name: "service",
+            name: "a service is added",
             change: |d| drop(d.services.insert("x".into(), Service::Pool(Pool::default()))),
         },
     ];
@@ -91,31 +97,37 @@
         change(&mut after);
         let known: BTreeSet<PieceId> = ids(&before).into_iter().collect();
         let new = ids(&after).into_iter().filter(|id| !known.contains(id)).count();
-        // A route that ended a piece and goes away joins two of them.
-        assert_eq!(new, 1, "{name}");
+        // Removing a route that ends a piece merges two pieces into one new piece.
+        assert_eq!(new, 1, "{name}: number of new pieces");
     }
 }
 
 #[test]
-fn a_stored_document_is_the_same_however_it_was_written() {
+fn a_stored_document_is_read_in_all_its_serialized_forms() {
+    // Long documents are serialized compressed, short ones as plain JSON. Logs written by earlier
+    // versions hold long documents as plain JSON too.
     for routes in [0, 1, 1400] {
         let document = document(routes);
         let stored = StoredDocument::from(DocumentText::of(&document));
-        let json = serde_json::to_string(&stored).expect("it can be written");
-        let read: StoredDocument = serde_json::from_str(&json).expect("it can be read");
+        let json = serde_json::to_string(&stored).expect("the document can be serialized");
+        let read: StoredDocument =
+            serde_json::from_str(&json).expect("the document can be deserialized");
         assert_eq!(*read, document, "{routes} routes");
-        // As earlier versions of the program wrote it.
-        let plain = serde_json::to_string(&document).expect("it can be written");
-        let read: StoredDocument = serde_json::from_str(&plain).expect("it can be read");
+        // The form that earlier versions of the program wrote.
+        let plain = serde_json::to_string(&document).expect("the document can be serialized");
+        let read: StoredDocument =
+            serde_json::from_str(&plain).expect("the document can be deserialized");
         assert_eq!(*read, document, "{routes} routes");
     }
 }
 
 #[test]
-fn a_document_of_a_newer_version_is_found_unreadable_when_it_is_read() {
+fn reading_a_document_with_unknown_fields_fails_with_the_field() {
+    // A newer version of the program wrote a field that this one doesn't know. Reading the document
+    // must fail with an error instead of dropping the field.
     let unknown = serde_json::json!({ "field_of_tomorrow": 1 });
     let mut tree = Tree::default();
     tree.put("serving".into(), 1, "root".into(), DocumentText::from(&unknown));
-    let error = tree.subtrees["serving"].document.read().expect_err("the field is not known");
+    let error = tree.subtrees["serving"].document.read().expect_err("unknown fields are rejected");
     assert!(error.to_string().contains("field_of_tomorrow"), "{error}");
 }
--- a/state/tree/tests/random.rs
+++ b/state/tree/tests/random.rs
@@ -1,5 +1,5 @@
-//! Random documents: reading never panics, what is accepted survives a round trip, and settings
-//! are inherited from the nearest subtree above.
+//! Property tests with random documents: parsing never panics, accepted documents survive a round
+//! trip, and settings are inherited from the nearest subtree above.
 
 use proptest::collection::{btree_map, vec};
 use proptest::prelude::*;
@@ -18,8 +18,8 @@
     TestRunner::new_with_rng(Config { cases: cases(default_cases), ..Config::default() }, rng)
 }
 
-/// Field names that mean something, so that random documents get past the first check.
-fn key() -> impl Strategy<Value = String> {
+/// Generates mostly known field names, so that random documents reach the checks of values.
+fn field_name() -> impl Strategy<Value = String> {
     let known = [
         "owner",
         "latency",
@@ -61,13 +61,14 @@
     leaf.prop_recursive(5, 48, 5, |inner| {
         prop_oneof![
             vec(inner.clone(), 0..4).prop_map(Value::from),
-            btree_map(key(), inner, 0..5).prop_map(|fields| Value::Object(Map::from_iter(fields))),
+            btree_map(field_name(), inner, 0..5)
+                .prop_map(|fields| Value::Object(Map::from_iter(fields))),
         ]
     })
 }
 
-/// Documents that are sound by themselves.
-fn sound(path: usize) -> impl Strategy<Value = Value> {
+/// Generates documents that are valid without the rest of the tree.
+fn valid_document(path: usize) -> impl Strategy<Value = Value> {
     let latency = (1u64..900, 1u64..90);
     let fields = (
         prop::option::of(latency),
@@ -96,39 +97,51 @@
 }
 
 #[test]
-fn any_json_is_accepted_or_refused_with_a_place_and_accepted_ones_round_trip() {
+fn random_json_is_rejected_with_a_place_or_survives_a_round_trip() {
+    // Operators need the place of each fault. Documents are stored as they are serialized, so an
+    // accepted document must be parsed to the same document again.
     let run = runner(2000).run(&any_json(), |value| {
         let tree = Tree::default();
         match tree.check_value("a", &value) {
             Err(findings) => prop_assert!(findings.iter().all(|f| f.place.starts_with('a'))),
             Ok(document) => {
-                let text = serde_json::to_string(&document).expect("JSON");
-                let again = read_json("a", text.as_bytes()).expect("no name twice");
+                let text =
+                    serde_json::to_string(&document).expect("the document can be serialized");
+                let again = read_json("a", text.as_bytes())
+                    .expect("an accepted document has no duplicate names");
                 prop_assert_eq!(tree.check_value("a", &again), Ok(document));
             }
         }
         Ok(())
     });
-    run.expect("every document");
+    run.expect("all random documents pass");
 }
 
 #[test]
-fn any_text_is_read_without_a_panic() {
-    let texts = vec(any::<u8>(), 0..64);
+fn random_bytes_are_parsed_without_a_panic() {
+    // A settings file may contain any bytes. Invalid text must cause a finding and not a panic.
+    let random_bytes = vec(any::<u8>(), 0..64);
     let json_like = "[\\[\\]{}\",:0-9a-z\\\\ ]{0,40}";
-    let any_text = prop_oneof![texts, json_like.prop_map(String::into_bytes)];
-    let run = runner(2000).run(&any_text, |text| {
+    let random_text = prop_oneof![random_bytes, json_like.prop_map(String::into_bytes)];
+    let run = runner(2000).run(&random_text, |text| {
         let _ = read_json("a", &text);
         Ok(())
     });
-    run.expect("every text");
+    run.expect("all random texts pass");
 }
 
-/// Every accepted tree gives each service the value of the nearest subtree that sets it, no price
-/// above any cap on the way up, and no subtree less than it promises below.
+/// In an accepted tree, each service has the value of the nearest subtree that sets it, no price
+/// cap exceeds one above it, and no account's limit exceeds that of a subtree above it.
 #[test]
 fn settings_are_inherited_from_the_nearest_subtree() {
-    let documents = (sound(0), sound(1), sound(2), sound(3), sound(4), sound(5));
+    let documents = (
+        valid_document(0),
+        valid_document(1),
+        valid_document(2),
+        valid_document(3),
+        valid_document(4),
+        valid_document(5),
+    );
     let run = runner(300).run(&documents, |documents| {
         let documents: [Value; 6] = documents.into();
         let mut tree = Tree::default();
@@ -139,28 +152,32 @@
         }
         let effective = EffectiveSettings::of(&tree);
         for service in effective.services.values() {
-            let mut above: Vec<_> =
+            let mut at_or_above: Vec<_> =
                 tree.subtrees.iter().filter(|(p, _)| is_at_or_above(p, &service.path)).collect();
-            above.sort_by_key(|(path, _)| std::cmp::Reverse(path.len()));
-            let documents = || above.iter().map(|(_, subtree)| &subtree.document);
+            at_or_above.sort_by_key(|(path, _)| std::cmp::Reverse(path.len()));
+            let documents = || at_or_above.iter().map(|(_, subtree)| &subtree.document);
             prop_assert_eq!(service.latency, documents().find_map(|d| d.latency));
             prop_assert_eq!(service.deadline, documents().find_map(|d| d.deadline_ms));
             prop_assert_eq!(service.price_cap, documents().find_map(|d| d.price_cap));
             let lowest = documents().filter_map(|d| d.price_cap).min();
-            prop_assert_eq!(service.price_cap, lowest, "a cap was widened");
+            prop_assert_eq!(service.price_cap, lowest, "a price cap exceeds one above it");
         }
         for account in effective.accounts.values() {
             let own = account.account.limit.and_then(|limit| limit.requests_per_s);
             prop_assert_eq!(account.limit.requests_per_s, own);
             for (path, subtree) in &tree.subtrees {
-                let covers = is_at_or_above(path, &account.path);
+                let is_covered = is_at_or_above(path, &account.path);
                 let limit = subtree.document.limit.and_then(|limit| limit.requests_per_s);
-                if let (true, Some(limit), Some(own)) = (covers, limit, own) {
-                    prop_assert!(own <= limit, "{path} promises more than it has");
+                if let (true, Some(limit), Some(own)) = (is_covered, limit, own) {
+                    prop_assert!(
+                        own <= limit,
+                        "the limit {own} of {} exceeds {limit} of {path}",
+                        account.name
+                    );
                 }
             }
         }
         Ok(())
     });
-    run.expect("every tree");
+    run.expect("all random trees pass");
 }
