--- a/daemons/control/src/app/judge.rs
+++ b/daemons/control/src/app/decision.rs
@@ -1,56 +1,56 @@
-//! What the leader decides about an ask before it is written.
+//! The leader's checks of an ask before a command is written to the log.
 
 use sill_base::{Findings, Millis};
 use sill_wire::control::ChangeRefusal;
 
-use crate::app::command::{Ask, ChangeAsk, Checked, Command, Outcome, refusal};
+use crate::app::command::{Ask, ChangeAsk, CheckedChange, Command, Outcome, refusal};
 use crate::app::state::App;
 
-/// What is to be done about an ask.
+/// The leader's decision about an ask.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Judged {
-    /// It was asked before, and this came of it.
-    Known(Outcome),
-    /// This is to be written.
+pub enum Decision {
+    /// Nothing is to be written; this is the outcome, for example of an earlier ask.
+    Answer(Outcome),
+    /// This command is to be written to the log.
     Write(Command),
 }
 
 impl App {
-    /// Checks an ask against the present state.
-    pub fn judge(&self, at: Millis, ask: &Ask) -> Judged {
+    /// Checks an ask against the current state. `at` is the wall-clock time stored in the command.
+    pub fn decide(&self, at: Millis, ask: &Ask) -> Decision {
         match ask {
-            Ask::Claims { asks } => Judged::Write(Command::Claims { at, asks: asks.clone() }),
+            Ask::Claims { asks } => Decision::Write(Command::Claims { at, asks: asks.clone() }),
             Ask::Usage(statement) => match self.usage(statement.window) {
-                Some(stated) => Judged::Known(Outcome::Usage(stated.clone())),
-                None => Judged::Write(Command::Usage(statement.clone())),
+                Some(stated) => Decision::Answer(Outcome::Usage(stated.clone())),
+                None => Decision::Write(Command::Usage(statement.clone())),
             },
-            Ask::Drain(ask) => match self.known(&ask.origin, &ask.content()) {
-                Some(outcome) => Judged::Known(outcome),
-                None => Judged::Write(Command::Drain { at, ask: ask.clone() }),
+            Ask::Drain(ask) => match self.previous_outcome(&ask.origin, &ask.content()) {
+                Some(outcome) => Decision::Answer(outcome),
+                None => Decision::Write(Command::Drain { at, ask: ask.clone() }),
             },
-            Ask::Change(ask) => match self.known(&ask.origin, &ask.content()) {
-                Some(outcome) => Judged::Known(outcome),
-                None => self.judge_change(at, ask),
+            Ask::Change(ask) => match self.previous_outcome(&ask.origin, &ask.content()) {
+                Some(outcome) => Decision::Answer(outcome),
+                None => self.decide_change(at, ask),
             },
         }
     }
 
-    fn judge_change(&self, at: Millis, ask: &ChangeAsk) -> Judged {
+    fn decide_change(&self, at: Millis, ask: &ChangeAsk) -> Decision {
         let (content, against) = (ask.content(), self.revision());
         match self.check_change(ask) {
-            Ok(ask) => match self.overtaken(&ask) {
-                Some(reply) => Judged::Known(Outcome::Changed(reply)),
+            Ok(ask) => match self.superseded_reply(&ask) {
+                Some(reply) => Decision::Answer(Outcome::Changed(reply)),
                 None => {
-                    let checked = Checked { ask, content, against };
-                    Judged::Write(Command::Change { at, checked })
+                    let checked = CheckedChange { ask, content, against };
+                    Decision::Write(Command::Change { at, checked })
                 }
             },
-            // An outside system sends what is invalid as often as it likes; were each try written,
-            // it could fill the log.
-            Err(refusal) if ask.edition.is_some() => Judged::Known(Outcome::Refused(refusal)),
+            // An outside system may repeat an invalid document at any rate. If each attempt were
+            // written, it could fill the log.
+            Err(refusal) if ask.edition.is_some() => Decision::Answer(Outcome::Refused(refusal)),
             Err(refusal) => {
-                let checked = Checked { ask: ask.clone(), content, against };
-                Judged::Write(Command::Refuse { at, checked, refusal })
+                let checked = CheckedChange { ask: ask.clone(), content, against };
+                Decision::Write(Command::Refuse { at, checked, refusal })
             }
         }
     }
@@ -65,7 +65,7 @@
             return self.check_removal(ask);
         };
         let mut document = text.value();
-        // Teams need not keep the hash of their own token in their files.
+        // Teams may leave out the hash of their own token from their files.
         let current = tree.subtrees.get(&ask.path).and_then(|s| s.document.owner.as_ref());
         if let (Some(owner), Some(fields)) = (current, document.as_object_mut())
             && !tree.may_change_owner(&operator, &ask.path)
@@ -88,14 +88,15 @@
             let message = "only the owner of a subtree above may remove it";
             return Err(refusal("forbidden", message));
         }
-        // An empty document stands for the removed one: what others need of it is found missing.
+        // Checking an empty document in its place finds references of other subtrees to the removed
+        // one.
         let empty = serde_json::json!({});
         tree.check_value(&ask.path, &empty).map_err(invalid)?;
         Ok(ask)
     }
 }
 
-/// Refuses a document with all its findings.
+/// Creates the refusal of an invalid document, with all its findings.
 pub fn invalid(findings: Findings) -> ChangeRefusal {
     let mut refusal = refusal("invalid", "the document has faults; nothing was applied");
     refusal.findings = findings.iter().cloned().collect();
--- a/daemons/entry/src/serve/driver.rs
+++ b/daemons/entry/src/serve/driver.rs
@@ -263,9 +263,9 @@
                 self.release_endpoint(endpoint, outcome)
             }
             Action::ForwardToken => {}
-            Action::Drop(dropped) => self.app.metrics.dropped(drop_label(dropped)),
+            Action::Drop(dropped) => self.app.metrics.count_dropped(drop_label(dropped)),
             Action::CountRecomputed { cause, tokens } => {
-                self.app.metrics.recomputed(cause, tokens);
+                self.app.metrics.count_recomputed(cause, tokens);
                 self.note(format!("{tokens} tokens computed again: {}", cause.name()));
             }
             Action::Attach { owner, outcome } => {
--- a/daemons/gateway/src/metrics.rs
+++ b/daemons/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Numbers for the metrics address.
+//! Prometheus metrics of an entry instance.
 
 use eyre::Result;
 use prometheus::{
@@ -10,40 +10,41 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Calls by outcome.
+    /// Number of calls by outcome.
     pub calls: IntCounterVec,
-    /// Attempts by outcome.
+    /// Number of failed attempts by outcome.
     pub attempts: IntCounterVec,
-    /// Amounts that limits let in, in their units, by the reason.
-    pub admitted: CounterVec,
-    /// Connections to endpoints that were opened.
+    /// Units admitted under limits, by the reason for admission.
+    pub admitted_units: CounterVec,
+    /// Connections opened to endpoints, by service.
     pub connects: IntCounterVec,
-    /// Time to the first part of an answer.
+    /// Seconds from the head of a call to the first part of its answer.
     pub first_part: Histogram,
-    /// Time to the end of an answer.
+    /// Seconds from the head of a call to the end of its answer.
     pub whole_answer: Histogram,
-    /// Time before the first send.
+    /// Seconds from the head of a call until it is first sent to an endpoint.
     pub before_send: Histogram,
-    /// The revision of the settings in force.
+    /// The revision of the settings in force; 0 before the first.
     pub revision: IntGauge,
-    /// Time from when a control instance cut a revision into pieces until it is in force here.
+    /// Seconds from when a control instance cut a revision into pieces until it is in force here.
     pub settings_age: Histogram,
-    /// Control instances that answer this one's polls.
-    pub followed: IntGauge,
-    /// Time from when an endpoint that took calls said that it leaves or ends until it is known here.
+    /// Number of control instances that answer this instance's polls.
+    pub followed_controls: IntGauge,
+    /// Seconds from when a ready endpoint announced its departure, or ended, until it is known
+    /// here.
     pub departure_age: Histogram,
-    /// Open connections of callers.
-    pub callers: IntGauge,
-    /// Unused connections to endpoints.
-    pub idle: IntGauge,
+    /// Number of open connections of callers.
+    pub caller_connections: IntGauge,
+    /// Number of idle connections to endpoints.
+    pub idle_connections: IntGauge,
 }
 
 impl Metrics {
-    /// Makes the metrics.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
     ///
-    /// Fails when two have the same name.
+    /// Fails when two metrics have the same name.
     pub fn new() -> Result<Self> {
         let registry = Registry::new();
         let counters = |name: &str, help: &str, label: &str| -> Result<IntCounterVec> {
@@ -51,11 +52,11 @@
             registry.register(Box::new(counters.clone()))?;
             Ok(counters)
         };
-        let admitted = CounterVec::new(
+        let admitted_units = CounterVec::new(
             Opts::new("sill_gateway_admitted_total", "units that limits let in, by the reason"),
             &["by"],
         )?;
-        registry.register(Box::new(admitted.clone()))?;
+        registry.register(Box::new(admitted_units.clone()))?;
         let histogram = |name: &str, help: &str| -> Result<Histogram> {
             let buckets = exponential_buckets(0.001, 2.0, 15)?;
             let histogram = Histogram::with_opts(HistogramOpts::new(name, help).buckets(buckets))?;
@@ -70,7 +71,7 @@
         Ok(Self {
             calls: counters("sill_gateway_calls_total", "calls by outcome", "outcome")?,
             attempts: counters("sill_gateway_attempts_total", "attempts by outcome", "outcome")?,
-            admitted,
+            admitted_units,
             connects: counters("sill_gateway_connects_total", "connections opened", "service")?,
             first_part: histogram("sill_gateway_first_part_seconds", "time to the first part")?,
             whole_answer: histogram("sill_gateway_answer_seconds", "time to the whole answer")?,
@@ -83,7 +84,7 @@
                 "sill_gateway_settings_age_seconds",
                 "time from a revision's cut at control until it is in force",
             )?,
-            followed: gauge(
+            followed_controls: gauge(
                 "sill_gateway_control_followed",
                 "control instances that answer polls",
             )?,
@@ -91,13 +92,19 @@
                 "sill_gateway_departure_age_seconds",
                 "time from the departure of an endpoint until it is known here",
             )?,
-            callers: gauge("sill_gateway_caller_connections", "open connections of callers")?,
-            idle: gauge("sill_gateway_idle_connections", "unused connections to endpoints")?,
+            caller_connections: gauge(
+                "sill_gateway_caller_connections",
+                "open connections of callers",
+            )?,
+            idle_connections: gauge(
+                "sill_gateway_idle_connections",
+                "unused connections to endpoints",
+            )?,
             registry,
         })
     }
 
-    /// Returns all metrics as text.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
--- a/daemons/gateway/src/serve.rs
+++ b/daemons/gateway/src/serve.rs
@@ -14,71 +14,72 @@
 
 use crate::dialect::CallHead;
 use crate::dispatch;
-use crate::ending::{ByStop, Phase};
 use crate::failure::Failure;
+use crate::planned_stop::InsufficientTime;
 use crate::state::{PoolState, State};
-use crate::stopping::TooLate;
+use crate::termination::{FinalPhase, StopOutcome};
 
-/// Bytes of a body where settings name no bound.
+/// Size limit of a body in bytes if the settings name none.
 const MAX_BODY: usize = 4 << 20;
 
-/// When to come back to an instance that knows no settings yet; it learns them in half a second.
-const UNTIL_SETTINGS: Millis = Millis(1000);
+/// Retry time of an instance that has no settings yet; it receives them within half a second.
+const RETRY_WITHOUT_SETTINGS: Millis = Millis(1000);
 
-/// Time that a call waits for the first settings, and for the first totals: control instances that start together with this one
-/// need as long until they have elected a leader.
+/// Time that a call waits for the first settings, and for the first totals. Control instances that
+/// start together with this instance take as long to elect a leader.
 const START_WAIT: Millis = Millis(1200);
 
-/// The part of a caller's time that it waits at most for either, so that there is enough left to be
-/// served.
-const START_PART: u64 = 4;
+/// A call waits for either at most one part in this many of the time until its deadline, so that
+/// enough is left to serve it.
+const START_WAIT_DIVISOR: u64 = 4;
 
-/// When to come back for a service that has no endpoint yet.
-const UNTIL_ENDPOINT: Millis = Millis(1000);
+/// Retry time for a service that has no endpoint yet.
+const RETRY_WITHOUT_ENDPOINT: Millis = Millis(1000);
 
-/// When to come back after a refusal by an instance that stops. A new connection mostly goes to another one.
+/// Retry time after a refusal by a stopping instance. A new connection usually reaches another one.
 ///
-/// Told to wait until this instance is back, callers lost fewer requests but more time: with 57 and then 75
-/// of 83 instances stopping at once, 582 were lost in place of 2,021, and 46,567 answered within their
-/// targets in place of 48,055; to callers a late answer is worth a tenth.
-pub const ELSEWHERE: Millis = Millis(50);
+/// When callers were told to wait until this instance is back, they lost fewer requests but more
+/// time: with 57 and then 75 of 83 instances stopping at once, 582 requests were lost instead of
+/// 2,021, but 46,567 were answered within their targets instead of 48,055. To callers a late answer
+/// is worth a tenth.
+pub const RETRY_ELSEWHERE_AFTER: Millis = Millis(50);
 
 /// An admitted call.
 #[derive(Debug)]
 pub struct Call {
-    /// What it says of itself.
+    /// The routing information from the call's head.
     pub head: CallHead,
-    /// Its method.
+    /// The HTTP method, sent on unchanged.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query, sent on unchanged.
     pub uri: Uri,
-    /// Its headers.
+    /// The caller's headers, before the dialect adapts them for an endpoint.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
-    /// Its route.
+    /// The route that matched host and path.
     pub route: Arc<RouteEntry>,
-    /// Its account.
+    /// The client account of the caller's key; none for an anonymous call.
     pub account: Option<Arc<AccountEntry>>,
-    /// What it takes of the account's limit.
+    /// The units taken from the account's limit; refunded if the call does not run.
     pub amount: f64,
-    /// The endpoints of its service.
+    /// The endpoints of the service that was drawn for the call.
     pub pool: Arc<PoolState>,
-    /// Its prompt; empty for a call without one.
+    /// The prompt; empty for a call without one.
     pub prompt: Arc<Prompt>,
-    /// Its rank; 0 goes first.
+    /// The priority rank; 0 is served first.
     pub urgency: u8,
-    /// When its head had been read.
-    pub arrived: Millis,
-    /// When its answer must be whole.
+    /// When the head of the call was read.
+    pub received_at: Millis,
+    /// The deadline for the complete answer.
     pub due: Millis,
-    /// How its answer is passed on.
-    pub begin: AnswerMode,
+    /// Whether the answer is relayed as it arrives or once it is complete.
+    pub answer_mode: AnswerMode,
 }
 
-/// Answers a caller.
-pub async fn call(state: Arc<State>, req: Request<Incoming>) -> Response<AnyBody> {
-    let arrived = state.clock.now();
+/// Reads, admits and serves one call, and returns the response.
+pub async fn serve_call(state: Arc<State>, req: Request<Incoming>) -> Response<AnyBody> {
+    let received_at = state.clock.now();
     let (parts, body) = req.into_parts();
     let mut head = state.cfg.dialect.read(&parts);
     if head.attempt.is_empty() {
@@ -86,43 +87,44 @@
     }
     let attempt = head.attempt.clone();
     let admitted = tokio::select! {
-        // What comes after the last answers began is refused before it is sent anywhere.
+        // Once the last answers are being sent, a call is refused before it is sent to an endpoint.
         biased;
-        () = state.ending.begins(Phase::LastAnswers) => Err(Refused::by_stop(&state, "not read by the end".to_owned())),
-        admitted = admit(&state, head, parts, body, arrived) => admitted,
+        () = state.termination.wait_for(FinalPhase::LastAnswers) =>
+            Err(Refusal::by_stop(&state, "request incomplete at the end of the stop".to_owned())),
+        admitted = admit(&state, head, parts, body, received_at) => admitted,
     };
     match admitted {
         Ok(call) => dispatch::run(state, Arc::new(call)).await,
-        Err(refused) => refused.answer(&state, &attempt, arrived),
+        Err(refusal) => refusal.answer(&state, &attempt, received_at),
     }
 }
 
-/// A call that was not admitted, with what decided it.
-struct Refused {
+/// The refusal of a call that was not admitted, with the reason.
+struct Refusal {
     failure: Failure,
     route: Name,
     account: Name,
-    why: &'static str,
-    /// What decided it, where that is more than the call itself.
+    reason: &'static str,
+    /// The figures behind the decision, beyond the call itself.
     inputs: String,
 }
 
-impl Refused {
-    fn new(code: ErrorCode, why: &'static str) -> Self {
+impl Refusal {
+    fn new(code: ErrorCode, reason: &'static str) -> Self {
         let none = Name::default();
         let inputs = String::new();
-        Self { failure: Failure::new(code), route: none.clone(), account: none, why, inputs }
+        Self { failure: Failure::new(code), route: none.clone(), account: none, reason, inputs }
     }
 
-    /// Makes the refusal of a call for which the process doesn't last.
+    /// Creates the refusal of a call that may outlast the process.
     fn by_stop(state: &State, inputs: String) -> Self {
-        state.ending.count(ByStop::Refused);
-        let failure = Failure::back_in(ErrorCode::NoCapacity, ELSEWHERE);
+        state.termination.record(StopOutcome::Refused);
+        let failure = Failure::with_retry_after(ErrorCode::NoCapacity, RETRY_ELSEWHERE_AFTER);
         Self { failure, inputs, ..Self::new(ErrorCode::NoCapacity, "stopping") }
     }
 
-    fn answer(&self, state: &State, attempt: &Name, arrived: Millis) -> Response<AnyBody> {
-        state.metrics.calls.with_label_values(&[self.why]).inc();
+    fn answer(&self, state: &State, attempt: &Name, received_at: Millis) -> Response<AnyBody> {
+        state.metrics.calls.with_label_values(&[self.reason]).inc();
         event!(
             Warn,
             "call_refused",
@@ -130,13 +132,13 @@
             route = self.route,
             account = self.account,
             status = self.failure.status().as_u16(),
-            why = self.why,
+            why = self.reason,
             inputs = self.inputs,
             retry_after_ms = self.failure.retry_after.unwrap_or_default(),
             revision = state.metrics.revision.get(),
-            ms = state.clock.now() - arrived
+            ms = state.clock.now() - received_at
         );
-        self.failure.answer(state, attempt)
+        self.failure.to_response(state, attempt)
     }
 }
 
@@ -145,47 +147,50 @@
     head: CallHead,
     parts: Parts,
     body: Incoming,
-    arrived: Millis,
-) -> Result<Call, Refused> {
+    received_at: Millis,
+) -> Result<Call, Refusal> {
     let Some(table) = settings(state, &head).await else {
-        let failure = Failure::back_in(ErrorCode::NoCapacity, UNTIL_SETTINGS);
-        return Err(Refused { failure, ..Refused::new(ErrorCode::NoCapacity, "no_settings") });
+        let failure = Failure::with_retry_after(ErrorCode::NoCapacity, RETRY_WITHOUT_SETTINGS);
+        return Err(Refusal { failure, ..Refusal::new(ErrorCode::NoCapacity, "no_settings") });
     };
-    let Some(route) = find(&table, &head, &parts) else {
-        return Err(Refused::new(ErrorCode::NotFound, "no_route"));
+    let Some(route) = find_route(&table, &head, &parts) else {
+        return Err(Refusal::new(ErrorCode::NotFound, "no_route"));
     };
     let account = account_of(&table, &head, &route)?;
-    let body = read(&table, body).await?;
+    let body = read_body(&table, body).await?;
     let service = route.service(rand::random::<f64>()).clone();
     let Some(pool) = state.pool(&service) else {
-        let failure = Failure::back_in(ErrorCode::NoCapacity, UNTIL_ENDPOINT);
-        let refused = Refused::new(ErrorCode::NoCapacity, "no_pool");
-        return Err(Refused { failure, route: route.name.clone(), ..refused });
+        let failure = Failure::with_retry_after(ErrorCode::NoCapacity, RETRY_WITHOUT_ENDPOINT);
+        let refusal = Refusal::new(ErrorCode::NoCapacity, "no_pool");
+        return Err(Refusal { failure, route: route.name.clone(), ..refusal });
     };
     let timeout = route.route.timeout_ms;
-    let left = head.deadline.map_or(timeout, |deadline| deadline.min(timeout));
-    let due = arrived + left;
-    // Begun too late, the call would be cut off in the middle, and could not be sent again.
-    let begin = state.stopping.begin(&head.attempt, &route.name, due).map_err(|late| {
-        let TooLate { left, usual } = late;
-        let (due, usual) = (due - arrived, usual.unwrap_or_default());
-        let inputs = format!("{left} ms until the end, {due} ms for the call, usually {usual}");
-        Refused { route: route.name.clone(), ..Refused::by_stop(state, inputs) }
+    let time_left = head.deadline.map_or(timeout, |deadline| deadline.min(timeout));
+    let due = received_at + time_left;
+    // A call that is admitted too late would be cut in the middle, and could not be repeated.
+    let answer_mode = state.planned_stop.admit(&head.attempt, &route.name, due).map_err(|err| {
+        let InsufficientTime { time_left, usual_duration } = err;
+        let (due, usual_duration) = (due - received_at, usual_duration.unwrap_or_default());
+        let inputs = format!(
+            "{time_left} ms to the end, {due} ms to the deadline, usually {usual_duration} ms"
+        );
+        Refusal { route: route.name.clone(), ..Refusal::by_stop(state, inputs) }
     })?;
-    let amount = amount(&head, account.as_deref());
+    let amount = limit_units(&head, account.as_deref());
     if let Some(account) = &account {
-        // An instance that has just started doesn't know what it admitted before, nor what others do.
+        // An instance that has just started doesn't know what it admitted before, nor what others
+        // admit.
         state.first_totals(&account.name, amount, start_wait(&head), START_WAIT).await;
     }
     if let Some(account) = &account
-        && let Err(over) = state.admit(&account.name, amount)
+        && let Err(over_limit) = state.admit(&account.name, amount)
     {
-        return Err(Refused {
-            failure: Failure::back_in(ErrorCode::LimitReached, over.retry_after),
-            inputs: format!("{amount:.0} of {over}"),
+        return Err(Refusal {
+            failure: Failure::with_retry_after(ErrorCode::LimitReached, over_limit.retry_after),
+            inputs: format!("{amount:.0} of {over_limit}"),
             route: route.name.clone(),
             account: account.name.clone(),
-            why: "over_limit",
+            reason: "over_limit",
         });
     }
     let urgency = account.as_ref().and_then(|account| account.account.urgency);
@@ -201,14 +206,15 @@
         prompt: Arc::new(head.prompt.clone().unwrap_or_default()),
         route,
         head,
-        arrived,
+        received_at,
         due,
-        begin,
+        answer_mode,
     })
 }
 
-/// Returns the settings in force. An instance that has just started knows none for half a second;
-/// a caller that it refused would come back a second later, when it could long have been served.
+/// Returns the settings in force. An instance that has just started has none for half a second. A
+/// caller that it refused would retry a second later, although it could have been served long
+/// before.
 async fn settings(state: &State, head: &CallHead) -> Option<Arc<RouteTable>> {
     if let Some(table) = state.table() {
         return Some(table);
@@ -216,17 +222,17 @@
     state.first_table(start_wait(head)).await
 }
 
-/// Returns how long a call waits for what an instance that has just started is not told yet.
+/// Returns how long a call waits for data that an instance that has just started lacks.
 fn start_wait(head: &CallHead) -> Millis {
-    let left = head.deadline.unwrap_or(Millis::MAX);
-    Millis(left.0 / START_PART).min(START_WAIT)
+    let time_left = head.deadline.unwrap_or(Millis::MAX);
+    Millis(time_left.0 / START_WAIT_DIVISOR).min(START_WAIT)
 }
 
-/// Finds the route by host, with or without its port, and path.
-fn find(table: &RouteTable, head: &CallHead, parts: &Parts) -> Option<Arc<RouteEntry>> {
+/// Finds the route by path and host, with or without the host's port.
+fn find_route(table: &RouteTable, head: &CallHead, parts: &Parts) -> Option<Arc<RouteEntry>> {
     let path = parts.uri.path();
-    let bare = head.host.split_once(':').map(|(host, _)| host);
-    let route = table.find(&head.host, path).or_else(|| table.find(bare?, path));
+    let bare_host = head.host.split_once(':').map(|(host, _)| host);
+    let route = table.find(&head.host, path).or_else(|| table.find(bare_host?, path));
     route.cloned()
 }
 
@@ -234,31 +240,31 @@
     table: &RouteTable,
     head: &CallHead,
     route: &RouteEntry,
-) -> Result<Option<Arc<AccountEntry>>, Refused> {
-    let known = head.key.as_ref().and_then(|key| table.account_of(key)).cloned();
-    if known.is_none() && table.has_accounts() && !route.route.anonymous {
-        let refused = Refused::new(ErrorCode::Unauthorized, "unknown_key");
-        return Err(Refused { route: route.name.clone(), ..refused });
+) -> Result<Option<Arc<AccountEntry>>, Refusal> {
+    let account = head.key.as_ref().and_then(|key| table.account_of(key)).cloned();
+    if account.is_none() && table.has_accounts() && !route.route.anonymous {
+        let refusal = Refusal::new(ErrorCode::Unauthorized, "unknown_key");
+        return Err(Refusal { route: route.name.clone(), ..refusal });
     }
-    Ok(known)
+    Ok(account)
 }
 
-async fn read(table: &RouteTable, body: Incoming) -> Result<Bytes, Refused> {
+async fn read_body(table: &RouteTable, body: Incoming) -> Result<Bytes, Refusal> {
     let limit = table.bounds.body_bytes.map_or(MAX_BODY, |bytes| bytes as usize);
     if body.size_hint().lower() > limit as u64 {
-        return Err(Refused::new(ErrorCode::TooLarge, "body_too_large"));
+        return Err(Refusal::new(ErrorCode::TooLarge, "body_too_large"));
     }
     match Limited::new(body, limit).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(body) => Ok(body.to_bytes()),
         Err(err) if err.is::<LengthLimitError>() => {
-            Err(Refused::new(ErrorCode::TooLarge, "body_too_large"))
+            Err(Refusal::new(ErrorCode::TooLarge, "body_too_large"))
         }
-        Err(_) => Err(Refused::new(ErrorCode::BadRequest, "body_not_whole")),
+        Err(_) => Err(Refusal::new(ErrorCode::BadRequest, "body_not_whole")),
     }
 }
 
-/// Returns what a call takes of its account's limit.
-fn amount(head: &CallHead, account: Option<&AccountEntry>) -> f64 {
+/// Returns the units that a call takes from its account's limit: tokens, or 1 per request.
+fn limit_units(head: &CallHead, account: Option<&AccountEntry>) -> f64 {
     let Some(account) = account else { return 0.0 };
     let limit = account.account.limit.unwrap_or_default();
     if limit.tokens_per_s.is_none() {
