--- a/daemons/control/src/log/driver.rs
+++ b/daemons/control/src/log/driver.rs
@@ -257,7 +257,7 @@
         match action {
             Action::Persist(write) => {
                 let start = Instant::now();
-                let disk = self.disk.as_mut().ok_or(WriteError::Broken)?;
+                let disk = self.disk.as_mut().ok_or(WriteError::ReopenRequired)?;
                 disk.write(write)?;
                 self.metrics.append_seconds.observe(start.elapsed().as_secs_f64());
             }
@@ -371,7 +371,7 @@
         // After a failed sync the commands may or may not be on the disk.
         let proposal_result = match err {
             WriteError::Full => SubmitResult::NotLeader,
-            WriteError::Io(_) | WriteError::Broken => SubmitResult::Unknown,
+            WriteError::Io(_) | WriteError::ReopenRequired => SubmitResult::Unknown,
         };
         for reply in std::mem::take(&mut self.proposals).into_values().flatten() {
             let _ = reply.send(proposal_result.clone());
