--- a/daemons/entry/src/settings.rs
+++ b/daemons/entry/src/settings.rs
@@ -6,7 +6,7 @@
 
 use parking_lot::RwLock;
 use sill_base::{Findings, Name, Promise, assert_promise};
-use sill_tree::{Document, Effective, Tree};
+use sill_tree::{Document, EffectiveSettings, Tree};
 use sill_wire::control::Revision;
 use sill_wire::feed::{Change, FeedReply};
 use tokio::sync::watch;
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub struct SettingsState {
     tree: Tree,
-    effective: Arc<Effective>,
+    effective: Arc<EffectiveSettings>,
     /// The latest change of each subtree as it was received, for snapshots.
     latest: BTreeMap<Name, Change>,
     /// The latest changes, with consecutive revisions, up to [`MAX_RECENT_CHANGES`].
@@ -85,7 +85,7 @@
     }
 
     /// Returns the effective settings, with inherited values resolved, as requests use them.
-    pub fn effective(&self) -> &Arc<Effective> {
+    pub fn effective(&self) -> &Arc<EffectiveSettings> {
         &self.effective
     }
 
@@ -156,7 +156,7 @@
         let mut next = Self::default().with_changes(parsed);
         next.recent.clear();
         next.tree.revision = revision.0;
-        next.effective = Arc::new(Effective::of(&next.tree));
+        next.effective = Arc::new(EffectiveSettings::of(&next.tree));
         ApplyOutcome { next: Some(next), error: None }
     }
 
@@ -182,7 +182,7 @@
         }
         let surplus = recent.len().saturating_sub(MAX_RECENT_CHANGES);
         recent.drain(..surplus);
-        let effective = Arc::new(Effective::of(&tree));
+        let effective = Arc::new(EffectiveSettings::of(&tree));
         Self { tree, effective, latest, recent }
     }
 }
@@ -201,7 +201,7 @@
     }
 
     /// Returns the effective settings of the active revision.
-    pub fn current(&self) -> Arc<Effective> {
+    pub fn current(&self) -> Arc<EffectiveSettings> {
         self.state.read().effective.clone()
     }
 
--- a/state/tree/src/lib.rs
+++ b/state/tree/src/lib.rs
@@ -1,4 +1,5 @@
-//! The settings tree: one subtree for each team, typed, inherited downwards, with revisions.
+//! The settings tree: a typed document for each subtree, validated on each change, inherited by the
+//! subtrees below and versioned by revisions.
 
 pub mod check;
 pub mod document;
@@ -16,9 +17,9 @@
 pub use document::{
     Account, CallRule, Document, KeyHash, LatencyTarget, Limit, Placement, Service,
 };
-pub use effective::{Effective, EffectiveAccount, EffectiveService};
+pub use effective::{EffectiveAccount, EffectiveService, EffectiveSettings};
 pub use json::read_json;
-pub use owner::{Operator, redacted};
+pub use owner::{Operator, redact};
 pub use pieces::PieceId;
 pub use route::{CallerBounds, CapacityRange, Engine, Pool, Route, RouteKind, Share};
 pub use stored::{DocumentText, StoredDocument};
