--- a/bench/load/src/cli.rs
+++ b/bench/load/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the load tool.
+//! Command line of the load generator.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
 use crate::report::Report;
 use crate::run::{self, LoadCfg, Pace};
 
-/// Requests under way where neither a rate nor a number is asked for.
-const CONCURRENCY: usize = 8;
+/// Requests in flight when neither `--rate` nor `--concurrency` is given.
+const DEFAULT_CONCURRENCY: usize = 8;
 
-/// `sill-load`.
+/// Flags and help of `sill-load`.
 pub const LOAD: Program = Program {
     name: "sill-load",
     about: "sends requests and checks every answer; `plot F.json` draws a report into F.svg",
@@ -27,15 +27,15 @@
         Flag::many("entry", "IP:PORT", "entry instance to send to"),
         Flag::one("key", "KEY", "the caller's key; others on the machine can read it here"),
         Flag::one("key-file", "FILE", "file with the caller's key"),
-        Flag::one("rate", "R", "requests a second, whether or not earlier ones are answered"),
-        Flag::one("concurrency", "N", "requests under way at once, in place of a rate"),
-        Flag::with_default("seconds", "S", "10", "how long to send"),
-        Flag::one("mix", "FILE", "JSON file with kinds of requests and their weights"),
+        Flag::one("rate", "R", "requests per second, whether or not earlier ones were answered"),
+        Flag::one("concurrency", "N", "requests in flight at once, instead of a rate"),
+        Flag::with_default("seconds", "S", "10", "how long to send requests"),
+        Flag::one("mix", "FILE", "JSON file with the kinds of requests and their weights"),
         Flag::one("json", "FILE", "file to write the report to"),
-        Flag::with_default("threads", "N", "1", "threads that send"),
-        Flag::with_default("model", "NAME", "desk-7b", "the model asked for, without a mix"),
-        Flag::with_default("max-tokens", "N", "32", "tokens of an answer, without a mix"),
-        Flag::with_default("prompt-words", "N", "100", "words of a prompt, without a mix"),
+        Flag::with_default("threads", "N", "1", "number of sending threads"),
+        Flag::with_default("model", "NAME", "desk-7b", "requested model, unless --mix is given"),
+        Flag::with_default("max-tokens", "N", "32", "tokens per answer, unless --mix is given"),
+        Flag::with_default("prompt-words", "N", "100", "words per prompt, unless --mix is given"),
     ],
 };
 
@@ -97,7 +97,7 @@
             values.finding("concurrency", "expected at least 1");
             None
         }
-        (None, concurrency) => Some(Pace::Concurrency(concurrency.unwrap_or(CONCURRENCY))),
+        (None, concurrency) => Some(Pace::Concurrency(concurrency.unwrap_or(DEFAULT_CONCURRENCY))),
         (Some(_), Some(_)) => {
             values.finding("rate", "expected either this or --concurrency");
             None
@@ -132,11 +132,12 @@
     }
 }
 
-/// Runs the tool.
+/// Runs the load generator, or the subcommand `fleet` or `experiment`.
 ///
 /// # Errors
 ///
-/// Fails when a flag is wrong or an answer was not whole.
+/// Fails when a flag is invalid, a file can't be read or written, or the answer to an accepted
+/// request was truncated or wrong.
 pub fn run(words: Vec<String>) -> Result<()> {
     match words.first().map(String::as_str) {
         Some("fleet") => return fleet::run(words[1..].to_vec()),
@@ -159,7 +160,7 @@
         fs::write(&file, text).wrap_err_with(|| file.display().to_string())?;
     }
     if report.broken() > 0 {
-        bail!("{} accepted requests were not answered whole", report.broken());
+        bail!("{} accepted requests got a truncated or wrong answer", report.broken());
     }
     Ok(())
 }
--- a/bench/load/src/exchange.rs
+++ b/bench/load/src/exchange.rs
@@ -1,4 +1,7 @@
-//! One request and its answer, read piece by piece and checked against the pure function.
+//! Sends one request and checks its answer, chunk by chunk, against the expected answer.
+//!
+//! Stand-in endpoints compute their answers as a pure function of the request, so the expected
+//! answer is known here.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,23 +18,23 @@
 
 use crate::sse::SseReader;
 
-/// How long a whole exchange may take.
-const TIMEOUT: ntex::time::Millis = ntex::time::Millis(120_000);
+/// Timeout of a whole exchange, from sending the request to the end of the answer.
+const EXCHANGE_TIMEOUT: ntex::time::Millis = ntex::time::Millis(120_000);
 
-/// What is asked for.
+/// Content of a request.
 #[derive(Debug, Clone)]
 pub enum Content {
-    /// A model's answer; the body has the OpenAI shape.
+    /// A chat completion; the body has the OpenAI format.
     Chat(Value),
     /// A call of a plain service.
     Plain {
-        /// The method.
+        /// HTTP method.
         method: Method,
-        /// The service.
+        /// Name of the service.
         service: Name,
-        /// The path below the service, starting with `/`.
+        /// Path below the service, starting with `/`.
         path: String,
-        /// The body.
+        /// Request body.
         body: String,
     },
 }
@@ -39,59 +42,59 @@
 /// A request to an entry instance.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// What is asked for.
+    /// The chat completion or service call.
     pub content: Content,
-    /// Headers besides the key.
+    /// Headers besides the one with the caller's key.
     pub headers: Vec<Header>,
 }
 
-/// How an exchange ended.
+/// Outcome of an exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Ending {
-    /// The whole right answer came.
+    /// The answer is complete and correct.
     Whole,
-    /// It was accepted, and what came of the answer is right, but the rest is missing.
+    /// The request was accepted, but the answer is truncated; the received part is correct.
     Cut,
-    /// It was accepted, and something came that is not the answer.
+    /// The request was accepted, but the received data is not the expected answer.
     Wrong,
-    /// It was refused with an error answer.
+    /// The request was refused with an error response.
     Refused,
-    /// No answer came.
+    /// No response was received.
     NoAnswer,
 }
 
-/// What came of a request.
+/// Result of a request.
 #[derive(Debug, Clone)]
 pub struct Exchange {
-    /// How it ended.
+    /// Outcome.
     pub ending: Ending,
-    /// The status code, or 0 without an answer.
+    /// HTTP status code, or 0 without a response.
     pub status: u16,
-    /// The name that the entry gave the request.
+    /// Request id assigned by the entry instance; empty without a response.
     pub request_id: Name,
-    /// Whether a refusal was certified as not run.
+    /// Whether the response certifies that the request was not run.
     pub not_run: bool,
-    /// The code of a refusal.
+    /// Error code of a refusal, or empty.
     pub code: Name,
-    /// Whether a refusal told when to come back.
+    /// Whether the response has a `Retry-After` header.
     pub retry_after: bool,
-    /// Tokens that came.
+    /// Correct tokens received.
     pub tokens: u32,
-    /// Time to the first token of a streamed answer.
+    /// Time to first token of a streamed answer.
     pub ttft: Option<Duration>,
-    /// Times between two pieces of a streamed answer.
+    /// Times between consecutive chunks of a streamed answer.
     pub gaps: Vec<Duration>,
-    /// Time to the end.
+    /// Time to the end of the exchange.
     pub total: Duration,
 }
 
 impl Request {
-    /// Makes a request for a model's answer.
+    /// Creates a chat completion request.
     pub fn chat(body: Value) -> Self {
         Self { content: Content::Chat(body), headers: Vec::new() }
     }
 
-    /// Adds a header.
+    /// Adds a header and returns the request.
     pub fn with(mut self, name: &str, value: &str) -> Self {
         self.headers.push(Header { name: name.to_owned(), value: value.to_owned() });
         self
@@ -99,7 +102,7 @@
 }
 
 impl Exchange {
-    fn begin() -> Self {
+    fn without_answer() -> Self {
         Self {
             ending: Ending::NoAnswer,
             status: 0,
@@ -115,8 +118,10 @@
     }
 }
 
-/// Sends a request and reads its answer. Times count from `since`, so that a load with a fixed
-/// rate also counts the time that a request was late in being sent.
+/// Sends a request and checks its answer.
+///
+/// Times count from `since`, the time at which the request was due, so that a load with a fixed
+/// rate includes the delay before the request was sent.
 pub async fn run(
     http: &Client,
     entry: SocketAddr,
@@ -124,8 +129,11 @@
     request: &Request,
     since: Instant,
 ) -> Exchange {
-    let mut exchange = Exchange::begin();
-    let ended = ntex::time::timeout(TIMEOUT, talk(http, entry, key, request, since, &mut exchange));
+    let mut exchange = Exchange::without_answer();
+    let ended = ntex::time::timeout(
+        EXCHANGE_TIMEOUT,
+        send_and_check(http, entry, key, request, since, &mut exchange),
+    );
     if ended.await.is_err() && exchange.status == 200 {
         exchange.ending = Ending::Cut;
     }
@@ -133,7 +141,7 @@
     exchange
 }
 
-async fn talk(
+async fn send_and_check(
     http: &Client,
     entry: SocketAddr,
     key: &Secret,
@@ -167,11 +175,11 @@
     }
     exchange.ending = match &request.content {
         Content::Chat(body) => match ChatSummary::read(body) {
-            Ok(summary) if summary.stream => streamed(res, &summary, since, exchange).await,
-            Ok(summary) => whole(res, &summary, exchange).await,
+            Ok(summary) if summary.stream => check_stream(res, &summary, since, exchange).await,
+            Ok(summary) => check_body(res, &summary, exchange).await,
             Err(_) => Ending::Wrong,
         },
-        Content::Plain { method, path, body, .. } => plain(res, method, path, body).await,
+        Content::Plain { method, path, body, .. } => check_plain(res, method, path, body).await,
     };
 }
 
@@ -183,14 +191,14 @@
     exchange.retry_after = text(header::RETRY_AFTER).is_some();
 }
 
-/// Returns the code of an error answer, empty where it has none.
+/// Returns the error code of an error response, or an empty name if it has none.
 async fn error_code(res: ClientResponse) -> Name {
     let body = res.body().await.unwrap_or_default();
     let body: Value = serde_json::from_slice(&body).unwrap_or_default();
     body.pointer("/error/code").and_then(Value::as_str).unwrap_or_default().into()
 }
 
-async fn streamed(
+async fn check_stream(
     mut res: ClientResponse,
     summary: &ChatSummary,
     since: Instant,
@@ -218,7 +226,7 @@
             let Some(content) = content.filter(|text| !text.is_empty()) else {
                 continue;
             };
-            if !takes_next(&answer, content, &mut exchange.tokens) {
+            if !consume_tokens(&answer, content, &mut exchange.tokens) {
                 return Ending::Wrong;
             }
             let now = Instant::now();
@@ -232,9 +240,9 @@
     Ending::Cut
 }
 
-/// Takes the tokens of a piece, of which an engine may put several into one, and returns whether
-/// they are the next ones of the answer.
-fn takes_next(answer: &Answer, mut content: &str, tokens: &mut u32) -> bool {
+/// Counts the tokens of a chunk and returns whether they are the next ones of the answer. An engine
+/// may put several tokens into one chunk.
+fn consume_tokens(answer: &Answer, mut content: &str, tokens: &mut u32) -> bool {
     while !content.is_empty() {
         let expected = answer.token(*tokens);
         let Some(rest) = content.strip_prefix(expected.as_str()) else {
@@ -246,7 +254,7 @@
     *tokens <= answer.tokens
 }
 
-async fn whole(res: ClientResponse, summary: &ChatSummary, exchange: &mut Exchange) -> Ending {
+async fn check_body(res: ClientResponse, summary: &ChatSummary, exchange: &mut Exchange) -> Ending {
     let Ok(body) = res.body().await else {
         return Ending::Cut;
     };
@@ -260,7 +268,7 @@
     Ending::Wrong
 }
 
-async fn plain(res: ClientResponse, method: &Method, path: &str, body: &str) -> Ending {
+async fn check_plain(res: ClientResponse, method: &Method, path: &str, body: &str) -> Ending {
     let Ok(reply) = res.body().await else {
         return Ending::Cut;
     };
@@ -268,8 +276,8 @@
         return Ending::Wrong;
     };
     let echo = blake3::hash(body.as_bytes()).to_hex();
-    let is_ours = reply["method"] == method.as_str()
+    let is_right = reply["method"] == method.as_str()
         && reply["path"] == path
         && reply["body"] == echo.as_str();
-    if is_ours { Ending::Whole } else { Ending::Wrong }
+    if is_right { Ending::Whole } else { Ending::Wrong }
 }
--- a/bench/load/src/experiment/figures.rs
+++ b/bench/load/src/experiment/figures.rs
@@ -9,10 +9,10 @@
 use super::traffic::Mix;
 
 /// The time between tokens that is aimed for, in microseconds.
-const TOKEN_TARGET: Micros = 29_000;
+const BETWEEN_TOKENS_TARGET_US: Micros = 29_000;
 
 /// Length of a span of the time line.
-const SPAN: Micros = 10_000_000;
+const SPAN_US: Micros = 10_000_000;
 
 /// Tokens that had been computed before, by why they were computed again.
 #[derive(Debug, Default, Clone, Copy, Serialize)]
@@ -104,13 +104,13 @@
 impl Figures {
     /// Starts with nothing counted.
     pub fn new(mix: Mix, length: Millis) -> Self {
-        const LONGEST: Micros = 3_600_000_000;
-        let times = || Histogram::new_with_bounds(1, LONGEST, 3).expect("valid bounds");
+        const MAX_TIME_US: Micros = 3_600_000_000;
+        let times = || Histogram::new_with_bounds(1, MAX_TIME_US, 3).expect("valid bounds");
         Self {
             mix,
             ttft: times(),
             between: times(),
-            spans: vec![Span::default(); (length.0 * 1000 / SPAN) as usize + 1],
+            spans: vec![Span::default(); (length.0 * 1000 / SPAN_US) as usize + 1],
             recompute: Recompute::default(),
             prompt_tokens: 0,
             computed_tokens: 0,
@@ -120,46 +120,47 @@
         }
     }
 
-    pub(crate) fn arrived(&mut self, now: Micros) {
-        self.span(now).arrived += 1;
+    pub(crate) fn record_arrival(&mut self, now: Micros) {
+        self.span_at(now).arrived += 1;
     }
 
-    pub(crate) fn active(&mut self, now: Micros, active: usize, slots: u32) {
+    pub(crate) fn record_active(&mut self, now: Micros, active: usize, slots: u32) {
         let percent = active as u64 * 100 / u64::from(slots);
-        let span = self.span(now);
+        let span = self.span_at(now);
         span.fullest = span.fullest.max(percent);
     }
 
-    pub(crate) fn sampled(&mut self, now: Micros, running: u32, slots: u32) {
-        let span = self.span(now);
+    pub(crate) fn record_load(&mut self, now: Micros, running: u32, slots: u32) {
+        let span = self.span_at(now);
         span.used_slots += u64::from(running);
         span.slots += u64::from(slots);
     }
 
-    pub(crate) fn first_token(&mut self, now: Micros, ttft: Micros) {
+    pub(crate) fn record_first_token(&mut self, now: Micros, ttft: Micros) {
         self.ttft.saturating_record(ttft);
-        let span = self.span(now);
+        let span = self.span_at(now);
         span.worst_ttft_ms = span.worst_ttft_ms.max(ttft / 1000);
     }
 
-    pub(crate) fn answered(&mut self, now: Micros, ttft: Micros, between: Micros) {
+    pub(crate) fn record_answer(&mut self, now: Micros, ttft: Micros, between: Micros) {
         self.between.saturating_record(between);
-        let in_time = (ttft as f64) < self.mix.ttft_target_ms() * 1000.0 && between < TOKEN_TARGET;
-        let span = self.span(now);
+        let in_time = (ttft as f64) < self.mix.ttft_target_ms() * 1000.0
+            && between < BETWEEN_TOKENS_TARGET_US;
+        let span = self.span_at(now);
         span.answered += 1;
         span.in_time += u64::from(in_time);
     }
 
-    pub(crate) fn refused(&mut self, now: Micros, priority: Priority) {
+    pub(crate) fn record_refusal(&mut self, now: Micros, priority: Priority) {
         self.refused[priority as usize] += 1;
-        self.span(now).refused += 1;
+        self.span_at(now).refused += 1;
     }
 
-    pub(crate) fn lost(&mut self, now: Micros) {
-        self.span(now).lost += 1;
+    pub(crate) fn record_loss(&mut self, now: Micros) {
+        self.span_at(now).lost += 1;
     }
 
-    pub(crate) fn computed(&mut self, prompt: u64, computed: u64, recompute: Recompute) {
+    pub(crate) fn record_prefill(&mut self, prompt: u64, computed: u64, recompute: Recompute) {
         self.prompt_tokens += prompt;
         self.computed_tokens += computed;
         self.recompute.elsewhere += recompute.elsewhere;
@@ -189,9 +190,9 @@
         }
     }
 
-    fn span(&mut self, now: Micros) -> &mut Span {
+    fn span_at(&mut self, now: Micros) -> &mut Span {
         let last = self.spans.len() - 1;
-        &mut self.spans[((now / SPAN) as usize).min(last)]
+        &mut self.spans[((now / SPAN_US) as usize).min(last)]
     }
 }
 
--- a/bench/load/src/experiment/limits.rs
+++ b/bench/load/src/experiment/limits.rs
@@ -11,17 +11,17 @@
 use sill_wire::limits::DemandReport;
 
 /// Requests a second that the account may send.
-const LIMIT: f64 = 2000.0;
+const LIMIT_PER_S: f64 = 2000.0;
 
 /// Parts of the limit that callers ask for.
-const ASKED: f64 = 1.5;
+const DEMAND_FACTOR: f64 = 1.5;
 
 const STEP: Millis = Millis(10);
-const TICK: u64 = 1000;
-const ACCOUNTS: usize = 5;
+const TICK_INTERVAL_MS: u64 = 1000;
+const ACCOUNT_COUNT: usize = 5;
 
 /// Around each call: HTTP headers, JSON-RPC envelope, TCP and IP headers both ways.
-const CALL_OVERHEAD: usize = 600;
+const CALL_OVERHEAD_BYTES: usize = 600;
 
 /// How demand is spread.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -63,19 +63,19 @@
     for (entries, domains) in [(8, 4), (360, 10)] {
         for split in [Split::Equal, Split::Active, Split::Demand] {
             for spread in [Spread::Even, Spread::Skewed, Spread::Moving] {
-                rows.push(one(split, entries, domains, spread, seed));
+                rows.push(run_split(split, entries, domains, spread, seed));
             }
         }
     }
     for (entries, domains) in [(16, 4), (40, 10), (90, 10), (180, 10), (720, 10)] {
-        rows.push(one(Split::Demand, entries, domains, Spread::Skewed, seed));
+        rows.push(run_split(Split::Demand, entries, domains, Spread::Skewed, seed));
     }
     rows
 }
 
 /// Prints the table.
 pub fn print(rows: &[LimitRow]) {
-    println!("percent of the limit, callers ask for {:.0}%", ASKED * 100.0);
+    println!("percent of the limit, callers ask for {:.0}%", DEMAND_FACTOR * 100.0);
     println!(
         "split   entries  spread    used   most in 10 s   cut: used   most   bytes/s mean   busiest"
     );
@@ -95,16 +95,16 @@
     }
 }
 
-fn one(split: Split, entries: usize, domains: usize, spread: Spread, seed: u64) -> LimitRow {
-    let mut fleet = Fleet::new(split, entries, domains, seed);
-    fleet.spread(spread, 0);
+fn run_split(split: Split, entries: usize, domains: usize, spread: Spread, seed: u64) -> LimitRow {
+    let mut fleet = EntryFleet::new(split, entries, domains, seed);
+    fleet.spread_demand(spread, 0);
     fleet.run(Millis(10_000));
     let since = fleet.admitted.len();
     for round in 0..6 {
-        fleet.spread(spread, round);
+        fleet.spread_demand(spread, round);
         fleet.run(Millis(10_000));
     }
-    let (used, most) = (fleet.used(since), fleet.most_used(since));
+    let (used, most) = (fleet.used(since), fleet.max_used(since));
     let seconds = fleet.now.as_secs_f64();
     let bytes: Vec<f64> = fleet.bytes.iter().map(|b| *b as f64 / seconds).collect();
     fleet.cut_domain(0);
@@ -120,39 +120,39 @@
         used: used * 100.0,
         most: most * 100.0,
         used_cut: fleet.used(since) * 100.0,
-        most_cut: fleet.most_used(since) * 100.0,
+        most_cut: fleet.max_used(since) * 100.0,
         bytes_mean: bytes.iter().sum::<f64>() / entries as f64,
         bytes_most: bytes.iter().copied().fold(0.0, f64::max),
     }
 }
 
 /// Entry instances over a network that can be cut, in virtual time.
-struct Fleet {
+struct EntryFleet {
     now: Millis,
     rng: Rng,
     limiters: Vec<Limiter>,
     domains: usize,
     demand: Vec<f64>,
-    cut_off: Vec<bool>,
+    is_cut_off: Vec<bool>,
     admitted: Vec<u32>,
     bytes: Vec<usize>,
 }
 
-impl Fleet {
+impl EntryFleet {
     fn new(split: Split, entries: usize, domains: usize, seed: u64) -> Self {
         Self {
             now: Millis::ZERO,
             rng: random::seeded(seed),
             limiters: (0..entries).map(|i| limiter(split, i, entries, domains)).collect(),
             demand: vec![0.0; entries],
-            cut_off: vec![false; entries],
+            is_cut_off: vec![false; entries],
             admitted: Vec::new(),
             bytes: vec![0; entries],
             domains,
         }
     }
 
-    fn spread(&mut self, spread: Spread, round: usize) {
+    fn spread_demand(&mut self, spread: Spread, round: usize) {
         let entries = self.demand.len();
         let (busy, part, from) = match spread {
             Spread::Even => (entries / 2, 0.5, 0),
@@ -163,12 +163,12 @@
         for i in 0..entries {
             let is_busy = (i + entries - from % entries) % entries < busy;
             let each = if is_busy { part / busy as f64 } else { (1.0 - part) / rest as f64 };
-            self.demand[i] = LIMIT * ASKED * each;
+            self.demand[i] = LIMIT_PER_S * DEMAND_FACTOR * each;
         }
     }
 
     fn cut_domain(&mut self, domain: usize) {
-        self.cut_off = (0..self.demand.len()).map(|i| i % self.domains == domain).collect();
+        self.is_cut_off = (0..self.demand.len()).map(|i| i % self.domains == domain).collect();
     }
 
     fn run(&mut self, span: Millis) {
@@ -176,20 +176,21 @@
         while self.now < end {
             self.now = self.now + STEP;
             self.tick();
-            self.offer();
+            self.send_requests();
         }
     }
 
     fn tick(&mut self) {
         for i in 0..self.limiters.len() {
-            if self.now.0 % TICK != (i as u64 * 70) % TICK / STEP.0 * STEP.0 {
+            if self.now.0 % TICK_INTERVAL_MS != (i as u64 * 70) % TICK_INTERVAL_MS / STEP.0 * STEP.0
+            {
                 continue;
             }
             let mut actions = Vec::new();
             self.limiters[i].step(self.now, Event::Tick, &mut actions);
             for Action::Exchange { peer: with, report } in actions {
-                let peer = self.find(&with);
-                if self.cut_off[peer] == self.cut_off[i] {
+                let peer = self.peer_index(&with);
+                if self.is_cut_off[peer] == self.is_cut_off[i] {
                     self.exchange(i, peer, report);
                 }
             }
@@ -198,32 +199,36 @@
 
     fn exchange(&mut self, caller: usize, called: usize, report: DemandReport) {
         let reply = self.limiters[called].reply(&report);
-        let bytes = CALL_OVERHEAD + size(std::slice::from_ref(&report)) + size(&reply);
+        let bytes = CALL_OVERHEAD_BYTES
+            + serialized_size(std::slice::from_ref(&report))
+            + serialized_size(&reply);
         self.bytes[caller] += bytes;
         self.bytes[called] += bytes;
         self.limiters[called].step(self.now, Event::Reports(vec![report]), &mut Vec::new());
         self.limiters[caller].step(self.now, Event::Reports(reply), &mut Vec::new());
     }
 
-    fn find(&self, peer: &Peer) -> usize {
-        let is_it = |i: &usize| match peer {
+    fn peer_index(&self, peer: &Peer) -> usize {
+        let is_peer = |i: &usize| match peer {
             Peer::Entry(wanted) => name(*i) == *wanted,
             Peer::Domain(wanted) => domain_name(*i % self.domains) == *wanted,
         };
-        (0..self.demand.len()).find(is_it).expect("nobody goes")
+        (0..self.demand.len())
+            .find(is_peer)
+            .expect("every peer is one of the simulated entry instances")
     }
 
     /// Requests come at random times, and the other accounts ask for little.
-    fn offer(&mut self) {
+    fn send_requests(&mut self) {
         let mut admitted = 0;
         for i in 0..self.limiters.len() {
             let due = self.demand[i] * STEP.as_secs_f64();
-            for _ in 0..draw(due, &mut self.rng) {
+            for _ in 0..draw_poisson(due, &mut self.rng) {
                 let verdict = self.limiters[i].admit(self.now, &account(0), Cost { tokens: 1000 });
                 admitted += u32::from(verdict == Verdict::Admit);
             }
             if self.now.0.is_multiple_of(200) {
-                for other in 1..ACCOUNTS {
+                for other in 1..ACCOUNT_COUNT {
                     self.limiters[i].admit(self.now, &account(other), Cost { tokens: 1000 });
                 }
             }
@@ -234,14 +239,14 @@
     fn used(&self, since: usize) -> f64 {
         let admitted: u32 = self.admitted[since..].iter().sum();
         let span = (self.admitted.len() - since) as f64 * STEP.as_secs_f64();
-        f64::from(admitted) / (LIMIT * span)
+        f64::from(admitted) / (LIMIT_PER_S * span)
     }
 
-    fn most_used(&self, since: usize) -> f64 {
-        const WINDOW: usize = 1000;
-        let windows = self.admitted[since..].windows(WINDOW).step_by(10);
+    fn max_used(&self, since: usize) -> f64 {
+        const WINDOW_STEPS: usize = 1000;
+        let windows = self.admitted[since..].windows(WINDOW_STEPS).step_by(10);
         let most = windows.map(|w| w.iter().sum::<u32>()).max().unwrap_or(0);
-        f64::from(most) / (LIMIT * WINDOW as f64 * STEP.as_secs_f64())
+        f64::from(most) / (LIMIT_PER_S * WINDOW_STEPS as f64 * STEP.as_secs_f64())
     }
 }
 
@@ -250,9 +255,9 @@
     let cfg = LimiterCfg { entry: name(i), domain: domain_name(own) };
     let split = SplitCfg { split, ..SplitCfg::default() };
     let mut limiter = Limiter::with_split(cfg, Incarnation(1), split);
-    let limits = (0..ACCOUNTS).map(|number| AccountLimit {
+    let limits = (0..ACCOUNT_COUNT).map(|number| AccountLimit {
         account: account(number),
-        requests_per_s: Some(LIMIT),
+        requests_per_s: Some(LIMIT_PER_S),
         tokens_per_s: None,
     });
     limiter.step(Millis::ZERO, Event::Limits(limits.collect()), &mut Vec::new());
@@ -265,7 +270,7 @@
 }
 
 /// Draws the number of requests of a step whose mean is small.
-fn draw(mean: f64, rng: &mut Rng) -> u32 {
+fn draw_poisson(mean: f64, rng: &mut Rng) -> u32 {
     let limit = (-mean).exp();
     let mut count = 0;
     let mut product: f64 = rng.random();
@@ -276,7 +281,7 @@
     count
 }
 
-fn size(reports: &[DemandReport]) -> usize {
+fn serialized_size(reports: &[DemandReport]) -> usize {
     serde_json::to_vec(reports).map_or(0, |text| text.len())
 }
 
--- a/bench/load/src/experiment/model.rs
+++ b/bench/load/src/experiment/model.rs
@@ -62,7 +62,7 @@
 
 /// What came of the passing of time.
 #[derive(Debug)]
-pub enum Signal {
+pub enum EndpointEvent {
     /// A prefill began.
     Prefill {
         /// The request.
@@ -84,9 +84,9 @@
     /// Its name.
     pub name: Name,
     /// Whether it runs.
-    pub up: bool,
+    pub is_up: bool,
     /// When it goes, once it knows.
-    pub leaving: Option<Micros>,
+    pub leaves_at: Option<Micros>,
     /// Its cache.
     pub cache: PrefixCache,
     /// Cache events that were not published yet.
@@ -107,7 +107,7 @@
 #[derive(Debug)]
 struct Prefill {
     run: Run,
-    ends: Micros,
+    ends_at: Micros,
 }
 
 #[derive(Debug)]
@@ -123,8 +123,8 @@
             name: format!("lm-{number}").into(),
             cache: PrefixCache::new(spec.cache_tokens),
             spec,
-            up: true,
-            leaving: None,
+            is_up: true,
+            leaves_at: None,
             events: Vec::new(),
             next_event: 1,
             incarnation: 1,
@@ -145,15 +145,15 @@
         self.next_event = 1;
         self.incarnation += 1;
         self.sequence = 0;
-        self.up = true;
-        self.leaving = None;
+        self.is_up = true;
+        self.leaves_at = None;
         self.progress_at = now;
     }
 
     /// Dies, and returns the requests that it held, each with the tokens already sent.
-    pub fn die(&mut self, now: Micros) -> Vec<(Run, u32)> {
+    pub fn stop(&mut self, now: Micros) -> Vec<(Run, u32)> {
         self.advance(now);
-        self.up = false;
+        self.is_up = false;
         let progress = self.progress_ms;
         let decode_ms = f64::from(self.spec.decode_ms);
         let mut lost: Vec<(Run, u32)> = Vec::new();
@@ -169,7 +169,7 @@
     }
 
     /// Takes a request.
-    pub fn offer(&mut self, run: Run) {
+    pub fn enqueue(&mut self, run: Run) {
         let behind = self.waiting.iter().position(|other| other.priority < run.priority);
         self.waiting.insert(behind.unwrap_or(self.waiting.len()), run);
     }
@@ -191,20 +191,20 @@
     }
 
     /// Carries out all that is due, and returns when something is due next.
-    pub fn work(&mut self, now: Micros, out: &mut Vec<Signal>) -> Option<Micros> {
+    pub fn work(&mut self, now: Micros, out: &mut Vec<EndpointEvent>) -> Option<Micros> {
         self.advance(now);
-        if self.prefill.as_ref().is_some_and(|p| p.ends <= now) {
+        if self.prefill.as_ref().is_some_and(|p| p.ends_at <= now) {
             let run = self.prefill.take().expect("checked").run;
             self.events.extend(self.cache.insert(&run.blocks));
             let span = f64::from(run.tokens.max(1) - 1) * f64::from(self.spec.decode_ms);
             let ends_at_progress = self.progress_ms + span;
-            out.push(Signal::FirstToken(run.clone()));
+            out.push(EndpointEvent::FirstToken(run.clone()));
             self.decoding.push(Decoding { run, ends_at_progress });
         }
         const ROUNDING_MS: f64 = 0.002;
         let progress = self.progress_ms + ROUNDING_MS;
         for ended in self.decoding.extract_if(.., |d| d.ends_at_progress <= progress) {
-            out.push(Signal::Finished(ended.run));
+            out.push(EndpointEvent::Finished(ended.run));
         }
         while self.running() < self.spec.slots as usize {
             let Some(run) = self.waiting.pop_front() else {
@@ -213,7 +213,7 @@
             self.admitted.push_back(run);
         }
         if self.prefill.is_none() {
-            self.begin_prefill(now, out);
+            self.start_prefill(now, out);
         }
         self.next_due(now)
     }
@@ -241,7 +241,7 @@
             decode_ms: self.spec.decode_ms,
             cache_tokens: self.spec.cache_tokens,
             load,
-            leaving: self.leaving.map(|at| Millis(at.saturating_sub(now) / 1000)),
+            leaving: self.leaves_at.map(|at| Millis(at.saturating_sub(now) / 1000)),
             checks_fencing: true,
         }
     }
@@ -252,7 +252,7 @@
         Load {
             running: self.running() as u32,
             queued: self.waiting.len() as u32,
-            queued_tokens: waiting.map(|run| self.uncached(run)).sum(),
+            queued_tokens: waiting.map(|run| self.uncached_tokens(run)).sum(),
             cached_tokens: self.cache.tokens(),
             age: Millis::ZERO,
         }
@@ -262,41 +262,41 @@
         self.admitted.len() + usize::from(self.prefill.is_some()) + self.decoding.len()
     }
 
-    fn uncached(&self, run: &Run) -> u64 {
+    fn uncached_tokens(&self, run: &Run) -> u64 {
         let cached = self.cache.longest_prefix(&run.blocks) * BLOCK_TOKENS;
         run.prompt_tokens.saturating_sub(cached as u64)
     }
 
-    fn begin_prefill(&mut self, now: Micros, out: &mut Vec<Signal>) {
+    fn start_prefill(&mut self, now: Micros, out: &mut Vec<EndpointEvent>) {
         let Some(run) = self.admitted.pop_front() else {
             return;
         };
         let cached_blocks = self.cache.longest_prefix(&run.blocks);
-        let tokens = self.uncached(&run).max(1);
+        let tokens = self.uncached_tokens(&run).max(1);
         let span = tokens * 1_000_000 / u64::from(self.spec.prefill_tokens_per_s);
-        out.push(Signal::Prefill { run: run.clone(), cached_blocks });
-        self.prefill = Some(Prefill { run, ends: now + span });
+        out.push(EndpointEvent::Prefill { run: run.clone(), cached_blocks });
+        self.prefill = Some(Prefill { run, ends_at: now + span });
     }
 
     /// Milliseconds of undisturbed decoding done in a millisecond.
-    fn speed(&self) -> f64 {
+    fn decode_speed(&self) -> f64 {
         let batch = self.decoding.len() as f64 / f64::from(self.spec.slots);
         let share = if self.prefill.is_some() { 1.0 - PREFILL_SHARE } else { 1.0 };
         share / (1.0 + BATCH_SLOWDOWN * batch)
     }
 
     fn advance(&mut self, now: Micros) {
-        self.progress_ms += (now - self.progress_at) as f64 / 1000.0 * self.speed();
+        self.progress_ms += (now - self.progress_at) as f64 / 1000.0 * self.decode_speed();
         self.progress_at = now;
     }
 
     fn next_due(&self, now: Micros) -> Option<Micros> {
         let first = self.decoding.iter().map(|d| d.ends_at_progress).reduce(f64::min);
-        let decoded = first.map(|ends| {
-            let left_ms = (ends - self.progress_ms).max(0.0) / self.speed();
+        let decode_end = first.map(|ends| {
+            let left_ms = (ends - self.progress_ms).max(0.0) / self.decode_speed();
             now + (left_ms * 1000.0).ceil() as Micros + 1
         });
-        let prefilled = self.prefill.as_ref().map(|p| p.ends);
-        decoded.into_iter().chain(prefilled).min()
+        let prefill_end = self.prefill.as_ref().map(|p| p.ends_at);
+        decode_end.into_iter().chain(prefill_end).min()
     }
 }
--- a/bench/load/src/experiment/overload.rs
+++ b/bench/load/src/experiment/overload.rs
@@ -6,7 +6,7 @@
 use sill_route::{PolicyCfg, PriorityBounds};
 
 use super::figures::{Figures, Row, Span};
-use super::pool::{Callers, Pool, PoolCfg, Wave};
+use super::pool::{CallerCfg, Pool, PoolCfg, Wave};
 use super::traffic::Mix;
 
 const LENGTH: Millis = Millis::from_secs(600);
@@ -14,13 +14,13 @@
 const REPLACED_AFTER: Millis = Millis::from_secs(180);
 
 /// Three in each failure domain, so that a quarter is lost.
-const ENDPOINTS: usize = 12;
+const ENDPOINT_COUNT: usize = 12;
 
 /// Seconds in a span of the time line.
 const SPAN_S: u64 = 10;
 
 /// Requests a second, in parts of the mix's rate, at which 70% of the slots are taken.
-const LOAD: f64 = 3.2;
+const LOAD_FACTOR: f64 = 3.2;
 
 /// A way to meet overload.
 #[derive(Debug, Serialize)]
@@ -50,7 +50,7 @@
     pub fullest: u64,
 }
 
-/// Runs all ways.
+/// Runs all variants.
 pub fn run(seed: u64) -> Vec<OverloadRun> {
     let no_refusal = PolicyCfg {
         load_factor: PriorityBounds::UNBOUNDED,
@@ -58,18 +58,23 @@
         pool_factor: PriorityBounds::UNBOUNDED,
         ..PolicyCfg::default()
     };
-    let impatient = Callers { patience: Millis(8_000), tries: 6, ..Callers::default() };
-    let careless = Callers { retry_budget: false, obey_retry_after: false, ..impatient };
+    let short_timeout =
+        CallerCfg { first_token_timeout: Millis(8_000), max_attempts: 6, ..CallerCfg::default() };
+    let without_retry_rules =
+        CallerCfg { retry_budget: false, obey_retry_after: false, ..short_timeout };
     let no_pool_bound =
         PolicyCfg { pool_factor: PriorityBounds::UNBOUNDED, ..PolicyCfg::default() };
-    let ways = [
-        ("all rules", PolicyCfg::default(), impatient),
-        ("no bound on the pool", no_pool_bound, impatient),
-        ("no early refusal", no_refusal.clone(), impatient),
-        ("no budget, all after 1 s", PolicyCfg::default(), careless),
-        ("none of them", no_refusal, careless),
+    let variants = [
+        ("all rules", PolicyCfg::default(), short_timeout),
+        ("no bound on the pool", no_pool_bound, short_timeout),
+        ("no early refusal", no_refusal.clone(), short_timeout),
+        ("no budget, all after 1 s", PolicyCfg::default(), without_retry_rules),
+        ("none of them", no_refusal, without_retry_rules),
     ];
-    ways.into_iter().map(|(name, policy, callers)| one(name, policy, callers, seed)).collect()
+    variants
+        .into_iter()
+        .map(|(name, policy, callers)| run_variant(name, policy, callers, seed))
+        .collect()
 }
 
 /// Prints the table.
@@ -108,12 +113,17 @@
     }
 }
 
-fn one(name: &'static str, policy: PolicyCfg, callers: Callers, seed: u64) -> OverloadRun {
+fn run_variant(
+    name: &'static str,
+    policy: PolicyCfg,
+    callers: CallerCfg,
+    seed: u64,
+) -> OverloadRun {
     let figures = Pool::new(PoolCfg {
         mix: Mix::Shared,
-        endpoints: Mix::Shared.pool(ENDPOINTS),
+        endpoints: Mix::Shared.pool(ENDPOINT_COUNT),
         policy,
-        load: LOAD,
+        load: LOAD_FACTOR,
         entries: 8,
         length: LENGTH,
         warm_up: Millis::from_secs(60),
@@ -132,9 +142,9 @@
 
 fn phases(figures: &Figures) -> [Phase; 3] {
     let index = |at: Millis| (at.as_secs_f64() as u64 / SPAN_S) as usize;
-    let (lost, back) = (index(WAVE_AT), index(WAVE_AT + REPLACED_AFTER));
+    let (lost, replaced) = (index(WAVE_AT), index(WAVE_AT + REPLACED_AFTER));
     let spans = &figures.spans;
-    [&spans[..lost], &spans[lost..back], &spans[back..]].map(phase)
+    [&spans[..lost], &spans[lost..replaced], &spans[replaced..]].map(phase)
 }
 
 fn phase(spans: &[Span]) -> Phase {
--- a/bench/load/src/experiment/pool.rs
+++ b/bench/load/src/experiment/pool.rs
@@ -16,17 +16,17 @@
 use sill_wire::Priority;
 use sill_wire::prefix::BLOCK_TOKENS;
 
-use endpoints::{ANNOUNCE_EVERY, Message};
+use endpoints::{ANNOUNCE_INTERVAL, Message};
 
 use super::figures::{Figures, Recompute};
-use super::model::{EndpointModel, EndpointSpec, MODEL, Micros, Run, Signal};
-use super::traffic::{Mix, Traffic, Wanted};
+use super::model::{EndpointEvent, EndpointModel, EndpointSpec, MODEL, Micros, Run};
+use super::traffic::{Mix, RequestSpec, Traffic};
 
-const SECOND: Micros = 1_000_000;
-const MILLI: Micros = 1_000;
+const SECOND_US: Micros = 1_000_000;
+const MILLISECOND_US: Micros = 1_000;
 
 /// Where a moved request waits when nothing takes it.
-const MOVE_AGAIN: Micros = SECOND / 5;
+const MOVE_RETRY_DELAY: Micros = SECOND_US / 5;
 
 /// What is run.
 #[derive(Debug, Clone)]
@@ -48,7 +48,7 @@
     /// What befalls the endpoints.
     pub wave: Option<Wave>,
     /// How callers behave.
-    pub callers: Callers,
+    pub callers: CallerCfg,
     /// Seed of everything that is random.
     pub seed: u64,
 }
@@ -68,11 +68,11 @@
 
 /// How callers behave, and the entry instances towards them.
 #[derive(Debug, Clone, Copy)]
-pub struct Callers {
+pub struct CallerCfg {
     /// How often a request is sent at most.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// How long a caller waits for the first token before it sends again.
-    pub patience: Millis,
+    pub first_token_timeout: Millis,
     /// Whether refused callers wait as long as they are told, or a second.
     pub obey_retry_after: bool,
     /// Whether retries of failed attempts need leave of the retry budget.
@@ -82,29 +82,29 @@
 /// A request over all its attempts.
 #[derive(Debug)]
 struct Job {
-    wanted: Wanted,
+    spec: RequestSpec,
     entry: usize,
     arrived: Micros,
-    sent_again: u32,
+    caller_retries: u32,
     attempt: u32,
     endpoint: Option<usize>,
     first_token: Option<Micros>,
-    emitted: u32,
-    moved: bool,
-    closed: bool,
+    emitted_tokens: u32,
+    is_moved: bool,
+    is_closed: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledEvent {
     Arrival,
-    Again(usize),
+    Retry(usize),
     Move(usize),
-    GiveUp(usize, u32),
+    CallerTimeout(usize, u32),
     Work(usize, u64),
     Announce(usize),
     PublishEvents(usize),
     Notice(usize, Micros),
-    Death(usize),
+    Stop(usize),
     Start(usize),
     Deliver(usize),
 }
@@ -117,8 +117,8 @@
     /// Kept apart, so that every policy meets the same requests at the same times.
     arrivals: Rng,
     now: Micros,
-    queue: BinaryHeap<Reverse<(Micros, u64, Due)>>,
-    scheduled: u64,
+    queue: BinaryHeap<Reverse<(Micros, u64, ScheduledEvent)>>,
+    last_sequence: u64,
     traffic: Traffic,
     endpoints: Vec<EndpointModel>,
     work_version: Vec<u64>,
@@ -128,13 +128,18 @@
     messages: Vec<Option<Message>>,
     computed: Set<u64>,
     figures: Figures,
-    deciding: Duration,
-    decisions: u64,
+    decision_time: Duration,
+    decision_count: u64,
 }
 
-impl Default for Callers {
+impl Default for CallerCfg {
     fn default() -> Self {
-        Self { tries: 4, patience: Millis(30_000), obey_retry_after: true, retry_budget: true }
+        Self {
+            max_attempts: 4,
+            first_token_timeout: Millis(30_000),
+            obey_retry_after: true,
+            retry_budget: true,
+        }
     }
 }
 
@@ -156,7 +161,7 @@
             arrivals: random::seeded(cfg.seed ^ 1),
             now: 0,
             queue: BinaryHeap::new(),
-            scheduled: 0,
+            last_sequence: 0,
             traffic: Traffic::new(cfg.mix),
             work_version: vec![0; endpoints.len()],
             routers: (0..cfg.entries).map(router).collect(),
@@ -166,19 +171,19 @@
             messages: Vec::new(),
             computed: Set::default(),
             figures: Figures::new(cfg.mix, cfg.length),
-            deciding: Duration::ZERO,
-            decisions: 0,
+            decision_time: Duration::ZERO,
+            decision_count: 0,
             cfg,
         };
-        pool.schedule_start();
+        pool.schedule_initial_events();
         pool
     }
 
     /// Runs until every request has come to its end.
     pub fn run(mut self) -> Figures {
         while let Some(Reverse((at, _, due))) = self.queue.pop() {
-            let sending = at < self.cfg.length.0 * MILLI;
-            let open = self.jobs.iter().rev().take(4096).any(|job| !job.closed);
+            let sending = at < self.cfg.length.0 * MILLISECOND_US;
+            let open = self.jobs.iter().rev().take(4096).any(|job| !job.is_closed);
             if !sending && !open {
                 break;
             }
@@ -188,121 +193,130 @@
         let hours = self.cfg.length.as_secs_f64() / 3600.0;
         let price: u64 = self.endpoints.iter().map(|e| e.spec.price).sum();
         self.figures.fleet_cost = price as f64 / 1000.0 * hours;
-        self.figures.decision_us = self.deciding.as_secs_f64() * 1e6 / self.decisions.max(1) as f64;
+        self.figures.decision_us =
+            self.decision_time.as_secs_f64() * 1e6 / self.decision_count.max(1) as f64;
         self.figures
     }
 
-    fn schedule_start(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for endpoint in 0..self.endpoints.len() {
-            let first = self.rng.random_range(0..ANNOUNCE_EVERY);
-            self.at(first, Due::Announce(endpoint));
-            self.at(first, Due::PublishEvents(endpoint));
+            let first = self.rng.random_range(0..ANNOUNCE_INTERVAL);
+            self.schedule(first, ScheduledEvent::Announce(endpoint));
+            self.schedule(first, ScheduledEvent::PublishEvents(endpoint));
         }
         if let Some(wave) = self.cfg.wave {
             for endpoint in 0..self.endpoints.len() {
                 if self.endpoints[endpoint].spec.domain == wave.domain {
-                    let end = (wave.at + wave.notice).0 * MILLI;
-                    self.at(wave.at.0 * MILLI, Due::Notice(endpoint, end));
-                    self.at(end, Due::Death(endpoint));
-                    self.at(end + wave.replaced_after.0 * MILLI, Due::Start(endpoint));
+                    let end = (wave.at + wave.notice).0 * MILLISECOND_US;
+                    self.schedule(
+                        wave.at.0 * MILLISECOND_US,
+                        ScheduledEvent::Notice(endpoint, end),
+                    );
+                    self.schedule(end, ScheduledEvent::Stop(endpoint));
+                    self.schedule(
+                        end + wave.replaced_after.0 * MILLISECOND_US,
+                        ScheduledEvent::Start(endpoint),
+                    );
                 }
             }
         }
-        self.at(2 * SECOND, Due::Arrival);
+        self.schedule(2 * SECOND_US, ScheduledEvent::Arrival);
     }
 
-    fn at(&mut self, time: Micros, due: Due) {
-        self.scheduled += 1;
-        self.queue.push(Reverse((time, self.scheduled, due)));
+    fn schedule(&mut self, time: Micros, due: ScheduledEvent) {
+        self.last_sequence += 1;
+        self.queue.push(Reverse((time, self.last_sequence, due)));
     }
 
-    fn handle(&mut self, due: Due) {
+    fn handle(&mut self, due: ScheduledEvent) {
         match due {
-            Due::Arrival => self.arrival(),
-            Due::Again(job) => self.dispatch(job),
-            Due::Move(job) => self.dispatch(job),
-            Due::GiveUp(job, attempt) => self.give_up(job, attempt),
-            Due::Work(endpoint, version) if self.work_version[endpoint] == version => {
+            ScheduledEvent::Arrival => self.handle_arrival(),
+            ScheduledEvent::Retry(job) => self.dispatch(job),
+            ScheduledEvent::Move(job) => self.dispatch(job),
+            ScheduledEvent::CallerTimeout(job, attempt) => self.caller_timeout(job, attempt),
+            ScheduledEvent::Work(endpoint, version) if self.work_version[endpoint] == version => {
                 self.work(endpoint);
             }
-            Due::Work(..) => {}
-            Due::Announce(endpoint) => self.announce(endpoint),
-            Due::PublishEvents(endpoint) => self.publish_events(endpoint),
-            Due::Notice(endpoint, end) => self.notice(endpoint, end),
-            Due::Death(endpoint) => self.death(endpoint),
-            Due::Start(endpoint) => self.endpoints[endpoint].restart(self.now),
-            Due::Deliver(message) => self.deliver(message),
+            ScheduledEvent::Work(..) => {}
+            ScheduledEvent::Announce(endpoint) => self.announce(endpoint),
+            ScheduledEvent::PublishEvents(endpoint) => self.publish_events(endpoint),
+            ScheduledEvent::Notice(endpoint, end) => self.give_notice(endpoint, end),
+            ScheduledEvent::Stop(endpoint) => self.stop_endpoint(endpoint),
+            ScheduledEvent::Start(endpoint) => self.endpoints[endpoint].restart(self.now),
+            ScheduledEvent::Deliver(message) => self.deliver(message),
         }
     }
 
-    fn arrival(&mut self) {
-        let wanted = self.traffic.next(&mut self.arrivals);
+    fn handle_arrival(&mut self) {
+        let spec = self.traffic.next_request(&mut self.arrivals);
         self.jobs.push(Job {
-            wanted,
+            spec,
             entry: self.arrivals.random_range(0..self.cfg.entries),
             arrived: self.now,
-            sent_again: 0,
+            caller_retries: 0,
             attempt: 0,
             endpoint: None,
             first_token: None,
-            emitted: 0,
-            moved: false,
-            closed: false,
+            emitted_tokens: 0,
+            is_moved: false,
+            is_closed: false,
         });
         let job = self.jobs.len() - 1;
         if self.is_counted(job) {
-            self.figures.arrived(self.now);
+            self.figures.record_arrival(self.now);
         }
         self.dispatch(job);
         let rate = self.cfg.mix.rate() * self.cfg.load;
         let gap = -self.arrivals.random_range(f64::MIN_POSITIVE..1.0).ln() / rate;
-        let next = self.now + (gap * SECOND as f64) as Micros;
-        if next < self.cfg.length.0 * MILLI {
-            self.at(next, Due::Arrival);
+        let next = self.now + (gap * SECOND_US as f64) as Micros;
+        if next < self.cfg.length.0 * MILLISECOND_US {
+            self.schedule(next, ScheduledEvent::Arrival);
         }
     }
 
     fn dispatch(&mut self, job: usize) {
-        let Job { entry, moved, closed, .. } = self.jobs[job];
-        if closed {
+        let Job { entry, is_moved, is_closed, .. } = self.jobs[job];
+        if is_closed {
             return;
         }
-        let ask = self.ask(job);
-        let now = self.millis();
+        let ask = self.route_request(job);
+        let now = self.now_millis();
         let began = Instant::now();
         let choice = self.routers[entry].choose(now, &ask);
-        self.deciding += began.elapsed();
-        self.decisions += 1;
+        self.decision_time += began.elapsed();
+        self.decision_count += 1;
         match choice {
             Choice::Endpoint(chosen) => self.send(job, ask, &chosen.endpoint),
-            Choice::Refuse(_) if moved => self.at(self.now + MOVE_AGAIN, Due::Move(job)),
+            Choice::Refuse(_) if is_moved => {
+                self.schedule(self.now + MOVE_RETRY_DELAY, ScheduledEvent::Move(job))
+            }
             Choice::Refuse(refusal) => {
                 let wait = match self.cfg.callers.obey_retry_after {
                     true => refusal.retry_after,
                     false => Millis(1000),
                 };
-                self.send_again(job, wait.0 * MILLI);
+                self.retry_by_caller(job, wait.0 * MILLISECOND_US);
             }
         }
     }
 
-    fn ask(&self, job: usize) -> RouteRequest {
-        let Job { wanted, emitted, moved, attempt, .. } = &self.jobs[job];
+    fn route_request(&self, job: usize) -> RouteRequest {
+        let Job { spec, emitted_tokens, is_moved, attempt, .. } = &self.jobs[job];
         RouteRequest {
             request: format!("{job}-{attempt}").into(),
             target: Target::Model(MODEL.into()),
-            blocks: wanted.blocks.clone(),
-            prompt_tokens: wanted.prompt_tokens + u64::from(*emitted),
-            max_tokens: wanted.tokens - emitted,
+            blocks: spec.blocks.clone(),
+            prompt_tokens: spec.prompt_tokens + u64::from(*emitted_tokens),
+            max_tokens: spec.tokens - emitted_tokens,
             // What was accepted goes before what is new.
-            priority: if *moved { Priority::High } else { wanted.priority },
+            priority: if *is_moved { Priority::High } else { spec.priority },
             deadline: Millis::MAX,
             exclude: Vec::new(),
         }
     }
 
     fn send(&mut self, job: usize, ask: RouteRequest, name: &Name) {
-        let endpoint = self.endpoint(name);
+        let endpoint = self.endpoint_index(name);
         let entry = self.jobs[job].entry;
         let run = Run {
             job,
@@ -313,71 +327,74 @@
             priority: ask.priority,
         };
         let sent = Event::Sent { endpoint: name.clone(), ask };
-        self.tell(entry, sent);
+        self.step_router(entry, sent);
         self.jobs[job].endpoint = Some(endpoint);
-        if !self.endpoints[endpoint].up {
-            self.failed(job, endpoint);
+        if !self.endpoints[endpoint].is_up {
+            self.fail_attempt(job, endpoint);
             return;
         }
-        self.endpoints[endpoint].offer(run);
+        self.endpoints[endpoint].enqueue(run);
         let active = self.endpoints[endpoint].active();
-        self.figures.active(self.now, active, self.endpoints[endpoint].spec.slots);
+        self.figures.record_active(self.now, active, self.endpoints[endpoint].spec.slots);
         if self.jobs[job].first_token.is_none() {
-            let patience = self.cfg.callers.patience.0 * MILLI;
-            self.at(self.now + patience, Due::GiveUp(job, self.jobs[job].attempt));
+            let first_token_timeout = self.cfg.callers.first_token_timeout.0 * MILLISECOND_US;
+            self.schedule(
+                self.now + first_token_timeout,
+                ScheduledEvent::CallerTimeout(job, self.jobs[job].attempt),
+            );
         }
         self.work(endpoint);
     }
 
     /// The caller goes away and sends the request again.
-    fn give_up(&mut self, job: usize, attempt: u32) {
-        let Job { attempt: current, first_token, closed, endpoint, .. } = self.jobs[job];
-        if closed || current != attempt || first_token.is_some() {
+    fn caller_timeout(&mut self, job: usize, attempt: u32) {
+        let Job { attempt: current, first_token, is_closed, endpoint, .. } = self.jobs[job];
+        if is_closed || current != attempt || first_token.is_some() {
             return;
         }
         if let Some(endpoint) = endpoint {
-            self.ended(job, endpoint, Outcome::Cancelled);
+            self.report_end(job, endpoint, Outcome::Cancelled);
             self.endpoints[endpoint].cancel(self.now, job);
             self.work(endpoint);
         }
-        self.send_again(job, 0);
+        self.retry_by_caller(job, 0);
     }
 
-    fn send_again(&mut self, job: usize, wait: Micros) {
+    fn retry_by_caller(&mut self, job: usize, wait: Micros) {
         let counted = self.is_counted(job);
-        self.jobs[job].sent_again += 1;
+        self.jobs[job].caller_retries += 1;
         self.jobs[job].attempt += 1;
         self.jobs[job].endpoint = None;
         if counted {
-            self.figures.refused(self.now, self.jobs[job].wanted.priority);
+            self.figures.record_refusal(self.now, self.jobs[job].spec.priority);
         }
-        if self.jobs[job].sent_again >= self.cfg.callers.tries {
-            self.jobs[job].closed = true;
+        if self.jobs[job].caller_retries >= self.cfg.callers.max_attempts {
+            self.jobs[job].is_closed = true;
             if counted {
-                self.figures.lost(self.now);
+                self.figures.record_loss(self.now);
             }
             return;
         }
-        self.at(self.now + wait, Due::Again(job));
+        self.schedule(self.now + wait, ScheduledEvent::Retry(job));
     }
 
     fn work(&mut self, endpoint: usize) {
-        if !self.endpoints[endpoint].up {
+        if !self.endpoints[endpoint].is_up {
             return;
         }
         let mut signals = Vec::new();
         let due = self.endpoints[endpoint].work(self.now, &mut signals);
         self.work_version[endpoint] += 1;
         if let Some(due) = due {
-            self.at(due, Due::Work(endpoint, self.work_version[endpoint]));
+            self.schedule(due, ScheduledEvent::Work(endpoint, self.work_version[endpoint]));
         }
         for signal in signals {
             match signal {
-                Signal::Prefill { run, cached_blocks } => {
+                EndpointEvent::Prefill { run, cached_blocks } => {
                     self.count_computed(endpoint, &run, cached_blocks);
                 }
-                Signal::FirstToken(run) => self.first_token(endpoint, &run),
-                Signal::Finished(run) => self.finished(endpoint, &run),
+                EndpointEvent::FirstToken(run) => self.first_token(endpoint, &run),
+                EndpointEvent::Finished(run) => self.finish_job(endpoint, &run),
             }
         }
     }
@@ -386,13 +403,13 @@
     fn count_computed(&mut self, endpoint: usize, run: &Run, cached: usize) {
         let missing = &run.blocks[cached.min(run.blocks.len())..];
         let again = missing.iter().filter(|b| self.computed.contains(b)).count();
-        let others = self.endpoints.iter().enumerate().filter(|(e, m)| *e != endpoint && m.up);
+        let others = self.endpoints.iter().enumerate().filter(|(e, m)| *e != endpoint && m.is_up);
         let held = others.map(|(_, m)| m.cache.longest_prefix(&run.blocks)).max().unwrap_or(0);
         let held_elsewhere = held.saturating_sub(cached).min(again);
         let cached_tokens = (cached * BLOCK_TOKENS) as u64;
         let computed = run.prompt_tokens.saturating_sub(cached_tokens);
         let tokens = |blocks: usize| (blocks * BLOCK_TOKENS) as u64;
-        let recompute = if self.jobs[run.job].moved {
+        let recompute = if self.jobs[run.job].is_moved {
             Recompute { reclaim: computed, ..Recompute::default() }
         } else {
             Recompute {
@@ -402,7 +419,7 @@
             }
         };
         if self.is_counted(run.job) {
-            self.figures.computed(run.prompt_tokens, computed, recompute);
+            self.figures.record_prefill(run.prompt_tokens, computed, recompute);
         }
         self.computed.extend(missing);
     }
@@ -411,32 +428,32 @@
         let Job { entry, arrived, first_token, .. } = self.jobs[run.job];
         let request = request_name(run);
         let event = Event::FirstToken { endpoint: self.endpoints[endpoint].name.clone(), request };
-        self.tell(entry, event);
+        self.step_router(entry, event);
         if first_token.is_none() {
             let elsewhere = self.endpoints[endpoint].spec.domain != entry % 4;
-            let way = if elsewhere { 2 * self.cfg.mix.between_domains() } else { 0 };
-            self.jobs[run.job].first_token = Some(self.now + way);
+            let network_us = if elsewhere { 2 * self.cfg.mix.between_domains_us() } else { 0 };
+            self.jobs[run.job].first_token = Some(self.now + network_us);
             if self.is_counted(run.job) {
-                self.figures.first_token(self.now, self.now + way - arrived);
+                self.figures.record_first_token(self.now, self.now + network_us - arrived);
             }
         }
     }
 
-    fn finished(&mut self, endpoint: usize, run: &Run) {
-        self.ended(run.job, endpoint, Outcome::Finished);
+    fn finish_job(&mut self, endpoint: usize, run: &Run) {
+        self.report_end(run.job, endpoint, Outcome::Finished);
         let entry = self.jobs[run.job].entry;
         self.budgets[entry].record_success(&MODEL.into(), &Target::Model(MODEL.into()));
         let job = &mut self.jobs[run.job];
-        job.closed = true;
+        job.is_closed = true;
         let first = job.first_token.unwrap_or(self.now);
         let (ttft, span, tokens) =
-            (first - job.arrived, self.now.saturating_sub(first), job.wanted.tokens);
+            (first - job.arrived, self.now.saturating_sub(first), job.spec.tokens);
         if self.is_counted(run.job) {
-            self.figures.answered(self.now, ttft, span / u64::from(tokens.max(2) - 1));
+            self.figures.record_answer(self.now, ttft, span / u64::from(tokens.max(2) - 1));
         }
     }
 
-    fn ended(&mut self, job: usize, endpoint: usize, outcome: Outcome) {
+    fn report_end(&mut self, job: usize, endpoint: usize, outcome: Outcome) {
         let Job { entry, attempt, .. } = self.jobs[job];
         let event = Event::Ended {
             endpoint: self.endpoints[endpoint].name.clone(),
@@ -444,50 +461,50 @@
             tokens: 0,
             outcome,
         };
-        self.tell(entry, event);
+        self.step_router(entry, event);
     }
 
     fn move_job(&mut self, job: usize) {
-        self.jobs[job].moved = true;
+        self.jobs[job].is_moved = true;
         self.jobs[job].attempt += 1;
         self.dispatch(job);
     }
 
     /// An attempt failed before its first token: the entry retries it if the budget allows.
-    fn failed(&mut self, job: usize, endpoint: usize) {
-        self.ended(job, endpoint, Outcome::Failed);
-        if self.jobs[job].moved {
+    fn fail_attempt(&mut self, job: usize, endpoint: usize) {
+        self.report_end(job, endpoint, Outcome::Failed);
+        if self.jobs[job].is_moved {
             self.jobs[job].attempt += 1;
-            self.at(self.now + MOVE_AGAIN, Due::Move(job));
+            self.schedule(self.now + MOVE_RETRY_DELAY, ScheduledEvent::Move(job));
             return;
         }
         let entry = self.jobs[job].entry;
         let (account, target) = (MODEL.into(), Target::Model(MODEL.into()));
-        let leave = self.budgets[entry].try_spend(&account, &target);
-        if leave || !self.cfg.callers.retry_budget {
+        let may_retry = self.budgets[entry].try_spend(&account, &target);
+        if may_retry || !self.cfg.callers.retry_budget {
             self.jobs[job].attempt += 1;
-            self.at(self.now + MILLI, Due::Again(job));
+            self.schedule(self.now + MILLISECOND_US, ScheduledEvent::Retry(job));
         } else {
-            let wait = self.rng.random_range(SECOND..3 * SECOND);
-            self.send_again(job, wait);
+            let wait = self.rng.random_range(SECOND_US..3 * SECOND_US);
+            self.retry_by_caller(job, wait);
         }
     }
 
-    fn tell(&mut self, entry: usize, event: Event) {
-        let now = self.millis();
+    fn step_router(&mut self, entry: usize, event: Event) {
+        let now = self.now_millis();
         self.routers[entry].step(now, event, &mut Vec::new());
     }
 
-    fn endpoint(&self, name: &Name) -> usize {
+    fn endpoint_index(&self, name: &Name) -> usize {
         self.endpoints.iter().position(|e| e.name == *name).expect("routers know only these")
     }
 
     fn is_counted(&self, job: usize) -> bool {
-        self.jobs[job].arrived >= self.cfg.warm_up.0 * MILLI
+        self.jobs[job].arrived >= self.cfg.warm_up.0 * MILLISECOND_US
     }
 
-    fn millis(&self) -> Millis {
-        Millis(self.now / MILLI)
+    fn now_millis(&self) -> Millis {
+        Millis(self.now / MILLISECOND_US)
     }
 }
 
--- a/bench/load/src/experiment/route.rs
+++ b/bench/load/src/experiment/route.rs
@@ -5,7 +5,7 @@
 use sill_route::{Policy, PolicyCfg};
 
 use super::figures::Row;
-use super::pool::{Callers, Pool, PoolCfg, Wave};
+use super::pool::{CallerCfg, Pool, PoolCfg, Wave};
 use super::traffic::Mix;
 
 /// Every policy on one mix.
@@ -68,7 +68,7 @@
             notice: Millis::from_secs(2),
             replaced_after: Millis::from_secs(60),
         }),
-        callers: Callers::default(),
+        callers: CallerCfg::default(),
         seed,
     }
 }
--- a/bench/load/src/experiment/traffic.rs
+++ b/bench/load/src/experiment/traffic.rs
@@ -20,7 +20,7 @@
 
 /// A request to come.
 #[derive(Debug, Clone)]
-pub struct Wanted {
+pub struct RequestSpec {
     /// Whole blocks of the prompt.
     pub blocks: Arc<[u64]>,
     /// Tokens of the prompt.
@@ -44,7 +44,7 @@
 struct Case {
     id: u64,
     blocks: u64,
-    left: u32,
+    requests_left: u32,
 }
 
 impl Mix {
@@ -65,7 +65,7 @@
     }
 
     /// One-way time between failure domains in microseconds.
-    pub const fn between_domains(self) -> u64 {
+    pub const fn between_domains_us(self) -> u64 {
         match self {
             Self::Shared => 500,
             Self::CaseFiles => 1500,
@@ -110,9 +110,9 @@
 impl Traffic {
     /// Makes the traffic of a mix.
     pub fn new(mix: Mix) -> Self {
-        const PROMPTS: u32 = 40;
+        const PROMPT_COUNT: u32 = 40;
         let mut sum = 0.0;
-        let popularity = (1..=PROMPTS).map(|rank| {
+        let popularity = (1..=PROMPT_COUNT).map(|rank| {
             sum += 1.0 / f64::from(rank).powf(0.8);
             sum
         });
@@ -121,39 +121,46 @@
     }
 
     /// Returns the next request.
-    pub fn next(&mut self, rng: &mut Rng) -> Wanted {
+    pub fn next_request(&mut self, rng: &mut Rng) -> RequestSpec {
         match self.mix {
-            Mix::Shared => self.shared(rng),
+            Mix::Shared => self.shared_prompt(rng),
             Mix::CaseFiles => self.case_file(rng),
         }
     }
 
-    fn shared(&mut self, rng: &mut Rng) -> Wanted {
+    fn shared_prompt(&mut self, rng: &mut Rng) -> RequestSpec {
         let total = self.popularity.last().copied().unwrap_or(1.0);
         let drawn = rng.random_range(0.0..total);
         let prompt = self.popularity.partition_point(|sum| *sum < drawn) as u64;
         let blocks = 80 + prompt * 7 % 30;
         let own_blocks = rng.random_range(3..10);
-        self.wanted(prompt, blocks, own_blocks, rng.random_range(150..400), rng)
+        self.request(prompt, blocks, own_blocks, rng.random_range(150..400), rng)
     }
 
-    fn case_file(&mut self, rng: &mut Rng) -> Wanted {
+    fn case_file(&mut self, rng: &mut Rng) -> RequestSpec {
         const OPEN_CASES: usize = 60;
         while self.cases.len() < OPEN_CASES {
             self.next_unique += 1;
-            let (blocks, left) = (rng.random_range(180..320), rng.random_range(4..9));
-            self.cases.push(Case { id: self.next_unique, blocks, left });
+            let (blocks, requests_left) = (rng.random_range(180..320), rng.random_range(4..9));
+            self.cases.push(Case { id: self.next_unique, blocks, requests_left });
         }
         let chosen = rng.random_range(0..OPEN_CASES);
-        self.cases[chosen].left -= 1;
+        self.cases[chosen].requests_left -= 1;
         let case = self.cases[chosen].clone();
-        if case.left == 0 {
+        if case.requests_left == 0 {
             self.cases.swap_remove(chosen);
         }
-        self.wanted(case.id, case.blocks, 2, rng.random_range(100..300), rng)
+        self.request(case.id, case.blocks, 2, rng.random_range(100..300), rng)
     }
 
-    fn wanted(&mut self, prefix: u64, shared: u64, own: u64, tokens: u32, rng: &mut Rng) -> Wanted {
+    fn request(
+        &mut self,
+        prefix: u64,
+        shared: u64,
+        own: u64,
+        tokens: u32,
+        rng: &mut Rng,
+    ) -> RequestSpec {
         self.next_unique += 1;
         let unique = self.next_unique;
         let own_blocks = (0..own).map(|b| unique << 16 | b);
@@ -164,6 +171,6 @@
             _ => Priority::High,
         };
         let prompt_tokens = (blocks.len() * BLOCK_TOKENS) as u64;
-        Wanted { blocks, prompt_tokens, tokens, priority }
+        RequestSpec { blocks, prompt_tokens, tokens, priority }
     }
 }
--- a/bench/load/src/fleet/mod.rs
+++ b/bench/load/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Cost and recomputed tokens of the fleet's policies through a reclaim wave, in virtual time.
+//! Compares cost and recomputed tokens of the fleet policies during a reclaim wave, in virtual time.
 
 mod plot;
 mod report;
@@ -13,20 +13,20 @@
 use sill_setup::{Flag, Program};
 
 use sizes::SIZES;
-use world::{Tally, World};
+use world::{Totals, World};
 
-/// `sill-load fleet`.
+/// Flags and help of `sill-load fleet`.
 pub const FLEET: Program = Program {
     name: "sill-load fleet",
-    about: "compares the fleet's policies through a reclaim wave, in virtual time",
+    about: "compares the fleet policies during a reclaim wave, in virtual time",
     operands: "",
     flags: &[
-        Flag::with_default("seeds", "N", "5", "runs for each policy, with seeds 1 to N"),
-        Flag::one("report", "DIR", "write the report and its plots there"),
+        Flag::with_default("seeds", "N", "5", "number of runs per policy, with seeds 1 to N"),
+        Flag::one("report", "DIR", "directory to write the report and its plots to"),
     ],
 };
 
-/// The policies compared; the first is the one in use.
+/// Compared policies; the first is the one in use.
 pub const POLICIES: [Policy; 4] = [
     Policy::CheapestSurviving,
     Policy::AllOnDemand,
@@ -34,24 +34,24 @@
     Policy::FixedShares,
 ];
 
-/// What came of one policy at one size, over all seeds.
+/// Results of one policy at one pool size, over all seeds.
 #[derive(Debug, Clone)]
 pub struct Row {
-    /// Whose size it was.
+    /// Name of the pool size.
     pub size: &'static str,
-    /// The policy.
+    /// Policy of the fleet in these runs.
     pub policy: Policy,
-    /// Sums over all runs.
-    pub tally: Tally,
-    /// Slots wanted and ready over time, in the run with seed 1.
+    /// Totals of all runs.
+    pub totals: Totals,
+    /// Wanted and ready slots over time, in the run with seed 1.
     pub trace: Vec<world::Sample>,
 }
 
-/// Runs the comparison.
+/// Runs the comparison and prints its report.
 ///
 /// # Errors
 ///
-/// Fails when a flag is wrong or the report can't be written.
+/// Fails when a flag is invalid or the report can't be written.
 pub fn run(words: Vec<String>) -> Result<()> {
     let Some(mut values) = FLEET.values_or_help(words)? else {
         return Ok(());
@@ -77,17 +77,17 @@
     let mut rows = Vec::new();
     for size in SIZES {
         for policy in POLICIES {
-            let mut tally = Tally::default();
+            let mut totals = Totals::default();
             let mut trace = Vec::new();
             for seed in 1..=seeds {
                 let mut world = World::new(size, policy, seed);
                 world.run();
-                tally.add(&world.tally);
+                totals.add(&world.totals);
                 if seed == 1 {
                     trace = world.trace;
                 }
             }
-            rows.push(Row { size: size.name, policy, tally, trace });
+            rows.push(Row { size: size.name, policy, totals, trace });
         }
     }
     rows
--- a/bench/load/src/fleet/report.rs
+++ b/bench/load/src/fleet/report.rs
@@ -1,15 +1,15 @@
-//! The report of the comparison as text.
+//! Text report of the policy comparison.
 
 use std::fmt::Write;
 
 use super::Row;
 use super::sizes::SIZES;
-use super::world::SECONDS;
+use super::world::RUN_S;
 
-/// Returns the report.
+/// Returns the report as Markdown, with one table per pool size.
 pub fn text(rows: &[Row], seeds: u64) -> String {
     let mut text = String::from("# Fleet policies through a reclaim wave\n\n");
-    let hours = SECONDS / 3600;
+    let hours = RUN_S / 3600;
     let _ = writeln!(
         text,
         "Made by `sill-load fleet --seeds {seeds} --report docs/reports`: {seeds} runs of {hours} h \
@@ -29,7 +29,7 @@
              | recomputed, cache | starts | refused | stops |\n|---|---|---|---|---|---|---|---|\n",
         );
         for row in rows.iter().filter(|r| r.size == size.name) {
-            let t = &row.tally;
+            let t = &row.totals;
             let _ = writeln!(
                 text,
                 "| {:?} | {:.1} | {:.3} % | {} | {} | {} | {} | {} |",
--- a/bench/load/src/fleet/sizes.rs
+++ b/bench/load/src/fleet/sizes.rs
@@ -1,27 +1,28 @@
-//! The sizes compared: today's pools of both users, and the size to design for.
+//! Compared pool sizes: the current pools of both users, and the size that the system is designed
+//! for.
 
-/// A pool and what its requests look like.
+/// Size of a pool and shape of its requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Its name.
+    /// Name in the report and in the names of its plots.
     pub name: &'static str,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: u32,
-    /// Slots wanted at the peak.
+    /// Wanted slots at peak demand.
     pub peak_slots: u32,
-    /// Prompt tokens of a request.
+    /// Prompt tokens per request.
     pub prompt_tokens: u64,
-    /// Answer tokens of a request.
+    /// Answer tokens per request.
     pub answer_tokens: u64,
-    /// Seconds that a request runs.
+    /// Duration of a request in seconds.
     pub request_seconds: u64,
-    /// Tokens of the prefix cache that are asked for again.
+    /// Tokens of an instance's prefix cache that later requests use.
     pub hot_cache_tokens: u64,
-    /// Rate of the weights store.
+    /// Throughput of the weights store in megabytes per second.
     pub store_megabytes_per_s: u64,
 }
 
-/// All sizes.
+/// All compared sizes, in the order of the report.
 pub const SIZES: &[Size] = &[
     Size {
         name: "co-op",
--- a/bench/load/src/fleet/world.rs
+++ b/bench/load/src/fleet/world.rs
@@ -1,8 +1,9 @@
-//! A platform of prices, refusals and reclaims, with instances that boot and load, by the second.
+//! Simulated platform with prices, refused starts and reclaims, whose instances boot and load weights.
+//! Its time step is one second.
 //!
-//! Only what bears on the fleet's decisions is modelled. A request that finds no slot counts as not
-//! answered within the latency target. A reclaimed instance moves its KV cache in its notice to
-//! free slots elsewhere; what finds none is computed again.
+//! Only what affects the fleet's decisions is modelled. A request without a free slot counts as not
+//! answered within the latency target. During its notice a reclaimed instance moves the KV cache of
+//! running requests to free slots elsewhere; requests without such a slot are recomputed.
 
 use std::collections::BTreeMap;
 
@@ -14,54 +15,56 @@
 
 use super::sizes::Size;
 
-/// Slots of an instance.
-const SLOTS: u32 = 8;
+/// Requests that an instance runs concurrently.
+const SLOTS_PER_INSTANCE: u32 = 8;
 
-/// Length of a run in seconds.
-pub const SECONDS: u64 = 4 * 3600;
+/// Duration of a run in seconds.
+pub const RUN_S: u64 = 4 * 3600;
 
-/// Until then nothing is counted: the fleet starts from nothing, as no user's does.
-const WARM_UP: u64 = 1800;
+/// Time in seconds before counting starts. A run starts without instances, which no user's fleet
+/// does, so its start is left out.
+const WARM_UP_S: u64 = 1800;
 
-/// When the first failure domain's reclaimable instances get notice.
-const WAVE_AT: u64 = 2 * 3600;
+/// Time in seconds at which the reclaimable instances of the first failure domain get notice.
+const WAVE_AT_S: u64 = 2 * 3600;
 
-/// When another domain's do, while the first still refuses.
-const SECOND_WAVE_AT: u64 = WAVE_AT + 1200;
+/// Time in seconds at which those of a second domain get notice, while the first still refuses
+/// starts.
+const SECOND_WAVE_AT_S: u64 = WAVE_AT_S + 1200;
 
-/// How long a domain refuses reclaimable starts after its wave.
-const REFUSES_FOR: u64 = 2400;
+/// Time in seconds for which a domain refuses reclaimable starts after its wave.
+const REFUSAL_S: u64 = 2400;
 
-/// Seconds of notice.
-const NOTICE: u64 = 20;
+/// Time in seconds from the reclaim notice to the end of the instance.
+const NOTICE_S: u64 = 20;
 
-/// Seconds to boot.
-const BOOT: u64 = 60;
+/// Time in seconds to boot an instance.
+const BOOT_S: u64 = 60;
 
-/// Seconds to load weights, once the store is free.
-const LOAD: u64 = 10;
+/// Time in seconds to load weights, once the store is free.
+const LOAD_S: u64 = 10;
 
-/// Megabytes of weights.
-const MEGABYTES: u64 = 20_000;
+/// Size of the weights in megabytes.
+const WEIGHTS_MB: u64 = 20_000;
 
-/// Tokens of KV cache that an instance exports in a second.
+/// Tokens of KV cache that an instance exports per second.
 const EXPORT_TOKENS_PER_S: u64 = 50_000;
 
-/// Price of an on-demand instance in thousandths of a currency unit an hour.
-const ON_DEMAND: u64 = 1000;
+/// Price of an on-demand instance in thousandths of a currency unit per hour.
+const ON_DEMAND_PRICE: u64 = 1000;
 
-/// What a run came to.
+/// Totals of a run after its warm-up.
 #[derive(Debug, Default, Clone)]
-pub struct Tally {
-    /// Requests asked for.
+pub struct Totals {
+    /// Requests sent.
     pub asked: f64,
     /// Requests answered within the latency target.
     pub answered: f64,
     /// Price of all instances, in thousandths of a currency unit.
     pub price: f64,
-    /// Tokens computed again since a running request lost its KV cache.
+    /// Tokens recomputed because running requests lost their KV cache.
     pub recomputed_running: u64,
-    /// Tokens computed again since a prefix cache was lost.
+    /// Tokens recomputed because prefix caches were lost.
     pub recomputed_cache: u64,
     /// Starts granted.
     pub starts: u64,
@@ -71,18 +74,18 @@
     pub stops: u64,
 }
 
-/// Slots at a moment.
+/// Wanted and ready slots at one time.
 #[derive(Debug, Clone, Copy)]
 pub struct Sample {
-    /// Seconds since the start.
+    /// Seconds since the start of the run.
     pub at: u64,
-    /// Slots wanted.
+    /// Slots wanted by the demand.
     pub wanted: u32,
-    /// Slots ready.
+    /// Slots of instances that accept requests.
     pub ready: u32,
 }
 
-/// The world of one run.
+/// Simulation of one run: the platform, its instances and the fleet that controls them.
 pub struct World {
     size: &'static Size,
     fleet: Fleet,
@@ -91,24 +94,24 @@
     instances: BTreeMap<Name, Instance>,
     next_instance: u64,
     prices: BTreeMap<Name, u64>,
-    /// Until when each failure domain refuses reclaimable starts.
-    refusals: BTreeMap<Name, u64>,
-    /// What came of it.
-    pub tally: Tally,
-    /// Slots over time.
+    /// Time in seconds until which each failure domain refuses reclaimable starts.
+    refusal_ends: BTreeMap<Name, u64>,
+    /// Totals since the end of the warm-up.
+    pub totals: Totals,
+    /// Samples of the slots over time.
     pub trace: Vec<Sample>,
 }
 
 struct Instance {
     key: OfferKey,
-    boots_at: u64,
+    booted_at: u64,
     loaded_at: Option<u64>,
-    gone_at: Option<u64>,
-    draining: bool,
+    reclaimed_at: Option<u64>,
+    is_draining: bool,
 }
 
-impl Tally {
-    /// Adds another run.
+impl Totals {
+    /// Adds the totals of another run.
     pub fn add(&mut self, other: &Self) {
         self.asked += other.asked;
         self.answered += other.answered;
@@ -120,14 +123,14 @@
         self.stops += other.stops;
     }
 
-    /// Returns the price of a thousand requests answered within the latency target.
+    /// Returns the price of 1,000 requests answered within the latency target, in currency units.
     pub fn price_per_1000(&self) -> f64 {
         self.price / self.answered.max(1.0)
     }
 }
 
 impl World {
-    /// Makes a world in which nothing runs yet.
+    /// Creates a simulation without instances.
     pub fn new(size: &'static Size, policy: Policy, seed: u64) -> Self {
         let cfg = FleetCfg {
             policy,
@@ -144,19 +147,19 @@
             instances: BTreeMap::new(),
             next_instance: 1,
             prices: BTreeMap::new(),
-            refusals: BTreeMap::new(),
-            tally: Tally::default(),
+            refusal_ends: BTreeMap::new(),
+            totals: Totals::default(),
             trace: Vec::new(),
         };
         for domain in 0..size.domains {
             let price = world.rng.random_range(280..360);
             world.prices.insert(domain_name(domain), price);
         }
-        world.hear(Event::LeadershipGained { term: 1 });
-        world.hear(Event::Settings(vec![ServiceTarget {
+        world.step_fleet(Event::LeadershipGained { term: 1 });
+        world.step_fleet(Event::Settings(vec![ServiceTarget {
             service: "pool".into(),
             version: "1".into(),
-            megabytes: MEGABYTES,
+            megabytes: WEIGHTS_MB,
             min_instances: 2,
             price_cap: None,
             placement: Placement::default(),
@@ -164,9 +167,9 @@
         world
     }
 
-    /// Runs to the end.
+    /// Simulates the whole run.
     pub fn run(&mut self) {
-        while self.second < SECONDS {
+        while self.second < RUN_S {
             self.tick();
             self.second += 1;
         }
@@ -174,30 +177,30 @@
 
     fn tick(&mut self) {
         if self.second.is_multiple_of(300) {
-            self.move_prices();
+            self.update_prices();
         }
-        if self.second == WAVE_AT {
+        if self.second == WAVE_AT_S {
             self.reclaim(0);
         }
-        if self.second == SECOND_WAVE_AT {
+        if self.second == SECOND_WAVE_AT_S {
             self.reclaim(1);
         }
-        self.remove_gone();
-        let wanted = self.wanted();
-        self.hear(Event::Demand { service: "pool".into(), slots: wanted });
-        self.announce_all();
-        self.hear(Event::Tick);
+        self.remove_reclaimed();
+        let wanted = self.wanted_slots();
+        self.step_fleet(Event::Demand { service: "pool".into(), slots: wanted });
+        self.send_announcements();
+        self.step_fleet(Event::Tick);
         self.count(wanted);
     }
 
-    /// Demand swings between 45% and 100% of the peak in 80 minutes.
-    fn wanted(&self) -> u32 {
+    /// Returns the demand, which varies between 45% and 100% of the peak with a period of 80 minutes.
+    fn wanted_slots(&self) -> u32 {
         let phase = self.second as f64 / 4800.0 * std::f64::consts::TAU;
         let share = 0.725 - 0.275 * phase.cos();
         (f64::from(self.size.peak_slots) * share) as u32
     }
 
-    fn move_prices(&mut self) {
+    fn update_prices(&mut self) {
         for price in self.prices.values_mut() {
             let moved = *price as i64 + self.rng.random_range(-15..=15);
             *price = moved.clamp(220, 480) as u64;
@@ -205,18 +208,19 @@
         let offer = |domain: &Name, price, reclaimable| Offer {
             key: OfferKey { domain: domain.clone(), class: "gpu".into(), reclaimable },
             price,
-            slots: SLOTS,
+            slots: SLOTS_PER_INSTANCE,
             reclaims_per_1000h: if reclaimable { 100 } else { 0 },
         };
         let offers = self
             .prices
             .iter()
-            .flat_map(|(d, price)| [offer(d, *price, true), offer(d, ON_DEMAND, false)]);
+            .flat_map(|(d, price)| [offer(d, *price, true), offer(d, ON_DEMAND_PRICE, false)]);
         let offers = offers.collect();
-        self.hear(Event::Offers(offers));
+        self.step_fleet(Event::Offers(offers));
     }
 
-    /// The wave takes the domain that has the most reclaimable instances, or the one after it.
+    /// Gives notice to the reclaimable instances of one domain. Rank 0 is the domain with the most
+    /// reclaimable instances, rank 1 the next.
     fn reclaim(&mut self, rank: usize) {
         let mut counts: BTreeMap<Name, usize> = BTreeMap::new();
         for instance in self.instances.values().filter(|i| i.key.reclaimable) {
@@ -229,62 +233,64 @@
         };
         for instance in self.instances.values_mut() {
             if instance.key.reclaimable && instance.key.domain == *domain {
-                instance.gone_at.get_or_insert(self.second + NOTICE);
+                instance.reclaimed_at.get_or_insert(self.second + NOTICE_S);
             }
         }
-        self.refusals.insert(domain.clone(), self.second + REFUSES_FOR);
+        self.refusal_ends.insert(domain.clone(), self.second + REFUSAL_S);
     }
 
-    fn remove_gone(&mut self) {
+    fn remove_reclaimed(&mut self) {
         let second = self.second;
-        let gone: Vec<Name> = self
+        let reclaimed: Vec<Name> = self
             .instances
             .iter()
-            .filter(|(_, i)| i.gone_at.is_some_and(|at| at <= second))
+            .filter(|(_, i)| i.reclaimed_at.is_some_and(|at| at <= second))
             .map(|(name, _)| name.clone())
             .collect();
-        if gone.is_empty() {
+        if reclaimed.is_empty() {
             return;
         }
-        let wanted = self.wanted();
-        let before = self.ready().max(1);
-        let running_each = wanted.min(before) * SLOTS / before;
-        let mut free = self.ready_staying().saturating_sub(wanted.min(before));
-        for name in gone {
-            let instance = self.instances.remove(&name).expect("the instance is known");
+        let wanted = self.wanted_slots();
+        let before = self.ready_slots().max(1);
+        let running_each = wanted.min(before) * SLOTS_PER_INSTANCE / before;
+        let mut free = self.ready_without_notice().saturating_sub(wanted.min(before));
+        for name in reclaimed {
+            let instance =
+                self.instances.remove(&name).expect("the name was read from the instances");
             if instance.loaded_at.is_some_and(|at| at <= second) {
-                self.lose(running_each, &mut free);
+                self.count_recomputed(running_each, &mut free);
             }
-            self.hear(Event::InstanceGone { instance: name });
+            self.step_fleet(Event::InstanceGone { instance: name });
         }
     }
 
-    /// Counts what one lost instance makes others compute again.
-    fn lose(&mut self, running: u32, free: &mut u32) {
+    /// Counts the tokens that other instances recompute because this one was lost.
+    fn count_recomputed(&mut self, running: u32, free: &mut u32) {
         let each = self.size.prompt_tokens + self.size.answer_tokens / 2;
-        let exported = (NOTICE * EXPORT_TOKENS_PER_S / each) as u32;
+        let exported = (NOTICE_S * EXPORT_TOKENS_PER_S / each) as u32;
         let moved = running.min(*free).min(exported);
         *free -= moved;
-        self.tally.recomputed_running += u64::from(running - moved) * each;
-        self.tally.recomputed_cache += self.size.hot_cache_tokens;
+        self.totals.recomputed_running += u64::from(running - moved) * each;
+        self.totals.recomputed_cache += self.size.hot_cache_tokens;
     }
 
-    fn ready(&self) -> u32 {
-        self.instances.values().filter(|i| self.is_ready(i)).count() as u32 * SLOTS
+    fn ready_slots(&self) -> u32 {
+        self.instances.values().filter(|i| self.is_ready(i)).count() as u32 * SLOTS_PER_INSTANCE
     }
 
-    fn ready_staying(&self) -> u32 {
-        let staying = self.instances.values().filter(|i| self.is_ready(i) && i.gone_at.is_none());
-        staying.count() as u32 * SLOTS
+    fn ready_without_notice(&self) -> u32 {
+        let instances =
+            self.instances.values().filter(|i| self.is_ready(i) && i.reclaimed_at.is_none());
+        instances.count() as u32 * SLOTS_PER_INSTANCE
     }
 
     fn is_ready(&self, instance: &Instance) -> bool {
-        !instance.draining && instance.loaded_at.is_some_and(|at| at <= self.second)
+        !instance.is_draining && instance.loaded_at.is_some_and(|at| at <= self.second)
     }
 
-    fn announce_all(&mut self) {
+    fn send_announcements(&mut self) {
         let second = self.second;
-        let booted = self.instances.iter().filter(|(_, i)| i.boots_at <= second);
+        let booted = self.instances.iter().filter(|(_, i)| i.booted_at <= second);
         let events: Vec<Event> = booted
             .map(|(name, i)| Event::Announcement {
                 instance: name.clone(),
@@ -292,57 +298,57 @@
                 service: "pool".into(),
                 loaded: i.loaded_at.is_some_and(|at| at <= second),
                 running: 0,
-                leaving: i.gone_at.map(|at| Millis::from_secs(at - second)),
+                leaving: i.reclaimed_at.map(|at| Millis::from_secs(at - second)),
             })
             .collect();
         for event in events {
-            self.hear(event);
+            self.step_fleet(event);
         }
     }
 
     fn count(&mut self, wanted: u32) {
-        let ready = self.ready();
-        if self.second == WARM_UP {
-            self.tally = Tally::default();
+        let ready = self.ready_slots();
+        if self.second == WARM_UP_S {
+            self.totals = Totals::default();
         }
         let asked = f64::from(wanted) / self.size.request_seconds as f64;
-        self.tally.asked += asked;
-        self.tally.answered += asked * (f64::from(ready) / f64::from(wanted.max(1))).min(1.0);
+        self.totals.asked += asked;
+        self.totals.answered += asked * (f64::from(ready) / f64::from(wanted.max(1))).min(1.0);
         let price: u64 = self
             .instances
             .values()
-            .map(|i| if i.key.reclaimable { self.prices[&i.key.domain] } else { ON_DEMAND })
+            .map(|i| if i.key.reclaimable { self.prices[&i.key.domain] } else { ON_DEMAND_PRICE })
             .sum();
-        self.tally.price += price as f64 / 3600.0;
+        self.totals.price += price as f64 / 3600.0;
         if self.second.is_multiple_of(15) {
             self.trace.push(Sample { at: self.second, wanted, ready });
         }
     }
 
-    fn hear(&mut self, event: Event) {
+    fn step_fleet(&mut self, event: Event) {
         let mut out = Vec::new();
         self.fleet.step(Millis::from_secs(self.second), event, &mut out);
         for action in out {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Start { id, key, .. } => self.start(id, key),
             Action::Drain { instance, .. } => {
                 if let Some(instance) = self.instances.get_mut(&instance) {
-                    instance.draining = true;
+                    instance.is_draining = true;
                 }
             }
             Action::Stop { instance, .. } => {
-                self.tally.stops += 1;
-                self.tally.recomputed_cache += self.size.hot_cache_tokens;
+                self.totals.stops += 1;
+                self.totals.recomputed_cache += self.size.hot_cache_tokens;
                 self.instances.remove(&instance);
-                self.hear(Event::InstanceGone { instance });
+                self.step_fleet(Event::InstanceGone { instance });
             }
             Action::LoadModel { instance, .. } => {
-                let at = self.second + LOAD;
+                let at = self.second + LOAD_S;
                 if let Some(instance) = self.instances.get_mut(&instance) {
                     instance.loaded_at = Some(at);
                 }
@@ -351,25 +357,25 @@
     }
 
     fn start(&mut self, id: StartId, key: OfferKey) {
-        let until = self.refusals.get(&key.domain).copied().unwrap_or(0);
-        let in_wave = (WAVE_AT..WAVE_AT + REFUSES_FOR).contains(&self.second);
-        let unlucky = in_wave && self.rng.random_range(0..100) < 30;
-        if key.reclaimable && (self.second < until || unlucky) {
-            self.tally.refused += 1;
-            return self.hear(Event::StartRefused { id });
+        let until = self.refusal_ends.get(&key.domain).copied().unwrap_or(0);
+        let in_wave = (WAVE_AT_S..WAVE_AT_S + REFUSAL_S).contains(&self.second);
+        let is_refused_by_chance = in_wave && self.rng.random_range(0..100) < 30;
+        if key.reclaimable && (self.second < until || is_refused_by_chance) {
+            self.totals.refused += 1;
+            return self.step_fleet(Event::StartRefused { id });
         }
-        self.tally.starts += 1;
+        self.totals.starts += 1;
         let instance = Name::from(format!("i{}", self.next_instance));
         self.next_instance += 1;
         let new = Instance {
             key,
-            boots_at: self.second + BOOT,
+            booted_at: self.second + BOOT_S,
             loaded_at: None,
-            gone_at: None,
-            draining: false,
+            reclaimed_at: None,
+            is_draining: false,
         };
         self.instances.insert(instance.clone(), new);
-        self.hear(Event::StartGranted { id, instance });
+        self.step_fleet(Event::StartGranted { id, instance });
     }
 }
 
--- a/bench/load/src/lib.rs
+++ b/bench/load/src/lib.rs
@@ -1,4 +1,4 @@
-//! The load and experiment tool.
+//! Load generator that checks every answer, and experiments in virtual time.
 
 pub mod cli;
 pub mod exchange;
--- a/bench/load/src/main.rs
+++ b/bench/load/src/main.rs
@@ -1,4 +1,4 @@
-//! The load and experiment tool.
+//! The `sill-load` binary: load generator and experiments.
 
 use std::process::ExitCode;
 
--- a/bench/load/src/mix.rs
+++ b/bench/load/src/mix.rs
@@ -1,4 +1,4 @@
-//! What a load consists of: kinds of requests with their weights.
+//! Composition of a load: kinds of requests and their weights.
 
 use ntex::http::Method;
 use serde::{Deserialize, Serialize};
@@ -9,77 +9,77 @@
 
 use crate::exchange::{Content, Request};
 
-/// Kinds of requests, drawn by weight.
+/// Kinds of requests, chosen at random by weight.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mix {
-    /// The kinds.
-    pub kinds: Vec<Kind>,
+    /// Kinds of requests; at least one has a weight above 0.
+    pub kinds: Vec<RequestKind>,
 }
 
 /// One kind of request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Kind {
-    /// Its share against the other kinds.
+pub struct RequestKind {
+    /// Weight relative to the other kinds.
     pub weight: u32,
-    /// What is asked for.
-    pub ask: Ask,
-    /// The priority asked for, if any.
+    /// Content of the requests.
+    pub ask: ContentSpec,
+    /// Value of the priority header, if it is sent.
     pub priority: Option<Name>,
-    /// The deadline asked for, if any.
+    /// Value of the deadline header in milliseconds, if it is sent.
     pub deadline_ms: Option<u64>,
-    /// Whether each request carries an idempotency key of its own.
+    /// Whether each request has its own idempotency key.
     pub keyed: bool,
-    /// Whether it may be run more than once.
+    /// Whether the request may run more than once; if not, a header says so.
     pub idempotent: bool,
 }
 
-/// What a kind of request asks for.
+/// Content of a kind of request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "of", rename_all = "lowercase", deny_unknown_fields)]
-pub enum Ask {
-    /// A model's answer.
+pub enum ContentSpec {
+    /// A chat completion.
     Chat(Chat),
     /// A call of a plain service.
     Plain(Plain),
 }
 
-/// A request for a model's answer.
+/// Parameters of chat completion requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Chat {
-    /// The model.
+    /// Name of the model.
     pub model: String,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Tokens of the answer.
+    /// Number of tokens of the answer.
     pub max_tokens: u32,
-    /// Words of the prompt.
+    /// Number of words of the prompt.
     pub prompt_words: usize,
-    /// Of these, words at the start that requests share.
+    /// Number of these words that form a prefix shared with other requests.
     pub shared_words: usize,
-    /// How many different shared starts there are.
+    /// Number of different shared prefixes.
     pub prefixes: u64,
 }
 
-/// A call of a plain service.
+/// Parameters of calls of a plain service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plain {
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// The method.
+    /// HTTP method.
     pub method: String,
-    /// The path below the service; the request's number is added.
+    /// Path below the service; the number of the request is appended.
     pub path: String,
 }
 
-impl Default for Kind {
+impl Default for RequestKind {
     fn default() -> Self {
         Self {
             weight: 1,
-            ask: Ask::Chat(Chat::default()),
+            ask: ContentSpec::Chat(Chat::default()),
             priority: None,
             deadline_ms: None,
             keyed: false,
@@ -102,18 +102,20 @@
 }
 
 impl Mix {
-    /// Half streamed and half whole answers of one model.
+    /// Creates a mix of half streamed and half unstreamed chat completions.
     pub fn halves(chat: &Chat) -> Self {
-        let kind =
-            |stream| Kind { ask: Ask::Chat(Chat { stream, ..chat.clone() }), ..Kind::default() };
+        let kind = |stream| RequestKind {
+            ask: ContentSpec::Chat(Chat { stream, ..chat.clone() }),
+            ..RequestKind::default()
+        };
         Self { kinds: vec![kind(true), kind(false)] }
     }
 
-    /// Reads a mix out of JSON.
+    /// Parses a mix from JSON.
     ///
     /// # Errors
     ///
-    /// Returns a finding for JSON of another shape, or for a kind that can't be sent.
+    /// Returns findings for invalid JSON, for a mix without weights and for an unknown HTTP method.
     pub fn read(text: &str) -> Result<Self, Findings> {
         let mix: Self =
             serde_json::from_str(text).map_err(|err| Findings::one("mix", err.to_string()))?;
@@ -122,7 +124,7 @@
             findings.add("kinds", "expected at least one with a weight");
         }
         for (i, kind) in mix.kinds.iter().enumerate() {
-            if let Ask::Plain(plain) = &kind.ask
+            if let ContentSpec::Plain(plain) = &kind.ask
                 && plain.method.parse::<Method>().is_err()
             {
                 findings.add(format!("kinds[{i}].method"), "unknown method");
@@ -131,13 +133,13 @@
         findings.into_result(mix)
     }
 
-    /// Returns the request of a number; the same number gives the same request. `run` tells runs
-    /// apart, so that keys of an earlier one are not met again.
+    /// Returns the request with a number; the same number gives the same request. `run` is part of
+    /// the idempotency keys, so that a run doesn't reuse the keys of an earlier one.
     pub fn request(&self, run: u64, number: u64) -> Request {
-        let kind = self.kind(scatter(number));
+        let kind = self.draw_kind(mix_bits(number));
         let content = match &kind.ask {
-            Ask::Chat(chat) => chat.content(number),
-            Ask::Plain(plain) => plain.content(number),
+            ContentSpec::Chat(chat) => chat.content(number),
+            ContentSpec::Plain(plain) => plain.content(number),
         };
         let mut headers = Vec::new();
         let mut add =
@@ -157,7 +159,7 @@
         Request { content, headers }
     }
 
-    fn kind(&self, draw: u64) -> &Kind {
+    fn draw_kind(&self, draw: u64) -> &RequestKind {
         let sum: u64 = self.kinds.iter().map(|kind| u64::from(kind.weight)).sum();
         let mut left = draw % sum.max(1);
         for kind in &self.kinds {
@@ -172,7 +174,7 @@
 
 impl Chat {
     fn content(&self, number: u64) -> Content {
-        let prefix = scatter(number ^ 0x5eed) % self.prefixes.max(1);
+        let prefix = mix_bits(number ^ 0x5eed) % self.prefixes.max(1);
         let shared =
             (0..self.shared_words.min(self.prompt_words)).map(|i| format!("p{prefix}-{i} "));
         let own = (self.shared_words..self.prompt_words).map(|i| format!("q{number}-{i} "));
@@ -197,8 +199,8 @@
     }
 }
 
-/// Mixes the bits of a number, so that neighbours draw different kinds.
-fn scatter(number: u64) -> u64 {
+/// Mixes the bits of a number, so that consecutive numbers choose different kinds.
+fn mix_bits(number: u64) -> u64 {
     let mut x = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x ^ (x >> 31)
--- a/bench/load/src/plot.rs
+++ b/bench/load/src/plot.rs
@@ -1,22 +1,22 @@
-//! Draws a report.
+//! Plots the latency distributions of a report.
 
 use std::path::Path;
 
 use eyre::{Result, eyre};
 use plotters::prelude::*;
 
-use crate::report::{Report, Times};
+use crate::report::{Report, TimeDistribution};
 
-/// Size of the picture.
-const SIZE: (u32, u32) = (900, 540);
+/// Width and height of the plot in pixels.
+const SIZE_PX: (u32, u32) = (900, 540);
 
-/// Draws the distributions of a report into an SVG file.
+/// Plots the latency distributions of a report to an SVG file.
 ///
 /// # Errors
 ///
 /// Fails when the file can't be written.
 pub fn draw(report: &Report, file: &Path) -> Result<()> {
-    draw_on(&SVGBackend::new(file, SIZE).into_drawing_area(), report)
+    draw_on(&SVGBackend::new(file, SIZE_PX).into_drawing_area(), report)
         .map_err(|err| eyre!("{}: {err}", file.display()))
 }
 
@@ -33,7 +33,7 @@
         ("between tokens", &report.between_tokens, GREEN),
         ("total", &report.total, RED),
     ];
-    let longest = curves.iter().map(|(_, times, _)| times.at(1.0)).fold(1.0, f64::max);
+    let longest = curves.iter().map(|(_, times, _)| times.quantile_ms(1.0)).fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(area)
         .margin(12)
         .x_label_area_size(44)
@@ -59,15 +59,16 @@
     area.present()
 }
 
-fn points(times: &Times) -> Vec<(f64, f64)> {
+fn points(times: &TimeDistribution) -> Vec<(f64, f64)> {
     if times.count == 0 {
         return Vec::new();
     }
     times.points.iter().map(|point| (nines(point.quantile), point.ms.max(0.01))).collect()
 }
 
-/// Returns how many nines a share has, so that the slow end is seen.
+/// Returns the number of nines of a quantile; this scale spreads out the slow end. Quantiles above
+/// 0.99999 are drawn there, since 1.0 would be infinite.
 fn nines(quantile: f64) -> f64 {
-    const MOST: f64 = 0.000_01;
-    -(1.0 - quantile).max(MOST).log10()
+    const MIN_TAIL_SHARE: f64 = 0.000_01;
+    -(1.0 - quantile).max(MIN_TAIL_SHARE).log10()
 }
--- a/bench/load/src/report.rs
+++ b/bench/load/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of a load.
+//! Counts and latencies of a load.
 
 use std::time::Duration;
 
@@ -8,91 +8,91 @@
 
 use crate::exchange::{Ending, Exchange};
 
-/// The longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// Upper bound of the histograms in microseconds; longer times are recorded as this value.
+const MAX_TIME_US: u64 = 600_000_000;
 
-/// Points of a distribution, as shares of the requests.
+/// Quantiles listed in a report.
 const QUANTILES: [f64; 12] =
     [0.0, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999, 0.9999, 1.0];
 
-/// Counts and times while a load runs.
+/// Counts and latency histograms of a running load.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// Answers by their ending.
+    /// Requests by outcome.
     pub counts: Counts,
     ttft: Histogram<u64>,
     gap: Histogram<u64>,
     total: Histogram<u64>,
 }
 
-/// Answers by their ending.
+/// Requests by outcome.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests that were sent.
+    /// Requests sent.
     pub sent: u64,
-    /// Whole and right answers.
+    /// Complete and correct answers.
     pub whole: u64,
-    /// Accepted, but the rest of the answer is missing.
+    /// Accepted, but the answer is truncated.
     pub cut: u64,
-    /// Accepted, but something else came.
+    /// Accepted, but the received data is not the expected answer.
     pub wrong: u64,
-    /// Refused and certified as not run.
+    /// Refused, certified as not run.
     pub not_run: u64,
-    /// Refused without that.
+    /// Refused without that certificate.
     pub refused: u64,
-    /// Without any answer.
+    /// No response received.
     pub no_answer: u64,
-    /// Tokens of all answers.
+    /// Tokens received in all answers.
     pub tokens: u64,
 }
 
-/// The report as it is written to a file.
+/// Report of a load, as written to a JSON file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Answers by their ending.
+    /// Requests by outcome.
     pub counts: Counts,
     /// How long the load ran, in seconds.
     pub seconds: f64,
-    /// Time to the first token of streamed answers.
-    pub ttft: Times,
-    /// Time between two pieces of streamed answers.
-    pub between_tokens: Times,
-    /// Time to the end of whole answers.
-    pub total: Times,
+    /// Time to first token of streamed answers.
+    pub ttft: TimeDistribution,
+    /// Time between consecutive chunks of streamed answers.
+    pub between_tokens: TimeDistribution,
+    /// Time to the end of complete and correct answers.
+    pub total: TimeDistribution,
 }
 
 /// A distribution of times.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Times {
-    /// How many there are.
+pub struct TimeDistribution {
+    /// Number of recorded times.
     pub count: u64,
-    /// Their mean in milliseconds.
+    /// Mean in milliseconds.
     pub mean_ms: f64,
-    /// Points of the distribution.
+    /// Percentiles, in ascending order.
     pub points: Vec<Point>,
 }
 
-/// A point of a distribution.
+/// A percentile of a distribution.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The share of times that are no longer.
+    /// Share of the times that are at most `ms`, between 0 and 1.
     pub quantile: f64,
-    /// The time in milliseconds.
+    /// Time in milliseconds.
     pub ms: f64,
 }
 
 impl Record {
-    /// Makes an empty record.
+    /// Creates an empty record.
     ///
     /// # Errors
     ///
-    /// Fails when the histograms can't be made.
+    /// Fails when the histograms can't be created.
     pub fn new() -> Result<Self> {
-        let times = || Histogram::new_with_bounds(1, LONGEST_US, 3);
+        let times = || Histogram::new_with_bounds(1, MAX_TIME_US, 3);
         Ok(Self { counts: Counts::default(), ttft: times()?, gap: times()?, total: times()? })
     }
 
-    /// Takes in what came of a request.
+    /// Adds the result of a request.
     pub fn add(&mut self, exchange: &Exchange) {
         let counts = &mut self.counts;
         counts.sent += 1;
@@ -105,25 +105,25 @@
             Ending::Refused => counts.refused += 1,
             Ending::NoAnswer => counts.no_answer += 1,
         }
-        let note = |times: &mut Histogram<u64>, time: Duration| {
+        let record_time = |times: &mut Histogram<u64>, time: Duration| {
             times.saturating_record(time.as_micros() as u64);
         };
         if let Some(ttft) = exchange.ttft {
-            note(&mut self.ttft, ttft);
+            record_time(&mut self.ttft, ttft);
         }
         for gap in &exchange.gaps {
-            note(&mut self.gap, *gap);
+            record_time(&mut self.gap, *gap);
         }
         if exchange.ending == Ending::Whole {
-            note(&mut self.total, exchange.total);
+            record_time(&mut self.total, exchange.total);
         }
     }
 
-    /// Adds another record.
+    /// Adds the counts and times of another record.
     ///
     /// # Errors
     ///
-    /// Fails when the histograms don't fit each other.
+    /// Fails when the histograms have different bounds.
     pub fn merge(&mut self, other: &Self) -> Result<()> {
         let (counts, more) = (&mut self.counts, other.counts);
         counts.sent += more.sent;
@@ -140,19 +140,19 @@
         Ok(())
     }
 
-    /// Returns the report.
+    /// Returns the report of a load that ran for `length`.
     pub fn report(&self, length: Duration) -> Report {
         Report {
             counts: self.counts,
             seconds: length.as_secs_f64(),
-            ttft: Times::of(&self.ttft),
-            between_tokens: Times::of(&self.gap),
-            total: Times::of(&self.total),
+            ttft: TimeDistribution::of(&self.ttft),
+            between_tokens: TimeDistribution::of(&self.gap),
+            total: TimeDistribution::of(&self.total),
         }
     }
 }
 
-impl Times {
+impl TimeDistribution {
     fn of(times: &Histogram<u64>) -> Self {
         let point =
             |quantile| Point { quantile, ms: times.value_at_quantile(quantile) as f64 / 1000.0 };
@@ -163,30 +163,30 @@
         }
     }
 
-    /// Returns the time of a point in milliseconds.
-    pub fn at(&self, quantile: f64) -> f64 {
+    /// Returns the time at a listed quantile in milliseconds, or 0 if it is not listed.
+    pub fn quantile_ms(&self, quantile: f64) -> f64 {
         self.points.iter().find(|p| p.quantile == quantile).map_or(0.0, |p| p.ms)
     }
 
-    fn line(&self) -> String {
+    fn summary(&self) -> String {
         format!(
             "p50 {:.2} ms, p95 {:.2} ms, p99 {:.2} ms, max {:.2} ms ({} times)",
-            self.at(0.5),
-            self.at(0.95),
-            self.at(0.99),
-            self.at(1.0),
+            self.quantile_ms(0.5),
+            self.quantile_ms(0.95),
+            self.quantile_ms(0.99),
+            self.quantile_ms(1.0),
             self.count
         )
     }
 }
 
 impl Report {
-    /// Returns the number of accepted requests that were not answered whole.
+    /// Returns the number of accepted requests whose answer was truncated or wrong.
     pub fn broken(&self) -> u64 {
         self.counts.cut + self.counts.wrong
     }
 
-    /// Returns the report for people.
+    /// Returns the report as text.
     pub fn text(&self) -> String {
         let Counts { sent, whole, cut, wrong, not_run, refused, no_answer, tokens } = self.counts;
         format!(
@@ -199,9 +199,9 @@
             whole as f64 / self.seconds,
             tokens as f64 / self.seconds,
             self.seconds,
-            self.ttft.line(),
-            self.between_tokens.line(),
-            self.total.line(),
+            self.ttft.summary(),
+            self.between_tokens.summary(),
+            self.total.summary(),
         )
     }
 }
--- a/bench/load/src/run.rs
+++ b/bench/load/src/run.rs
@@ -1,4 +1,4 @@
-//! Sends a load over several threads, at a fixed rate or with a fixed number of requests under way.
+//! Sends a load from several threads, at a fixed rate or with a fixed number of requests in flight.
 
 use std::cell::RefCell;
 use std::io::{self, IsTerminal, Write};
@@ -20,58 +20,58 @@
 use crate::mix::Mix;
 use crate::report::{Record, Report};
 
-/// Connections of a thread that sends at a fixed rate.
-const CONNECTIONS: usize = 16_384;
+/// Maximum connections of each sending thread.
+const CONNECTIONS_PER_THREAD: usize = 16_384;
 
-/// How requests follow each other.
+/// How requests are paced.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Pace {
-    /// That many a second, whether or not earlier ones are answered.
+    /// Requests per second, whether or not earlier ones were answered.
     Rate(f64),
-    /// That many under way, each followed by the next when it has ended.
+    /// Requests in flight at once; the next one is sent when one ends.
     Concurrency(usize),
 }
 
-/// What to send.
+/// Settings of a load.
 #[derive(Debug, Clone)]
 pub struct LoadCfg {
-    /// Entry instances, taken in turn.
+    /// Entry instances, used round-robin.
     pub entries: Vec<SocketAddr>,
-    /// The caller's key.
+    /// API key of the caller.
     pub key: Secret,
-    /// How requests follow each other.
+    /// Fixed rate or fixed concurrency.
     pub pace: Pace,
-    /// How long to send.
+    /// How long requests are sent.
     pub length: Millis,
-    /// What to send.
+    /// Kinds of requests and their weights.
     pub mix: Mix,
-    /// Threads that send.
+    /// Number of sending threads.
     pub threads: usize,
 }
 
-/// What the threads of a load share.
+/// State shared by the sending threads.
 #[derive(Debug)]
-struct Load {
+struct SharedLoad {
     cfg: LoadCfg,
     run: u64,
-    next: AtomicU64,
-    ended: AtomicU64,
-    began: Instant,
+    next_number: AtomicU64,
+    ended_count: AtomicU64,
+    started_at: Instant,
 }
 
-/// Runs a load to its end.
+/// Sends a load and waits until all its requests have ended.
 ///
 /// # Errors
 ///
 /// Fails when a thread or its client can't be started.
 pub fn run(cfg: LoadCfg) -> Result<Report> {
     let threads = cfg.threads;
-    let load = Arc::new(Load {
+    let load = Arc::new(SharedLoad {
         cfg,
         run: Millis::wall().0,
-        next: AtomicU64::new(0),
-        ended: AtomicU64::new(0),
-        began: Instant::now(),
+        next_number: AtomicU64::new(0),
+        ended_count: AtomicU64::new(0),
+        started_at: Instant::now(),
     });
     let mut senders = Vec::new();
     for thread in 0..threads {
@@ -82,24 +82,28 @@
     show_progress(&load, || senders.iter().all(thread::JoinHandle::is_finished));
     let mut record = Record::new()?;
     for sender in senders {
-        record.merge(&sender.join().map_err(|_| eyre!("a sending thread panicked"))??)?;
+        record.merge(
+            &sender.join().map_err(|_| eyre!("a thread of the load generator panicked"))??,
+        )?;
     }
-    Ok(record.report(load.began.elapsed()))
+    Ok(record.report(load.started_at.elapsed()))
 }
 
-fn send_on_one_thread(load: &Arc<Load>, thread: usize) -> Result<Record> {
+fn send_on_one_thread(load: &Arc<SharedLoad>, thread: usize) -> Result<Record> {
     let system = System::build().name("load").build(DefaultRuntime);
     system.block_on({
         let load = load.clone();
         async move {
             let sender = Rc::new(Sender {
-                http: client::streaming(CONNECTIONS).await?,
+                http: client::streaming(CONNECTIONS_PER_THREAD).await?,
                 record: RefCell::new(Record::new()?),
                 load: load.clone(),
             });
             match load.cfg.pace {
-                Pace::Rate(rate) => at_rate(&sender, rate, thread).await,
-                Pace::Concurrency(count) => under_way(&sender, share(count, &load, thread)).await,
+                Pace::Rate(rate) => send_at_rate(&sender, rate, thread).await,
+                Pace::Concurrency(count) => {
+                    send_concurrently(&sender, share_of_thread(count, &load, thread)).await
+                }
             }
             let record = sender.record.borrow().clone();
             Ok(record)
@@ -107,38 +111,38 @@
     })
 }
 
-fn share(count: usize, load: &Load, thread: usize) -> usize {
+fn share_of_thread(count: usize, load: &SharedLoad, thread: usize) -> usize {
     count / load.cfg.threads + usize::from(thread < count % load.cfg.threads)
 }
 
-/// Sends each request at its own time, and counts its times from then. A tool that waits for a slow
-/// answer before it sends the next request would leave out just the requests that had to wait.
-async fn at_rate(sender: &Rc<Sender>, rate: f64, thread: usize) {
+/// Sends each request when it is due and measures its latency from then. Waiting for a slow answer
+/// before the next request is sent would omit exactly the requests that had to wait.
+async fn send_at_rate(sender: &Rc<Sender>, rate: f64, thread: usize) {
     let load = &sender.load;
     let step = load.cfg.threads as f64 / rate;
-    let mut under_way = Vec::new();
+    let mut in_flight = Vec::new();
     for turn in 0.. {
         let due =
             Duration::from_secs_f64(step * (turn as f64 + thread as f64 / load.cfg.threads as f64));
         if Millis::from(due) >= load.cfg.length {
             break;
         }
-        let due = load.began + due;
+        let due = load.started_at + due;
         sleep_until(due).await;
         let sender = sender.clone();
-        under_way.push(ntex::rt::spawn(async move { sender.send(due).await }));
+        in_flight.push(ntex::rt::spawn(async move { sender.send(due).await }));
     }
-    join_all(under_way).await;
+    join_all(in_flight).await;
 }
 
-async fn under_way(sender: &Rc<Sender>, count: usize) {
+async fn send_concurrently(sender: &Rc<Sender>, count: usize) {
     let load = &sender.load;
-    let one = |_| async {
-        while Millis::from(load.began.elapsed()) < load.cfg.length {
+    let send_in_turn = |_| async {
+        while Millis::from(load.started_at.elapsed()) < load.cfg.length {
             sender.send(Instant::now()).await;
         }
     };
-    join_all((0..count).map(one)).await;
+    join_all((0..count).map(send_in_turn)).await;
 }
 
 async fn sleep_until(due: Instant) {
@@ -148,40 +152,42 @@
     }
 }
 
-/// Sends requests of one thread.
+/// Sends the requests of one thread.
 struct Sender {
-    load: Arc<Load>,
+    load: Arc<SharedLoad>,
     http: Client,
     record: RefCell<Record>,
 }
 
 impl Sender {
     async fn send(&self, due: Instant) {
-        let Load { cfg, run, next, ended, .. } = &*self.load;
-        let number = next.fetch_add(1, Ordering::Relaxed);
+        let SharedLoad { cfg, run, next_number, ended_count, .. } = &*self.load;
+        let number = next_number.fetch_add(1, Ordering::Relaxed);
         let entry = cfg.entries[number as usize % cfg.entries.len()];
         let request = cfg.mix.request(*run, number);
         let exchange = exchange::run(&self.http, entry, &cfg.key, &request, due).await;
         self.record.borrow_mut().add(&exchange);
-        ended.fetch_add(1, Ordering::Relaxed);
+        ended_count.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Shows progress on a terminal, and nothing where the output goes into a file.
-fn show_progress(load: &Load, is_over: impl Fn() -> bool) {
-    const POLL: Duration = Duration::from_millis(20);
-    const SHOW_EVERY: u32 = 25;
+/// Shows progress if stderr is a terminal.
+fn show_progress(load: &SharedLoad, is_finished: impl Fn() -> bool) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
+    const POLLS_PER_UPDATE: u32 = 25;
     let mut err = io::stderr();
     let is_terminal = err.is_terminal();
     let mut polls = 0_u32;
-    while !is_over() {
-        thread::sleep(POLL);
+    while !is_finished() {
+        thread::sleep(POLL_INTERVAL);
         polls += 1;
-        if is_terminal && polls.is_multiple_of(SHOW_EVERY) {
-            let (sent, ended) =
-                (load.next.load(Ordering::Relaxed), load.ended.load(Ordering::Relaxed));
-            let secs = load.began.elapsed().as_secs();
-            let _ = write!(err, "\r{secs} s: {sent} sent, {ended} ended ");
+        if is_terminal && polls.is_multiple_of(POLLS_PER_UPDATE) {
+            let (sent, ended_count) = (
+                load.next_number.load(Ordering::Relaxed),
+                load.ended_count.load(Ordering::Relaxed),
+            );
+            let secs = load.started_at.elapsed().as_secs();
+            let _ = write!(err, "\r{secs} s: {sent} sent, {ended_count} ended ");
         }
     }
     if is_terminal {
--- a/bench/load/src/sse.rs
+++ b/bench/load/src/sse.rs
@@ -1,13 +1,13 @@
-//! Reads server-sent events as they arrive.
+//! Incremental reader for server-sent events.
 
-/// Collects the `data` of events out of pieces that may end anywhere.
+/// Extracts the `data` of events from chunks, which may end anywhere in an event.
 #[derive(Debug, Default)]
 pub struct SseReader {
     pending: Vec<u8>,
 }
 
 impl SseReader {
-    /// Takes in a piece and returns the data of every event line that is whole by now.
+    /// Appends a chunk and returns the data of every `data:` line completed by it.
     pub fn feed(&mut self, piece: &[u8]) -> Vec<String> {
         self.pending.extend_from_slice(piece);
         let Some(end) = self.pending.iter().rposition(|byte| *byte == b'\n') else {
--- a/bench/load/tests/experiment.rs
+++ b/bench/load/tests/experiment.rs
@@ -2,7 +2,7 @@
 
 use sill_base::Millis;
 use sill_load::experiment::figures::Row;
-use sill_load::experiment::pool::{Callers, Pool, PoolCfg, Wave};
+use sill_load::experiment::pool::{CallerCfg, Pool, PoolCfg, Wave};
 use sill_load::experiment::traffic::Mix;
 use sill_route::{Policy, PolicyCfg};
 
@@ -22,7 +22,7 @@
         length: Millis::from_secs(240),
         warm_up: Millis::from_secs(60),
         wave: Some(wave),
-        callers: Callers::default(),
+        callers: CallerCfg::default(),
         seed: 1,
     };
     Pool::new(cfg).run().row("")
