--- a/bench/load/src/exchange.rs
+++ b/bench/load/src/exchange.rs
@@ -207,11 +207,11 @@
     let answer = Answer::to(summary);
     let mut reader = SseReader::default();
     let mut last = None;
-    while let Some(piece) = res.next().await {
-        let Ok(piece) = piece else {
+    while let Some(chunk) = res.next().await {
+        let Ok(chunk) = chunk else {
             return Ending::Cut;
         };
-        for data in reader.feed(&piece) {
+        for data in reader.feed(&chunk) {
             if data == "[DONE]" {
                 let is_whole = exchange.tokens == answer.tokens;
                 return if is_whole { Ending::Whole } else { Ending::Cut };
--- a/bench/load/src/experiment/cli.rs
+++ b/bench/load/src/experiment/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the experiments.
+//! Command line of the experiments.
 
 use std::path::PathBuf;
 
@@ -8,22 +8,22 @@
 
 use super::{limits, overload, route};
 
-/// `sill-load experiment`.
+/// Flags and help of `sill-load experiment`.
 pub const EXPERIMENT: Program = Program {
     name: "sill-load experiment",
-    about: "measures the decision cores against small models, in virtual time",
+    about: "measures the decision cores against simple models, in virtual time",
     operands: "route|overload|limits",
     flags: &[
-        Flag::with_default("seed", "N", "1", "seed of everything that is random"),
-        Flag::one("json", "FILE", "write the figures there"),
+        Flag::with_default("seed", "N", "1", "seed of all random numbers"),
+        Flag::one("json", "FILE", "file to write the figures to"),
     ],
 };
 
-/// Runs one experiment.
+/// Runs one experiment and prints its tables.
 ///
 /// # Errors
 ///
-/// Fails when the words are wrong or the file can't be written.
+/// Fails when the arguments are invalid or the file can't be written.
 pub fn run(mut words: Vec<String>) -> Result<()> {
     let which = if words.is_empty() { String::new() } else { words.remove(0) };
     let Some(mut values) = EXPERIMENT.values_or_help(words)? else {
--- a/bench/load/src/experiment/figures.rs
+++ b/bench/load/src/experiment/figures.rs
@@ -1,4 +1,4 @@
-//! Figures of one run.
+//! Measurements of one run.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -8,101 +8,101 @@
 use super::model::Micros;
 use super::traffic::Mix;
 
-/// The time between tokens that is aimed for, in microseconds.
+/// Target for the mean time between tokens of an answer, in microseconds.
 const BETWEEN_TOKENS_TARGET_US: Micros = 29_000;
 
-/// Length of a span of the time line.
+/// Length of a span of the timeline in microseconds.
 const SPAN_US: Micros = 10_000_000;
 
-/// Tokens that had been computed before, by why they were computed again.
+/// Recomputed tokens, by the reason why the cache of the chosen endpoint did not have them.
 #[derive(Debug, Default, Clone, Copy, Serialize)]
 pub struct Recompute {
-    /// Another endpoint held them.
+    /// Another endpoint had them cached.
     pub elsewhere: u64,
-    /// No endpoint held them any more.
+    /// No endpoint had them cached any more.
     pub evicted: u64,
-    /// The request was moved off an endpoint that was reclaimed.
+    /// The request was moved away from a reclaimed endpoint.
     pub reclaim: u64,
 }
 
-/// What happened in one span of time.
+/// Counts of one span of the timeline.
 #[derive(Debug, Default, Clone, Copy, Serialize)]
 pub struct Span {
-    /// Requests that arrived for the first time.
+    /// New requests, without retries.
     pub arrived: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u64,
-    /// Whole answers within the latency target.
+    /// Complete answers within both latency targets.
     pub in_time: u64,
-    /// Refusals, with callers that gave up waiting.
+    /// Refusals and caller timeouts.
     pub refused: u64,
-    /// Requests that were given up on for good.
+    /// Requests without an answer after the last attempt.
     pub lost: u64,
-    /// Slowest first token in milliseconds.
+    /// Longest time to first token in milliseconds.
     pub worst_ttft_ms: u64,
     /// Slots in use, summed over samples.
     pub used_slots: u64,
-    /// Slots in all, summed over samples.
+    /// Slots of all endpoints that are up, summed over samples.
     pub slots: u64,
-    /// Highest load of an endpoint, in percent of its slots.
+    /// Highest number of running and queued requests at an endpoint, in percent of its slots.
     pub fullest: u64,
 }
 
-/// Figures of one run.
+/// Measurements of one run.
 #[derive(Debug)]
 pub struct Figures {
     mix: Mix,
-    /// Times to the first token in microseconds.
+    /// Times to first token in microseconds.
     pub ttft: Histogram<u64>,
-    /// Mean times between tokens of each answer in microseconds.
+    /// Mean time between tokens of each answer in microseconds.
     pub between: Histogram<u64>,
-    /// The time line.
+    /// Timeline of the run.
     pub spans: Vec<Span>,
-    /// Recomputed tokens.
+    /// Recomputed tokens by cause.
     pub recompute: Recompute,
-    /// Prompt tokens of all runs.
+    /// Prompt tokens of all attempts whose prefill started.
     pub prompt_tokens: u64,
-    /// Prompt tokens that were computed.
+    /// Prompt tokens not found in the cache.
     pub computed_tokens: u64,
     /// Refusals by priority: low, normal, high.
     pub refused: [u64; 3],
-    /// Price of all endpoints over the run.
+    /// Price of all endpoints over the run in currency units.
     pub fleet_cost: f64,
-    /// Time of one choice in microseconds.
+    /// Mean time of one routing decision in microseconds.
     pub decision_us: f64,
 }
 
-/// The figures of a table's row.
+/// Measurements in one row of a table.
 #[derive(Debug, Clone, Serialize)]
 pub struct Row {
-    /// What was run.
+    /// Name of the variant that was run.
     pub name: String,
     /// Recomputed tokens by cause.
     pub recompute: Recompute,
-    /// Their sum.
+    /// Recomputed tokens in total.
     pub recomputed: u64,
-    /// Median time to the first token in milliseconds.
+    /// Median time to first token in milliseconds.
     pub ttft_p50_ms: f64,
-    /// 95th percentile of it.
+    /// 95th percentile of the time to first token in milliseconds.
     pub ttft_p95_ms: f64,
     /// 95th percentile of the time between tokens in milliseconds.
     pub between_p95_ms: f64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u64,
-    /// Whole answers within the latency target.
+    /// Complete answers within both latency targets.
     pub in_time: u64,
-    /// Refusals.
+    /// Refusals and caller timeouts.
     pub refused: u64,
-    /// Requests given up on for good.
+    /// Requests without an answer after the last attempt.
     pub lost: u64,
-    /// Cost of the fleet for each thousand answers within the latency target.
+    /// Cost of the fleet per 1,000 answers within the latency targets, in currency units.
     pub cost_per_1000: f64,
-    /// Time of one choice in microseconds.
+    /// Mean time of one routing decision in microseconds.
     pub decision_us: f64,
 }
 
 impl Figures {
-    /// Starts with nothing counted.
+    /// Creates empty measurements for a run of `length`.
     pub fn new(mix: Mix, length: Millis) -> Self {
         const MAX_TIME_US: Micros = 3_600_000_000;
         let times = || Histogram::new_with_bounds(1, MAX_TIME_US, 3).expect("valid bounds");
@@ -168,7 +168,7 @@
         self.recompute.reclaim += recompute.reclaim;
     }
 
-    /// Sums up the run as a table's row.
+    /// Returns the totals of the run as a row of a table.
     pub fn row(&self, name: &str) -> Row {
         let sum = |of: fn(&Span) -> u64| self.spans.iter().map(of).sum::<u64>();
         let ms = |times: &Histogram<u64>, q| times.value_at_quantile(q) as f64 / 1000.0;
@@ -197,11 +197,11 @@
 }
 
 impl Row {
-    /// The heading of the rows' columns.
+    /// Column headings of the table.
     pub const HEADING: &'static str = "policy                    recomputed  elsewhere    evicted    \
         reclaim  ttft50  ttft95  token95  answered  in time  refused  lost  cost/1000";
 
-    /// Returns the row as a line of the table; tokens in thousands, times in milliseconds.
+    /// Returns the row as a line of the table, with tokens in thousands and times in milliseconds.
     pub fn line(&self) -> String {
         let k = |tokens: u64| tokens / 1000;
         format!(
--- a/bench/load/src/experiment/limits.rs
+++ b/bench/load/src/experiment/limits.rs
@@ -1,4 +1,4 @@
-//! Accuracy of shared limits against the baselines, and the bytes that the exchange costs.
+//! Compares the accuracy of shared rate limits with baselines, and measures the exchanged bytes.
 
 use rand::Rng as _;
 use serde::Serialize;
@@ -10,54 +10,56 @@
 use sill_wire::Incarnation;
 use sill_wire::limits::DemandReport;
 
-/// Requests a second that the account may send.
+/// Rate limit of the client account in requests per second.
 const LIMIT_PER_S: f64 = 2000.0;
 
-/// Parts of the limit that callers ask for.
+/// Demand of the callers, relative to the limit.
 const DEMAND_FACTOR: f64 = 1.5;
 
 const STEP: Millis = Millis(10);
 const TICK_INTERVAL_MS: u64 = 1000;
 const ACCOUNT_COUNT: usize = 5;
 
-/// Around each call: HTTP headers, JSON-RPC envelope, TCP and IP headers both ways.
+/// Bytes per call besides the reports: HTTP headers, JSON-RPC envelope, TCP and IP headers in both
+/// directions.
 const CALL_OVERHEAD_BYTES: usize = 600;
 
-/// How demand is spread.
+/// Distribution of the demand over the entry instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Spread {
-    /// Half of the entry instances get half of it.
+    /// Half of the entry instances get half of the demand.
     Even,
-    /// A fifth gets four fifths.
+    /// A fifth of the entry instances gets four fifths of the demand.
     Skewed,
-    /// The fifth that gets four fifths changes every ten seconds.
+    /// Like `Skewed`, but the busy fifth changes every ten seconds.
     Moving,
 }
 
-/// One run.
+/// Results of one run.
 #[derive(Debug, Serialize)]
 pub struct LimitRow {
-    /// How the limit is split.
+    /// How the limit is split between entry instances.
     pub split: String,
-    /// Entry instances.
+    /// Number of entry instances.
     pub entries: usize,
-    /// How demand is spread.
+    /// Distribution of the demand.
     pub spread: Spread,
-    /// What was admitted, in percent of the limit.
+    /// Admitted requests, in percent of the limit.
     pub used: f64,
-    /// The most in any ten seconds, in percent of the limit.
+    /// Highest number of admitted requests in any ten seconds, in percent of the limit.
     pub most: f64,
-    /// The same while a failure domain is cut off and asks for three times as much.
+    /// Like `used`, while one failure domain is partitioned from the others and the demand is three
+    /// times as high.
     pub used_cut: f64,
-    /// The most in any ten seconds of the cut.
+    /// Like `most`, during the partition.
     pub most_cut: f64,
-    /// Mean bytes that an entry instance sends and gets in a second.
+    /// Mean bytes per second that an entry instance sends and receives.
     pub bytes_mean: f64,
-    /// The same of the busiest entry instance.
+    /// Bytes per second of the entry instance that sends and receives the most.
     pub bytes_most: f64,
 }
 
-/// Runs all splits at both sizes, and the exchange at more sizes for its slope.
+/// Runs all splits at two sizes, and the split by demand at more sizes to show how its bytes grow.
 pub fn run(seed: u64) -> Vec<LimitRow> {
     let mut rows = Vec::new();
     for (entries, domains) in [(8, 4), (360, 10)] {
@@ -126,7 +128,7 @@
     }
 }
 
-/// Entry instances over a network that can be cut, in virtual time.
+/// Simulated entry instances, on a network that can be partitioned.
 struct EntryFleet {
     now: Millis,
     rng: Rng,
@@ -218,7 +220,8 @@
             .expect("every peer is one of the simulated entry instances")
     }
 
-    /// Requests come at random times, and the other accounts ask for little.
+    /// Sends the requests of one step: at random times for the limited account, and a few for the
+    /// other accounts.
     fn send_requests(&mut self) {
         let mut admitted = 0;
         for i in 0..self.limiters.len() {
@@ -269,7 +272,7 @@
     limiter
 }
 
-/// Draws the number of requests of a step whose mean is small.
+/// Draws the Poisson-distributed number of requests in a step; the mean must be small.
 fn draw_poisson(mean: f64, rng: &mut Rng) -> u32 {
     let limit = (-mean).exp();
     let mut count = 0;
--- a/bench/load/src/experiment/mod.rs
+++ b/bench/load/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: the real decision cores against small models of endpoints, in virtual time.
+//! Experiments that run the real decision cores against simple endpoint models in virtual time.
 
 pub mod cli;
 pub mod figures;
--- a/bench/load/src/experiment/model.rs
+++ b/bench/load/src/experiment/model.rs
@@ -1,7 +1,7 @@
-//! A simple endpoint in virtual time: slots, serial prefill, decoding, a prefix cache.
+//! Simple model of an endpoint in virtual time: slots, serial prefill, decode, a prefix cache.
 //!
-//! Decoding requests share the accelerator with the prefill of others and with each other, so a
-//! prompt that has to be computed also slows the answers that run.
+//! Decoding requests share the accelerator with the prefill of others and with each other, so the
+//! prefill of an uncached prompt also slows down the decoding requests.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,62 +12,62 @@
 use sill_wire::prefix::BLOCK_TOKENS;
 use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Servable};
 
-/// The model that every endpoint serves.
+/// Name of the language model that every endpoint serves.
 pub const MODEL: &str = "m";
 
-/// Share of the accelerator that a prefill takes from the answers that run.
+/// Share of the accelerator that a prefill takes from decoding requests.
 const PREFILL_SHARE: f64 = 0.4;
 
-/// How much slower a full batch decodes than a single answer.
+/// Relative slowdown of decode in a full batch, compared to a single request.
 const BATCH_SLOWDOWN: f64 = 0.3;
 
 /// Virtual time in microseconds.
 pub type Micros = u64;
 
-/// What an endpoint is.
+/// Properties of an endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointSpec {
-    /// Its failure domain.
+    /// Number of its failure domain.
     pub domain: usize,
-    /// Requests side by side.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// Prompt tokens computed in a second.
+    /// Prompt tokens computed per second.
     pub prefill_tokens_per_s: u32,
-    /// Time between two tokens of an answer that runs alone, in milliseconds.
+    /// Time between two tokens of a request that decodes alone, in milliseconds.
     pub decode_ms: u32,
-    /// Tokens that the prefix cache holds.
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: u64,
-    /// Whether the platform may take it back.
+    /// Whether the platform may reclaim the instance.
     pub reclaimable: bool,
-    /// Price an hour in thousandths.
+    /// Price per hour in thousandths of a currency unit.
     pub price: u64,
 }
 
-/// A request at an endpoint.
+/// One attempt of a job at an endpoint.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// The number of the job.
+    /// Index of the job.
     pub job: usize,
-    /// Which attempt of the job.
+    /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// Its whole blocks.
+    /// Ids of the prompt's complete blocks.
     pub blocks: Arc<[u64]>,
-    /// Tokens to compute or find in the cache.
+    /// Prompt tokens, cached or not.
     pub prompt_tokens: u64,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub tokens: u32,
-    /// Its priority.
+    /// Priority in the endpoint's queue.
     pub priority: Priority,
 }
 
-/// What came of the passing of time.
+/// Event at an endpoint as time advances.
 #[derive(Debug)]
 pub enum EndpointEvent {
-    /// A prefill began.
+    /// A prefill started.
     Prefill {
-        /// The request.
+        /// The attempt whose prompt is computed.
         run: Run,
-        /// Blocks that were found in the cache.
+        /// Number of its blocks found in the cache.
         cached_blocks: usize,
     },
     /// The first token was sent.
@@ -76,24 +76,24 @@
     Finished(Run),
 }
 
-/// An endpoint.
+/// State of a simulated endpoint.
 #[derive(Debug)]
 pub struct EndpointModel {
-    /// What it is.
+    /// Fixed properties.
     pub spec: EndpointSpec,
-    /// Its name.
+    /// Name in announcements.
     pub name: Name,
-    /// Whether it runs.
+    /// Whether its instance runs.
     pub is_up: bool,
-    /// When it goes, once it knows.
+    /// Time at which its instance will be reclaimed, once it has notice.
     pub leaves_at: Option<Micros>,
-    /// Its cache.
+    /// Prefix cache.
     pub cache: PrefixCache,
-    /// Cache events that were not published yet.
+    /// Cache events not published yet.
     pub events: Vec<CacheEvent>,
-    /// The number of the next cache event.
+    /// Sequence number of the next cache event to publish.
     pub next_event: u64,
-    /// Its life.
+    /// Incarnation; each restart increments it.
     pub incarnation: u64,
     sequence: u64,
     waiting: VecDeque<Run>,
@@ -117,7 +117,7 @@
 }
 
 impl EndpointModel {
-    /// Makes an endpoint with an empty cache.
+    /// Creates a running endpoint with an empty cache.
     pub fn new(number: usize, spec: EndpointSpec) -> Self {
         Self {
             name: format!("lm-{number}").into(),
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Starts a new life.
+    /// Starts a new incarnation with an empty cache.
     pub fn restart(&mut self, now: Micros) {
         self.cache = PrefixCache::new(self.spec.cache_tokens);
         self.events.clear();
@@ -150,7 +150,7 @@
         self.progress_at = now;
     }
 
-    /// Dies, and returns the requests that it held, each with the tokens already sent.
+    /// Stops the endpoint and returns its requests, each with the number of tokens already sent.
     pub fn stop(&mut self, now: Micros) -> Vec<(Run, u32)> {
         self.advance(now);
         self.is_up = false;
@@ -168,13 +168,13 @@
         lost
     }
 
-    /// Takes a request.
+    /// Queues a request, behind those of the same or a higher priority.
     pub fn enqueue(&mut self, run: Run) {
         let behind = self.waiting.iter().position(|other| other.priority < run.priority);
         self.waiting.insert(behind.unwrap_or(self.waiting.len()), run);
     }
 
-    /// Drops a request whose caller went away.
+    /// Removes the request of a job whose caller has timed out.
     pub fn cancel(&mut self, now: Micros, job: usize) {
         self.advance(now);
         self.waiting.retain(|run| run.job != job);
@@ -185,16 +185,16 @@
         }
     }
 
-    /// Returns the requests that it holds.
+    /// Returns the number of running and queued requests.
     pub fn active(&self) -> usize {
         self.running() + self.waiting.len()
     }
 
-    /// Carries out all that is due, and returns when something is due next.
+    /// Processes everything due at `now` and returns the time at which something is due next.
     pub fn work(&mut self, now: Micros, out: &mut Vec<EndpointEvent>) -> Option<Micros> {
         self.advance(now);
         if self.prefill.as_ref().is_some_and(|p| p.ends_at <= now) {
-            let run = self.prefill.take().expect("checked").run;
+            let run = self.prefill.take().expect("a prefill is running").run;
             self.events.extend(self.cache.insert(&run.blocks));
             let span = f64::from(run.tokens.max(1) - 1) * f64::from(self.spec.decode_ms);
             let ends_at_progress = self.progress_ms + span;
@@ -218,7 +218,7 @@
         self.next_due(now)
     }
 
-    /// Returns its announcement.
+    /// Returns the next announcement.
     pub fn announcement(&mut self, now: Micros, load: Load, domain: Name) -> Announcement {
         self.sequence += 1;
         Announcement {
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Returns its load as it would report it now.
+    /// Returns the load to report now.
     pub fn load(&self) -> Load {
         let waiting = self.waiting.iter().chain(&self.admitted);
         Load {
@@ -278,7 +278,7 @@
         self.prefill = Some(Prefill { run, ends_at: now + span });
     }
 
-    /// Milliseconds of undisturbed decoding done in a millisecond.
+    /// Returns the decode speed relative to a request that decodes alone, per request.
     fn decode_speed(&self) -> f64 {
         let batch = self.decoding.len() as f64 / f64::from(self.spec.slots);
         let share = if self.prefill.is_some() { 1.0 - PREFILL_SHARE } else { 1.0 };
--- a/bench/load/src/experiment/overload.rs
+++ b/bench/load/src/experiment/overload.rs
@@ -1,5 +1,4 @@
-//! A wave that takes one failure domain of four at 70% load, with the overload rules left out one
-//! after the other.
+//! Loss of one failure domain of four at 70% load, with different overload rules disabled.
 
 use serde::Serialize;
 use sill_base::Millis;
@@ -13,44 +12,44 @@
 const WAVE_AT: Millis = Millis::from_secs(240);
 const REPLACED_AFTER: Millis = Millis::from_secs(180);
 
-/// Three in each failure domain, so that a quarter is lost.
+/// Number of endpoints: three in each failure domain, so that a quarter is lost.
 const ENDPOINT_COUNT: usize = 12;
 
-/// Seconds in a span of the time line.
+/// Length of a span of the timeline in seconds.
 const SPAN_S: u64 = 10;
 
-/// Requests a second, in parts of the mix's rate, at which 70% of the slots are taken.
+/// Request rate relative to the rate of the mix, at which 70% of the slots are in use.
 const LOAD_FACTOR: f64 = 3.2;
 
-/// A way to meet overload.
+/// Results with one set of overload rules.
 #[derive(Debug, Serialize)]
 pub struct OverloadRun {
-    /// What was left out.
+    /// Names the disabled rules.
     pub name: &'static str,
-    /// Figures of the whole run.
+    /// Measurements of the whole run.
     pub row: Row,
     /// Refusals by priority: low, normal, high.
     pub refused: [u64; 3],
-    /// Before, while a domain is lost, and after it came back.
+    /// Before the domain is lost, while it is lost, and after its endpoints were replaced.
     pub phases: [Phase; 3],
 }
 
-/// Figures of a part of the run.
+/// Measurements of a part of the run.
 #[derive(Debug, Default, Clone, Copy, Serialize)]
 pub struct Phase {
-    /// Requests that arrived.
+    /// New requests, without retries.
     pub arrived: u64,
-    /// Whole answers, in percent of the arrived.
+    /// Complete answers, in percent of the new requests.
     pub answered_percent: f64,
-    /// Whole answers within the latency target, in percent of the arrived.
+    /// Complete answers within both latency targets, in percent of the new requests.
     pub in_time_percent: f64,
     /// Mean load of the endpoints that are up, in percent of their slots.
     pub mean_load: f64,
-    /// Highest load of an endpoint, in percent of its slots.
+    /// Highest number of running and queued requests at an endpoint, in percent of its slots.
     pub fullest: u64,
 }
 
-/// Runs all variants.
+/// Runs all variants of the overload rules.
 pub fn run(seed: u64) -> Vec<OverloadRun> {
     let no_refusal = PolicyCfg {
         load_factor: PriorityBounds::UNBOUNDED,
@@ -77,7 +76,7 @@
         .collect()
 }
 
-/// Prints the table.
+/// Prints the tables.
 pub fn print(runs: &[OverloadRun]) {
     println!(
         "shared prompts, one failure domain of four lost unannounced for {} s",
--- a/bench/load/src/experiment/pool.rs
+++ b/bench/load/src/experiment/pool.rs
@@ -1,4 +1,4 @@
-//! A pool of endpoint models under several routers, in virtual time.
+//! Simulation of a pool of endpoints behind several routers, in virtual time.
 
 mod endpoints;
 
@@ -25,61 +25,62 @@
 const SECOND_US: Micros = 1_000_000;
 const MILLISECOND_US: Micros = 1_000;
 
-/// Where a moved request waits when nothing takes it.
+/// Delay before a moved request is routed again, after the router refused it or its new endpoint
+/// failed.
 const MOVE_RETRY_DELAY: Micros = SECOND_US / 5;
 
-/// What is run.
+/// Settings of a run.
 #[derive(Debug, Clone)]
 pub struct PoolCfg {
-    /// Whose work.
+    /// Mix of requests.
     pub mix: Mix,
-    /// The endpoints.
+    /// Properties of each endpoint.
     pub endpoints: Vec<EndpointSpec>,
-    /// How endpoints are chosen.
+    /// Settings of the routing policy.
     pub policy: PolicyCfg,
-    /// Requests a second, in parts of the mix's own rate.
+    /// Request rate relative to the rate of the mix.
     pub load: f64,
-    /// Entry instances, spread over the failure domains.
+    /// Number of entry instances, spread over the failure domains.
     pub entries: usize,
-    /// How long callers send.
+    /// Time for which new requests arrive.
     pub length: Millis,
-    /// Requests that arrive before are not counted.
+    /// Requests that arrive before this time are not counted.
     pub warm_up: Millis,
-    /// What befalls the endpoints.
+    /// Reclaim wave during the run, if any.
     pub wave: Option<Wave>,
-    /// How callers behave.
+    /// Timeouts and retries of callers.
     pub callers: CallerCfg,
-    /// Seed of everything that is random.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// A reclaim of all endpoints of a failure domain, the reclaimable and the others.
+/// A reclaim of all endpoints of a failure domain, reclaimable or not.
 #[derive(Debug, Clone, Copy)]
 pub struct Wave {
-    /// The failure domain.
+    /// Number of the failure domain.
     pub domain: usize,
-    /// When the notice comes.
+    /// Time of the notice since the start of the run.
     pub at: Millis,
-    /// Time from the notice to the end; none came where it is zero.
+    /// Time from the notice to the stop; if zero, the endpoints stop without notice.
     pub notice: Millis,
-    /// When new endpoints are up, after the end.
+    /// Time from the stop until replacements are up.
     pub replaced_after: Millis,
 }
 
-/// How callers behave, and the entry instances towards them.
+/// Behaviour of callers, and of entry instances towards them.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerCfg {
-    /// How often a request is sent at most.
+    /// Maximum number of times that a caller sends a request.
     pub max_attempts: u32,
-    /// How long a caller waits for the first token before it sends again.
+    /// Time without a first token after which a caller sends the request again.
     pub first_token_timeout: Millis,
-    /// Whether refused callers wait as long as they are told, or a second.
+    /// Whether refused callers wait for the `Retry-After` time; otherwise they wait one second.
     pub obey_retry_after: bool,
-    /// Whether retries of failed attempts need leave of the retry budget.
+    /// Whether retries of failed attempts are limited by the retry budget.
     pub retry_budget: bool,
 }
 
-/// A request over all its attempts.
+/// A request with all its attempts.
 #[derive(Debug)]
 struct Job {
     spec: RequestSpec,
@@ -109,12 +110,12 @@
     Deliver(usize),
 }
 
-/// The pool.
+/// State of the simulated pool.
 #[derive(Debug)]
 pub struct Pool {
     cfg: PoolCfg,
     rng: Rng,
-    /// Kept apart, so that every policy meets the same requests at the same times.
+    /// Separate from `rng`, so that every policy gets the same requests at the same times.
     arrivals: Rng,
     now: Micros,
     queue: BinaryHeap<Reverse<(Micros, u64, ScheduledEvent)>>,
@@ -144,7 +145,7 @@
 }
 
 impl Pool {
-    /// Makes a pool whose endpoints are all up.
+    /// Creates a pool whose endpoints are all up.
     pub fn new(cfg: PoolCfg) -> Self {
         let endpoints: Vec<EndpointModel> =
             (0..).zip(cfg.endpoints.clone()).map(|(n, s)| EndpointModel::new(n, s)).collect();
@@ -179,7 +180,7 @@
         pool
     }
 
-    /// Runs until every request has come to its end.
+    /// Runs until every request has ended.
     pub fn run(mut self) -> Figures {
         while let Some(Reverse((at, _, due))) = self.queue.pop() {
             let sending = at < self.cfg.length.0 * MILLISECOND_US;
@@ -223,13 +224,13 @@
         self.schedule(2 * SECOND_US, ScheduledEvent::Arrival);
     }
 
-    fn schedule(&mut self, time: Micros, due: ScheduledEvent) {
+    fn schedule(&mut self, time: Micros, event: ScheduledEvent) {
         self.last_sequence += 1;
-        self.queue.push(Reverse((time, self.last_sequence, due)));
+        self.queue.push(Reverse((time, self.last_sequence, event)));
     }
 
-    fn handle(&mut self, due: ScheduledEvent) {
-        match due {
+    fn handle(&mut self, event: ScheduledEvent) {
+        match event {
             ScheduledEvent::Arrival => self.handle_arrival(),
             ScheduledEvent::Retry(job) => self.dispatch(job),
             ScheduledEvent::Move(job) => self.dispatch(job),
@@ -308,7 +309,7 @@
             blocks: spec.blocks.clone(),
             prompt_tokens: spec.prompt_tokens + u64::from(*emitted_tokens),
             max_tokens: spec.tokens - emitted_tokens,
-            // What was accepted goes before what is new.
+            // Accepted requests have precedence over new ones.
             priority: if *is_moved { Priority::High } else { spec.priority },
             deadline: Millis::MAX,
             exclude: Vec::new(),
@@ -346,7 +347,7 @@
         self.work(endpoint);
     }
 
-    /// The caller goes away and sends the request again.
+    /// Cancels an attempt without a first token; its caller sends the request again.
     fn caller_timeout(&mut self, job: usize, attempt: u32) {
         let Job { attempt: current, first_token, is_closed, endpoint, .. } = self.jobs[job];
         if is_closed || current != attempt || first_token.is_some() {
@@ -399,7 +400,7 @@
         }
     }
 
-    /// Sorts the tokens that have to be computed by why they were not found in the cache.
+    /// Counts the computed tokens by the reason why they were not cached at the endpoint.
     fn count_computed(&mut self, endpoint: usize, run: &Run, cached: usize) {
         let missing = &run.blocks[cached.min(run.blocks.len())..];
         let again = missing.iter().filter(|b| self.computed.contains(b)).count();
@@ -470,7 +471,8 @@
         self.dispatch(job);
     }
 
-    /// An attempt failed before its first token: the entry retries it if the budget allows.
+    /// Handles an attempt that failed before its first token. The entry instance retries it if the
+    /// retry budget allows, otherwise the caller sends the request again.
     fn fail_attempt(&mut self, job: usize, endpoint: usize) {
         self.report_end(job, endpoint, Outcome::Failed);
         if self.jobs[job].is_moved {
@@ -496,7 +498,10 @@
     }
 
     fn endpoint_index(&self, name: &Name) -> usize {
-        self.endpoints.iter().position(|e| e.name == *name).expect("routers know only these")
+        self.endpoints
+            .iter()
+            .position(|e| e.name == *name)
+            .expect("routers only get announcements of these endpoints")
     }
 
     fn is_counted(&self, job: usize) -> bool {
--- a/bench/load/src/experiment/pool/endpoints.rs
+++ b/bench/load/src/experiment/pool/endpoints.rs
@@ -1,4 +1,4 @@
-//! What endpoints say to entry instances, late and with losses, and what befalls them.
+//! Delayed and lossy messages from endpoints to entry instances, and reclaims of endpoints.
 
 use rand::Rng as _;
 use sill_base::{Machine, Millis, Name};
@@ -9,16 +9,22 @@
 use super::{MILLISECOND_US, Pool, SECOND_US, ScheduledEvent, domain_name};
 use crate::experiment::model::Micros;
 
-/// How often endpoints announce themselves, and how old the load in it is.
+/// Interval between the announcements of an endpoint.
 pub(super) const ANNOUNCE_INTERVAL: Micros = SECOND_US;
+
+/// Age of the load in an announcement when it is sent.
 const LOAD_AGE: Micros = SECOND_US / 2;
 
-/// How late cache events come, how often, and how many batches are lost, in percent.
+/// Interval between the batches of cache events of an endpoint.
 const CACHE_EVENT_INTERVAL: Micros = SECOND_US / 2;
+
+/// Delay between sending and delivering a batch of cache events.
 const CACHE_EVENT_DELAY: Micros = SECOND_US / 5;
+
+/// Share of the batches of cache events that are lost, in percent.
 const CACHE_EVENT_LOSS_PERCENT: u32 = 5;
 
-/// What reaches an entry instance later.
+/// A message delivered to entry instances after a delay.
 #[derive(Debug)]
 pub(super) enum Message {
     Announcement(Announcement, Micros),
@@ -36,7 +42,7 @@
         self.schedule(self.now + ANNOUNCE_INTERVAL, ScheduledEvent::Announce(endpoint));
     }
 
-    /// Sends an announcement whose load was sampled now and which leaves after `age`.
+    /// Schedules an announcement that samples the load now and is sent after `age`.
     pub(super) fn announce_load(&mut self, endpoint: usize, load: Load, age: Micros) {
         let domain = domain_name(self.endpoints[endpoint].spec.domain);
         let load = Load { age: Millis(age / MILLISECOND_US), ..load };
@@ -95,10 +101,11 @@
         self.schedule(at, ScheduledEvent::Deliver(self.messages.len() - 1));
     }
 
-    /// Announcements reach every entry instance; cache events only one of the endpoint's domain.
+    /// Delivers a message: announcements and stops to every entry instance, cache events to only one
+    /// in the endpoint's failure domain.
     pub(super) fn deliver(&mut self, message: usize) {
         let now = self.now_millis();
-        match self.messages[message].take().expect("delivered once") {
+        match self.messages[message].take().expect("each message is delivered only once") {
             Message::Announcement(announcement, sent) => {
                 let age = Millis((self.now - sent) / MILLISECOND_US);
                 for router in &mut self.routers {
--- a/bench/load/src/experiment/route.rs
+++ b/bench/load/src/experiment/route.rs
@@ -1,4 +1,4 @@
-//! Policies of the router against each other, through a reclaim wave.
+//! Compares routing policies during a reclaim wave.
 
 use serde::Serialize;
 use sill_base::Millis;
@@ -8,16 +8,16 @@
 use super::pool::{CallerCfg, Pool, PoolCfg, Wave};
 use super::traffic::Mix;
 
-/// Every policy on one mix.
+/// Results of all policies with one mix.
 #[derive(Debug, Serialize)]
 pub struct RouteTable {
-    /// The mix.
+    /// Name of the mix.
     pub mix: &'static str,
-    /// A row for each policy.
+    /// One row per policy.
     pub rows: Vec<Row>,
 }
 
-/// Runs all policies on both mixes.
+/// Runs all policies with both mixes.
 pub fn run(seed: u64) -> Vec<RouteTable> {
     let tables = [Mix::Shared, Mix::CaseFiles].map(|mix| {
         let rows =
--- a/bench/load/src/experiment/traffic.rs
+++ b/bench/load/src/experiment/traffic.rs
@@ -1,4 +1,4 @@
-//! What callers ask for: long shared prompts, or whole case files.
+//! Simulated requests: prompts with long shared prefixes, or questions about case files.
 
 use std::sync::Arc;
 
@@ -9,29 +9,29 @@
 
 use super::model::EndpointSpec;
 
-/// Which user's work is modelled.
+/// User whose workload is modelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mix {
-    /// Waitaha: release-note and fault prompts that share long beginnings; 10 servers.
+    /// Waitaha: release-note and fault prompts with long shared prefixes; 10 servers.
     Shared,
-    /// Co-op: case files, each asked about several times within minutes; 12 servers.
+    /// Co-op: case files, each with several questions within minutes; 12 servers.
     CaseFiles,
 }
 
-/// A request to come.
+/// Prompt, length and priority of a simulated request.
 #[derive(Debug, Clone)]
 pub struct RequestSpec {
-    /// Whole blocks of the prompt.
+    /// Ids of the prompt's complete blocks.
     pub blocks: Arc<[u64]>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of answer tokens.
     pub tokens: u32,
-    /// Its priority.
+    /// Priority that the caller asks for.
     pub priority: Priority,
 }
 
-/// Makes requests.
+/// Generates the requests of a mix.
 #[derive(Debug)]
 pub struct Traffic {
     mix: Mix,
@@ -48,7 +48,7 @@
 }
 
 impl Mix {
-    /// The mix's name in tables.
+    /// Returns the name of the mix in tables.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Shared => "shared prompts",
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Requests a second over all entry instances, which least-loaded routing can just answer.
+    /// Returns the requests per second over all entry instances that least-loaded routing can just
+    /// handle.
     pub const fn rate(self) -> f64 {
         match self {
             Self::Shared => 10.0,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// One-way time between failure domains in microseconds.
+    /// Returns the one-way network latency between failure domains in microseconds.
     pub const fn between_domains_us(self) -> u64 {
         match self {
             Self::Shared => 500,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The time to the first token that is aimed for, in milliseconds.
+    /// Returns the target for the time to first token in milliseconds.
     pub const fn ttft_target_ms(self) -> f64 {
         match self {
             Self::Shared => 820.0,
@@ -80,7 +81,8 @@
         }
     }
 
-    /// The endpoints of the pool, spread over four failure domains, two thirds reclaimable.
+    /// Returns the endpoints of the user's pool, spread over four failure domains; two thirds are
+    /// reclaimable.
     pub fn endpoints(self) -> Vec<EndpointSpec> {
         match self {
             Self::Shared => self.pool(10),
@@ -88,7 +90,7 @@
         }
     }
 
-    /// A pool of another size.
+    /// Returns the endpoints of a pool with `count` of them.
     pub fn pool(self, count: usize) -> Vec<EndpointSpec> {
         let cache_tokens = match self {
             Self::Shared => 60_000,
@@ -108,7 +110,7 @@
 }
 
 impl Traffic {
-    /// Makes the traffic of a mix.
+    /// Creates the generator of a mix.
     pub fn new(mix: Mix) -> Self {
         const PROMPT_COUNT: u32 = 40;
         let mut sum = 0.0;
--- a/bench/load/src/fleet/mod.rs
+++ b/bench/load/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Compares cost and recomputed tokens of the fleet policies during a reclaim wave, in virtual time.
+//! Compares cost and recomputed tokens of fleet policies during a reclaim wave, in virtual time.
 
 mod plot;
 mod report;
--- a/bench/load/src/fleet/world.rs
+++ b/bench/load/src/fleet/world.rs
@@ -1,5 +1,6 @@
-//! Simulated platform with prices, refused starts and reclaims, whose instances boot and load weights.
-//! Its time step is one second.
+//! Simulated platform with prices, refused starts and reclaims.
+//!
+//! Its instances boot and load weights; the time step is one second.
 //!
 //! Only what affects the fleet's decisions is modelled. A request without a free slot counts as not
 //! answered within the latency target. During its notice a reclaimed instance moves the KV cache of
@@ -193,7 +194,7 @@
         self.count(wanted);
     }
 
-    /// Returns the demand, which varies between 45% and 100% of the peak with a period of 80 minutes.
+    /// Returns the demand, which varies between 45% and 100% of the peak in a period of 80 minutes.
     fn wanted_slots(&self) -> u32 {
         let phase = self.second as f64 / 4800.0 * std::f64::consts::TAU;
         let share = 0.725 - 0.275 * phase.cos();
--- a/bench/load/src/sse.rs
+++ b/bench/load/src/sse.rs
@@ -8,8 +8,8 @@
 
 impl SseReader {
     /// Appends a chunk and returns the data of every `data:` line completed by it.
-    pub fn feed(&mut self, piece: &[u8]) -> Vec<String> {
-        self.pending.extend_from_slice(piece);
+    pub fn feed(&mut self, chunk: &[u8]) -> Vec<String> {
+        self.pending.extend_from_slice(chunk);
         let Some(end) = self.pending.iter().rposition(|byte| *byte == b'\n') else {
             return Vec::new();
         };
--- a/bench/load/tests/experiment.rs
+++ b/bench/load/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! The aims of the routing policy, on short runs of the experiments in virtual time.
+//! Targets of the routing policy, on short runs of the experiments in virtual time.
 
 use sill_base::Millis;
 use sill_load::experiment::figures::Row;
@@ -28,10 +28,11 @@
     Pool::new(cfg).run().row("")
 }
 
-/// Through a reclaim wave, less than half of what the usual least-loaded choice computes again, and
-/// callers wait no longer for the first token or between tokens.
+/// Guards against a routing policy that loses its advantage over least-loaded routing during a
+/// reclaim wave: it must recompute less than half as many tokens and lose no request, and its times
+/// to first token and between tokens must not be longer.
 #[test]
-fn less_is_computed_again_than_by_least_loaded() {
+fn recomputes_less_than_half_of_least_loaded() {
     for mix in [Mix::Shared, Mix::CaseFiles] {
         let (ours, usual) = (run(mix, Policy::Cost), run(mix, Policy::LeastLoaded));
         let name = mix.name();
--- a/bench/load/tests/load.rs
+++ b/bench/load/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool against a stand-in endpoint: what it sends, and what it notices.
+//! The load generator against a stand-in endpoint: the requests it sends and the checks it makes.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -28,12 +28,12 @@
         mix: Mix::halves(&chat),
         threads: 2,
     };
-    run(cfg).expect("a report")
+    run(cfg).expect("the load runs")
 }
 
 fn endpoint(slots: u32) -> Endpoint {
     let cfg = EndpointCfg { slots, decode: Millis(1), ..EndpointCfg::default() };
-    Endpoint::start(cfg).expect("an endpoint")
+    Endpoint::start(cfg).expect("the endpoint starts")
 }
 
 #[test]
@@ -48,30 +48,31 @@
     }
 }
 
-/// An endpoint is slow, and a tool that waits for each answer before it sends the next one would
-/// see few slow answers. At a fixed rate each request that had to wait is sent and counted.
+/// With a slow endpoint, a load generator that waits for each answer before it sends the next
+/// request sees few slow answers. At a fixed rate, each request that had to wait must be sent and
+/// counted.
 #[test]
-fn a_fixed_rate_goes_on_while_answers_are_late() {
+fn a_fixed_rate_is_kept_while_answers_are_late() {
     let report = load(&endpoint(1), Pace::Rate(100.0), "m");
     assert_eq!(report.counts.sent, 30, "300 ms at 100 a second: {report:?}");
     assert_eq!(report.counts.whole, 30);
 }
 
 #[test]
-fn a_mix_is_the_same_for_the_same_number_and_follows_its_weights() {
-    let mix = Mix::read(MIX).expect("a mix");
+fn the_same_number_gives_the_same_request_and_kinds_follow_their_weights() {
+    let mix = Mix::read(MIX).expect("the mix is valid");
     let plain = |number: &u64| matches!(mix.request(1, *number).content, Content::Plain { .. });
     let calls = (0..4000).filter(plain).count();
     assert!((800..1200).contains(&calls), "a quarter of 4000: {calls}");
     let (first, again) = (mix.request(1, 7), mix.request(1, 7));
     assert_eq!(format!("{first:?}"), format!("{again:?}"));
-    let number = (0..).find(plain).expect("a call");
+    let number = (0..).find(plain).expect("a quarter of the requests are calls");
     let names = mix.request(1, number).headers.into_iter().map(|header| header.name);
     assert_eq!(names.collect::<Vec<_>>(), ["idempotency-key", "sill-idempotent"]);
 }
 
 #[test]
-fn a_wrong_mix_is_refused() {
+fn an_invalid_mix_is_rejected() {
     let cases = [
         ("{}", "missing field `kinds`"),
         (r#"{"kinds":[]}"#, "at least one with a weight"),
@@ -88,18 +89,19 @@
 }
 
 #[test]
-fn a_report_is_drawn() {
+fn a_report_is_plotted() {
     let report = load(&endpoint(8), Pace::Concurrency(2), "m");
     let file = std::env::temp_dir().join(format!("sill-plot-{}.svg", std::process::id()));
-    plot::draw(&report, &file).expect("a picture");
-    let picture = std::fs::read_to_string(&file).expect("a file");
-    std::fs::remove_file(&file).expect("our own file");
-    assert!(picture.contains("<svg") && picture.contains("time to first token"));
+    plot::draw(&report, &file).expect("the plot can be written");
+    let svg = std::fs::read_to_string(&file).expect("the plot can be read");
+    std::fs::remove_file(&file).expect("the plot can be removed");
+    assert!(svg.contains("<svg") && svg.contains("time to first token"));
 }
 
-/// The network cuts a stream into pieces anywhere, also within a character.
+/// The network may split a stream anywhere, even within a character; a reader that expects whole
+/// events or characters would lose data.
 #[test]
-fn events_are_read_from_pieces_of_any_size() {
+fn events_are_read_from_chunks_of_any_size() {
     let mut bytes = [3; 32];
     bytes[..8].copy_from_slice(&seed(1).to_le_bytes());
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &bytes);
@@ -110,14 +112,16 @@
         let stream: String = events.iter().map(|data| format!("id: 1\ndata: {data}\n\n")).collect();
         let mut reader = SseReader::default();
         let mut read = Vec::new();
-        let (mut rest, mut sizes) = (stream.as_bytes(), sizes.iter().cycle());
-        while !rest.is_empty() {
-            let (piece, after) = rest.split_at((*sizes.next().expect("a size")).min(rest.len()));
-            read.extend(reader.feed(piece));
-            rest = after;
+        let (mut remaining, mut sizes) = (stream.as_bytes(), sizes.iter().cycle());
+        while !remaining.is_empty() {
+            let (chunk, after) = remaining.split_at(
+                (*sizes.next().expect("the list of sizes is not empty")).min(remaining.len()),
+            );
+            read.extend(reader.feed(chunk));
+            remaining = after;
         }
         prop_assert_eq!(read, events);
         Ok(())
     });
-    run.expect("every stream");
+    run.expect("every stream is read completely");
 }
