--- a/bench/load/src/experiment/limits.rs
+++ b/bench/load/src/experiment/limits.rs
@@ -161,10 +161,10 @@
             Spread::Skewed => (entries.div_ceil(5), 0.8, 0),
             Spread::Moving => (entries.div_ceil(5), 0.8, round * entries.div_ceil(5)),
         };
-        let rest = entries - busy;
+        let idle = entries - busy;
         for i in 0..entries {
             let is_busy = (i + entries - from % entries) % entries < busy;
-            let each = if is_busy { part / busy as f64 } else { (1.0 - part) / rest as f64 };
+            let each = if is_busy { part / busy as f64 } else { (1.0 - part) / idle as f64 };
             self.demand[i] = LIMIT_PER_S * DEMAND_FACTOR * each;
         }
     }
--- a/bench/load/src/experiment/pool.rs
+++ b/bench/load/src/experiment/pool.rs
@@ -183,9 +183,9 @@
     /// Runs until every request has ended.
     pub fn run(mut self) -> Figures {
         while let Some(Reverse((at, _, due))) = self.queue.pop() {
-            let sending = at < self.cfg.length.0 * MILLISECOND_US;
-            let open = self.jobs.iter().rev().take(4096).any(|job| !job.is_closed);
-            if !sending && !open {
+            let may_send = at < self.cfg.length.0 * MILLISECOND_US;
+            let has_open_jobs = self.jobs.iter().rev().take(4096).any(|job| !job.is_closed);
+            if !may_send && !has_open_jobs {
                 break;
             }
             self.now = at;
@@ -403,10 +403,10 @@
     /// Counts the computed tokens by the reason why they were not cached at the endpoint.
     fn count_computed(&mut self, endpoint: usize, run: &Run, cached: usize) {
         let missing = &run.blocks[cached.min(run.blocks.len())..];
-        let again = missing.iter().filter(|b| self.computed.contains(b)).count();
+        let recomputed = missing.iter().filter(|b| self.computed.contains(b)).count();
         let others = self.endpoints.iter().enumerate().filter(|(e, m)| *e != endpoint && m.is_up);
         let held = others.map(|(_, m)| m.cache.longest_prefix(&run.blocks)).max().unwrap_or(0);
-        let held_elsewhere = held.saturating_sub(cached).min(again);
+        let held_elsewhere = held.saturating_sub(cached).min(recomputed);
         let cached_tokens = (cached * BLOCK_TOKENS) as u64;
         let computed = run.prompt_tokens.saturating_sub(cached_tokens);
         let tokens = |blocks: usize| (blocks * BLOCK_TOKENS) as u64;
@@ -415,7 +415,7 @@
         } else {
             Recompute {
                 elsewhere: tokens(held_elsewhere),
-                evicted: tokens(again - held_elsewhere),
+                evicted: tokens(recomputed - held_elsewhere),
                 reclaim: 0,
             }
         };
--- a/bench/load/src/fleet/world.rs
+++ b/bench/load/src/fleet/world.rs
@@ -253,13 +253,13 @@
         }
         let wanted = self.wanted_slots();
         let before = self.ready_slots().max(1);
-        let running_each = wanted.min(before) * SLOTS_PER_INSTANCE / before;
+        let running_per_instance = wanted.min(before) * SLOTS_PER_INSTANCE / before;
         let mut free = self.ready_without_notice().saturating_sub(wanted.min(before));
         for name in reclaimed {
             let instance =
                 self.instances.remove(&name).expect("the name was read from the instances");
             if instance.loaded_at.is_some_and(|at| at <= second) {
-                self.count_recomputed(running_each, &mut free);
+                self.count_recomputed(running_per_instance, &mut free);
             }
             self.step_fleet(Event::InstanceGone { instance: name });
         }
@@ -267,11 +267,11 @@
 
     /// Counts the tokens that other instances recompute because this one was lost.
     fn count_recomputed(&mut self, running: u32, free: &mut u32) {
-        let each = self.size.prompt_tokens + self.size.answer_tokens / 2;
-        let exported = (NOTICE_S * EXPORT_TOKENS_PER_S / each) as u32;
+        let tokens_per_request = self.size.prompt_tokens + self.size.answer_tokens / 2;
+        let exported = (NOTICE_S * EXPORT_TOKENS_PER_S / tokens_per_request) as u32;
         let moved = running.min(*free).min(exported);
         *free -= moved;
-        self.totals.recomputed_running += u64::from(running - moved) * each;
+        self.totals.recomputed_running += u64::from(running - moved) * tokens_per_request;
         self.totals.recomputed_cache += self.size.hot_cache_tokens;
     }
 
