--- a/bench/soak/src/backend.rs
+++ b/bench/soak/src/backend.rs
@@ -21,33 +21,33 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-use crate::caller::{SENT_FOR, SUM, sum};
+use crate::caller::{ACCOUNT_HEADER, CHECKSUM_HEADER, checksum};
 use crate::cluster::key;
 use crate::exchange;
-use crate::plan::Habit;
-use crate::stream::{PACE, Pace, event};
+use crate::plan::Misbehavior;
+use crate::stream::{PACE_HEADER, Pace, event};
 
 /// The service that all endpoints serve.
 pub const SERVICE: &str = "cases";
 
 /// How often an endpoint announces itself.
-const ANNOUNCE_EVERY: Millis = Millis(500);
+const ANNOUNCE_INTERVAL: Millis = Millis(500);
 
 /// How long an announcement may take.
-const ANNOUNCE_PATIENCE: Millis = Millis(700);
+const ANNOUNCE_TIMEOUT: Millis = Millis(700);
 
 /// How long an endpoint serves after it has said that it leaves.
-pub const NOTICE: Millis = Millis(3000);
+pub const LEAVE_NOTICE: Millis = Millis(3000);
 
 /// By how much the pauses of a slow endpoint's stream are longer; it still ends in its caller's time.
-const SLOWER: f64 = 1.4;
+const SLOW_FACTOR: f64 = 1.4;
 
 /// What all endpoints saw.
 #[derive(Debug, Default)]
 pub struct Ledger {
     runs: Mutex<Map<String, Vec<String>>>,
-    broken: Mutex<Set<String>>,
-    oddities: Mutex<Vec<String>>,
+    withheld: Mutex<Set<String>>,
+    anomalies: Mutex<Vec<String>>,
 }
 
 /// An endpoint that can be replaced by another start of it, at the same address.
@@ -58,7 +58,7 @@
     announced: SocketAddr,
     controls: Vec<SocketAddr>,
     ledger: Arc<Ledger>,
-    habit: Arc<Mutex<Option<Habit>>>,
+    misbehavior: Arc<Mutex<Option<Misbehavior>>>,
     is_leaving: Arc<Mutex<bool>>,
     incarnation: u64,
     tasks: JoinSet<()>,
@@ -66,17 +66,17 @@
 
 /// What one start of an endpoint needs to answer.
 #[derive(Debug)]
-struct Life {
+struct EndpointState {
     id: String,
     ledger: Arc<Ledger>,
-    habit: Arc<Mutex<Option<Habit>>>,
+    misbehavior: Arc<Mutex<Option<Misbehavior>>>,
 }
 
 /// A part of an answer, or its end before it is whole.
-type Part = Result<Bytes, &'static str>;
+type Chunk = Result<Bytes, &'static str>;
 
 /// An answer that may break off.
-type Answer = UnsyncBoxBody<Bytes, &'static str>;
+type AnswerBody = UnsyncBoxBody<Bytes, &'static str>;
 
 impl Ledger {
     /// Returns where a request was run, in order.
@@ -85,8 +85,8 @@
     }
 
     /// Returns whether an endpoint was told to keep back the answer to a request, or a part of it.
-    pub fn is_broken(&self, id: &str) -> bool {
-        self.broken.lock().contains(id)
+    pub fn is_withheld(&self, id: &str) -> bool {
+        self.withheld.lock().contains(id)
     }
 
     /// Notes that a request is run at an endpoint.
@@ -95,17 +95,17 @@
     }
 
     /// Notes that the answer to a request, or a part of it, is kept back.
-    pub fn note_broken(&self, id: &str) {
-        self.broken.lock().insert(id.to_owned());
+    pub fn note_withheld(&self, id: &str) {
+        self.withheld.lock().insert(id.to_owned());
     }
 
     /// Returns what should never have come.
-    pub fn oddities(&self) -> Vec<String> {
-        self.oddities.lock().clone()
+    pub fn anomalies(&self) -> Vec<String> {
+        self.anomalies.lock().clone()
     }
 
-    fn odd(&self, what: String) {
-        self.oddities.lock().push(what);
+    fn note_anomaly(&self, what: String) {
+        self.anomalies.lock().push(what);
     }
 }
 
@@ -128,22 +128,22 @@
             announced,
             controls,
             ledger,
-            habit: Arc::default(),
+            misbehavior: Arc::default(),
             is_leaving: Arc::default(),
             incarnation: 0,
             tasks: JoinSet::new(),
         };
-        endpoint.begin().await?;
+        endpoint.start_incarnation().await?;
         Ok(endpoint)
     }
 
-    /// Gives it a habit, or takes it away.
-    pub fn set_habit(&self, habit: Option<Habit>) {
-        *self.habit.lock() = habit;
+    /// Gives it a misbehavior, or takes it away.
+    pub fn set_misbehavior(&self, misbehavior: Option<Misbehavior>) {
+        *self.misbehavior.lock() = misbehavior;
     }
 
     /// Has it say that it leaves.
-    pub fn leave(&self) {
+    pub fn start_leaving(&self) {
         *self.is_leaving.lock() = true;
     }
 
@@ -155,15 +155,19 @@
     pub async fn replace(&mut self) -> Result<()> {
         self.tasks.shutdown().await;
         self.is_leaving = Arc::default();
-        self.begin().await
+        self.start_incarnation().await
     }
 
-    async fn begin(&mut self) -> Result<()> {
+    async fn start_incarnation(&mut self) -> Result<()> {
         self.incarnation += 1;
         let id = format!("{}.{}", self.name, self.incarnation);
-        let life = Life { id, ledger: self.ledger.clone(), habit: self.habit.clone() };
+        let state = EndpointState {
+            id,
+            ledger: self.ledger.clone(),
+            misbehavior: self.misbehavior.clone(),
+        };
         let listener = TcpListener::bind(self.address).await?;
-        self.tasks.spawn(serve(listener, Arc::new(life)));
+        self.tasks.spawn(serve(listener, Arc::new(state)));
         let announcement = self.announcement();
         let (controls, is_leaving) = (self.controls.clone(), self.is_leaving.clone());
         self.tasks.spawn(announce(announcement, controls, is_leaving));
@@ -193,12 +197,12 @@
     }
 }
 
-async fn serve(listener: TcpListener, life: Arc<Life>) {
+async fn serve(listener: TcpListener, state: Arc<EndpointState>) {
     let mut connections = JoinSet::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        let life = life.clone();
-        let service = service_fn(move |req| answer(life.clone(), req));
+        let state = state.clone();
+        let service = service_fn(move |req| handle(state.clone(), req));
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         connections.spawn(async {
             let _ = connection.await;
@@ -207,49 +211,61 @@
     }
 }
 
-async fn answer(life: Arc<Life>, req: Request<Incoming>) -> Result<Response<Answer>, &'static str> {
+async fn handle(
+    state: Arc<EndpointState>,
+    req: Request<Incoming>,
+) -> Result<Response<AnswerBody>, &'static str> {
     let (parts, body) = req.into_parts();
     let text = |name: &str| parts.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("");
     let id = text(header::REQUEST_ID).to_owned();
-    let (meant, account) = (text(header::ENDPOINT), text(header::ACCOUNT));
-    if meant != life.id {
+    let (addressee, account) = (text(header::ENDPOINT), text(header::ACCOUNT));
+    if addressee != state.id {
         return Ok(refusal(StatusCode::MISDIRECTED_REQUEST, &id));
     }
-    let habit = *life.habit.lock();
-    if habit == Some(Habit::Full) {
+    let misbehavior = *state.misbehavior.lock();
+    if misbehavior == Some(Misbehavior::Full) {
         return Ok(refusal(StatusCode::SERVICE_UNAVAILABLE, &id));
     }
     let Ok(body) = body.collect().await else { return Err("the request broke off") };
     let body = body.to_bytes();
-    if text(SUM) != sum(&body) {
-        life.ledger.odd(format!("whole_request: {id} came with another body"));
+    if text(CHECKSUM_HEADER) != checksum(&body) {
+        state.ledger.note_anomaly(format!("whole_request: {id} came with another body"));
     }
-    if account != text(SENT_FOR) || parts.headers.contains_key("authorization") {
-        life.ledger.odd(format!("accounts: {id} came for {account:?}, or with the caller's key"));
+    if account != text(ACCOUNT_HEADER) || parts.headers.contains_key("authorization") {
+        state
+            .ledger
+            .note_anomaly(format!("accounts: {id} came for {account:?}, or with the caller's key"));
     }
-    life.ledger.note_run(&id, &life.id);
-    if matches!(habit, Some(Habit::LoseAnswer | Habit::CutAnswer | Habit::Hang)) {
-        life.ledger.note_broken(&id);
+    state.ledger.note_run(&id, &state.id);
+    if matches!(
+        misbehavior,
+        Some(Misbehavior::LoseAnswer | Misbehavior::CutAnswer | Misbehavior::Hang)
+    ) {
+        state.ledger.note_withheld(&id);
     }
-    match habit {
-        Some(Habit::Slow) => tokio::time::sleep(Duration::from_millis(400)).await,
-        Some(Habit::Hang) => std::future::pending().await,
-        Some(Habit::LoseAnswer) => return Err("the answer is lost"),
+    match misbehavior {
+        Some(Misbehavior::Slow) => tokio::time::sleep(Duration::from_millis(400)).await,
+        Some(Misbehavior::Hang) => std::future::pending().await,
+        Some(Misbehavior::LoseAnswer) => return Err("the answer is lost"),
         _ => tokio::time::sleep(Duration::from_millis(5)).await,
     }
     let response = Response::builder().header(header::REQUEST_ID, &id);
-    let response = match Pace::from_name(text(PACE)) {
+    let response = match Pace::from_name(text(PACE_HEADER)) {
         Some(pace) => {
             let after = text(header::LAST_EVENT_ID).parse().unwrap_or(0);
-            let events = (after + 1..=pace.events()).map(|n| event(n, &id, &body, &life.id));
-            let gap = pace.gap().mul_f64(if habit == Some(Habit::Slow) { SLOWER } else { 1.0 });
-            let answer = answer_of(events.collect(), gap, habit);
+            let events = (after + 1..=pace.events()).map(|n| event(n, &id, &body, &state.id));
+            let gap = pace.gap().mul_f64(if misbehavior == Some(Misbehavior::Slow) {
+                SLOW_FACTOR
+            } else {
+                1.0
+            });
+            let answer = answer_body(events.collect(), gap, misbehavior);
             response.header("content-type", header::EVENT_STREAM).body(answer)
         }
         None => {
-            let whole = expected(&id, &body, &life.id);
+            let whole = expected(&id, &body, &state.id);
             let halves = vec![whole.slice(..whole.len() / 2), whole.slice(whole.len() / 2..)];
-            let answer = answer_of(halves, Duration::ZERO, habit);
+            let answer = answer_body(halves, Duration::ZERO, misbehavior);
             response.header("content-length", whole.len()).body(answer)
         }
     };
@@ -257,8 +273,12 @@
 }
 
 /// Makes an answer of its parts, each of which comes after a pause. It may break off in the middle of one.
-fn answer_of(mut parts: Vec<Bytes>, gap: Duration, habit: Option<Habit>) -> Answer {
-    let breaks_off = habit == Some(Habit::CutAnswer);
+fn answer_body(
+    mut parts: Vec<Bytes>,
+    gap: Duration,
+    misbehavior: Option<Misbehavior>,
+) -> AnswerBody {
+    let breaks_off = misbehavior == Some(Misbehavior::CutAnswer);
     if breaks_off {
         parts.truncate(parts.len() / 2 + 1);
         if let Some(last) = parts.last_mut() {
@@ -266,7 +286,7 @@
         }
     }
     let end = breaks_off.then_some(Err("the answer breaks off"));
-    let parts: Vec<Part> = parts.into_iter().map(Ok).chain(end).collect();
+    let parts: Vec<Chunk> = parts.into_iter().map(Ok).chain(end).collect();
     let frames = stream::iter(parts).then(move |part| async move {
         if !gap.is_zero() {
             tokio::time::sleep(gap).await;
@@ -278,16 +298,16 @@
 
 /// Returns the answer to a request, which anybody can work out.
 pub fn expected(id: &str, body: &[u8], endpoint: &str) -> Bytes {
-    let line = format!("{id} with {} ran at {endpoint}\n", sum(body));
+    let line = format!("{id} with {} ran at {endpoint}\n", checksum(body));
     line.repeat(8).into()
 }
 
-fn refusal(status: StatusCode, id: &str) -> Response<Answer> {
+fn refusal(status: StatusCode, id: &str) -> Response<AnswerBody> {
     let response = Response::builder()
         .status(status)
         .header(header::REQUEST_ID, id)
         .header(header::NOT_RUN, "true")
-        .body(answer_of(Vec::new(), Duration::ZERO, None));
+        .body(answer_body(Vec::new(), Duration::ZERO, None));
     response.expect("a response of fixed parts")
 }
 
@@ -297,21 +317,22 @@
     controls: Vec<SocketAddr>,
     is_leaving: Arc<Mutex<bool>>,
 ) {
-    let mut turn = announcement.incarnation.0 as usize;
+    let mut control = announcement.incarnation.0 as usize;
     loop {
         announcement.sequence += 1;
-        announcement.leaving = is_leaving.lock().then_some(NOTICE);
+        announcement.leaving = is_leaving.lock().then_some(LEAVE_NOTICE);
         let body = serde_json::to_vec(&announcement).expect("it can be written");
         let req = Request::post("/announce")
             .header("host", "control")
             .header("authorization", format!("Bearer {}", key("join-token")))
             .body(Full::new(Bytes::from(body)))
             .expect("a request of fixed parts");
-        let sent = exchange::once(controls[turn % controls.len()], req, ANNOUNCE_PATIENCE).await;
+        let sent =
+            exchange::send_once(controls[control % controls.len()], req, ANNOUNCE_TIMEOUT).await;
         match sent {
-            Ok(got) if got.status == 200 => tokio::time::sleep(ANNOUNCE_EVERY.into()).await,
+            Ok(got) if got.status == 200 => tokio::time::sleep(ANNOUNCE_INTERVAL.into()).await,
             _ => {
-                turn += 1;
+                control += 1;
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
--- a/bench/soak/src/caller.rs
+++ b/bench/soak/src/caller.rs
@@ -17,7 +17,7 @@
 
 use crate::exchange::Connection;
 use crate::journal::Journal;
-use crate::stream::{PACE, Pace};
+use crate::stream::{PACE_HEADER, Pace};
 
 /// An account.
 #[derive(Debug, PartialEq, Eq)]
@@ -37,13 +37,13 @@
 pub static GUESTS: Client = Client { account: "guests", key: "soak-guests-key", limit: Some(20) };
 
 /// The header with the account that a request has to arrive for.
-pub const SENT_FOR: &str = "x-soak-account";
+pub const ACCOUNT_HEADER: &str = "x-soak-account";
 
 /// The host of all routes.
 pub const HOST: &str = "soak.example";
 
 /// The header with the sum of a body.
-pub const SUM: &str = "x-soak-sum";
+pub const CHECKSUM_HEADER: &str = "x-soak-sum";
 
 /// The time that callers give for an answer.
 const DEADLINE: Millis = Millis(1500);
@@ -53,10 +53,10 @@
 const STREAM_DEADLINE: Millis = Millis(2900);
 
 /// The time after which a caller gives up in any case.
-const PATIENCE: Duration = Duration::from_millis(4000);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(4000);
 
 /// The largest body.
-const BODY: usize = 6000;
+const MAX_BODY_BYTES: usize = 6000;
 
 /// What is asked for, and whether it may run twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -132,7 +132,7 @@
     /// When its answer was whole, or its connection ended.
     pub ended: Millis,
     /// The answer; none if the connection ended or the caller gave up.
-    pub answer: Option<Answered>,
+    pub answer: Option<CallerAnswer>,
 }
 
 impl Record {
@@ -161,7 +161,7 @@
 
 /// An answer.
 #[derive(Debug, Clone)]
-pub struct Answered {
+pub struct CallerAnswer {
     /// The status code.
     pub status: u16,
     /// Whether it certifies that the request has not run.
@@ -171,7 +171,7 @@
 }
 
 /// Returns a sum by which bodies are told apart.
-pub fn sum(body: &[u8]) -> String {
+pub fn checksum(body: &[u8]) -> String {
     let sum = body.iter().fold(0xcbf2_9ce4_8422_2325_u64, |sum, byte| {
         (sum ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
     });
@@ -187,11 +187,11 @@
     pub seed: u64,
     /// Its account.
     pub client: &'static Client,
-    /// Whether it asks for streams.
-    pub streams: bool,
+    /// Whether it asks for is_streaming.
+    pub is_streaming: bool,
     /// The one entry instance that it comes to, also while that one stops, as where a balancer has too few
     /// others in rotation. Other callers open each connection to the next one.
-    pub only: Option<usize>,
+    pub pinned_entry: Option<usize>,
     /// All entry instances.
     pub entries: Vec<SocketAddr>,
 }
@@ -207,16 +207,16 @@
     let CallerCfg { name, entries, .. } = &cfg;
     let mut rng = seeded(cfg.seed);
     let mut connection = None;
-    let mut turn = rng.random_range(0..entries.len());
+    let mut entry = rng.random_range(0..entries.len());
     for number in 0.. {
         if *stop.borrow() {
             return;
         }
         let is_first = connection.is_none();
         if is_first {
-            turn = cfg.only.unwrap_or((turn + 1) % entries.len());
-            let open = Connection::open(entries[turn]);
-            connection = tokio::time::timeout(PATIENCE, open).await.ok().and_then(Result::ok);
+            entry = cfg.pinned_entry.unwrap_or((entry + 1) % entries.len());
+            let open = Connection::open(entries[entry]);
+            connection = tokio::time::timeout(CALLER_TIMEOUT, open).await.ok().and_then(Result::ok);
         }
         let Some(open) = &mut connection else {
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -226,20 +226,21 @@
             connection = None;
             continue;
         }
-        let mut record = draw(&mut rng, format!("{name}-{number}"), cfg.streams);
+        let mut record = random_record(&mut rng, format!("{name}-{number}"), cfg.is_streaming);
         record.client = cfg.client;
-        record.entry = turn;
+        record.entry = entry;
         record.is_first = is_first;
         record.sent = journal.now();
         let exchange = open.send(request(&record));
-        match tokio::time::timeout(PATIENCE, exchange).await {
-            Ok(Ok(got)) => {
-                let is_not_run = got.header(header::NOT_RUN) == Some("true");
-                let closes = got.header("connection") == Some("close");
-                if closes || got.body.is_none() {
+        match tokio::time::timeout(CALLER_TIMEOUT, exchange).await {
+            Ok(Ok(response)) => {
+                let is_not_run = response.header(header::NOT_RUN) == Some("true");
+                let closes = response.header("connection") == Some("close");
+                if closes || response.body.is_none() {
                     connection = None;
                 }
-                record.answer = Some(Answered { status: got.status, is_not_run, body: got.body });
+                record.answer =
+                    Some(CallerAnswer { status: response.status, is_not_run, body: response.body });
             }
             _ => connection = None,
         }
@@ -250,17 +251,17 @@
     }
 }
 
-fn draw(rng: &mut Rng, id: String, streams: bool) -> Record {
-    let kind = match (streams, rng.random()) {
+fn random_record(rng: &mut Rng, id: String, is_streaming: bool) -> Record {
+    let kind = match (is_streaming, rng.random()) {
         (false, true) => Kind::Idempotent,
         (false, false) => Kind::NonIdempotent,
         (true, true) => Kind::ResumableStream,
         (true, false) => Kind::Stream,
     };
     let pace = if rng.random() { Pace::Long } else { Pace::Slow };
-    let length = rng.random_range(0..BODY);
+    let length = rng.random_range(0..MAX_BODY_BYTES);
     let body: Vec<u8> = (0..length).map(|_| rng.random()).collect();
-    Record { pace: streams.then_some(pace), body: body.into(), ..Record::new(id, kind) }
+    Record { pace: is_streaming.then_some(pace), body: body.into(), ..Record::new(id, kind) }
 }
 
 /// Makes the request of a record.
@@ -269,11 +270,11 @@
     let req = Request::post(format!("{}{id}", kind.path()))
         .header("host", HOST)
         .header("authorization", format!("Bearer {}", client.key))
-        .header(SENT_FOR, client.account)
+        .header(ACCOUNT_HEADER, client.account)
         .header(header::REQUEST_ID, id)
         .header(header::DEADLINE_MS, kind.deadline().to_string())
-        .header(PACE, record.pace.map_or("", Pace::name))
-        .header(SUM, sum(&record.body))
+        .header(PACE_HEADER, record.pace.map_or("", Pace::name))
+        .header(CHECKSUM_HEADER, checksum(&record.body))
         .body(Full::new(record.body.clone()));
     req.expect("a request of fixed parts")
 }
--- a/bench/soak/src/cli.rs
+++ b/bench/soak/src/cli.rs
@@ -37,8 +37,8 @@
 /// # Errors
 ///
 /// Fails when a flag is wrong, a program can't be started, or a run has findings.
-pub fn run(words: Vec<String>) -> Result<()> {
-    let Some(mut values) = SOAK.values_or_help(words)? else { return Ok(()) };
+pub fn run(args: Vec<String>) -> Result<()> {
+    let Some(mut values) = SOAK.values_or_help(args)? else { return Ok(()) };
     let sill: Option<PathBuf> = values.required("sill");
     let seed: Option<u64> = values.required("seed");
     let runs: Option<u64> = values.required("runs");
--- a/bench/soak/src/cluster.rs
+++ b/bench/soak/src/cluster.rs
@@ -11,7 +11,7 @@
 
 use crate::backend::{Endpoint, Ledger};
 use crate::link::Link;
-use crate::plan::{Sizes, Trouble};
+use crate::plan::{LinkFault, Sizes};
 use crate::process::Process;
 
 /// How long an entry instance that is asked to stop takes new calls as if it were not.
@@ -117,22 +117,22 @@
         Ok(cluster)
     }
 
-    /// Brings all ways of a control instance into trouble, or out of it.
-    pub fn trouble_control(&self, i: usize, trouble: Option<Trouble>) {
-        self.control_links[i].iter().for_each(|link| link.set(trouble));
-        self.control_links.iter().for_each(|links| links[i].set(trouble));
-        self.entry_links.iter().for_each(|links| links[i].set(trouble));
-        self.outer_links[i].set(trouble);
+    /// Brings all ways of a control instance into fault, or out of it.
+    pub fn set_control_links(&self, i: usize, fault: Option<LinkFault>) {
+        self.control_links[i].iter().for_each(|link| link.set_fault(fault));
+        self.control_links.iter().for_each(|links| links[i].set_fault(fault));
+        self.entry_links.iter().for_each(|links| links[i].set_fault(fault));
+        self.outer_links[i].set_fault(fault);
     }
 
-    /// Brings the ways from an entry instance to control instances into trouble, or out of it.
-    pub fn trouble_entry(&self, i: usize, trouble: Option<Trouble>) {
-        self.entry_links[i].iter().for_each(|link| link.set(trouble));
+    /// Brings the ways from an entry instance to control instances into fault, or out of it.
+    pub fn set_entry_links(&self, i: usize, fault: Option<LinkFault>) {
+        self.entry_links[i].iter().for_each(|link| link.set_fault(fault));
     }
 
-    /// Brings the way to an endpoint into trouble, or out of it.
-    pub fn trouble_endpoint(&self, i: usize, trouble: Option<Trouble>) {
-        self.endpoint_links[i].set(trouble);
+    /// Brings the way to an endpoint into fault, or out of it.
+    pub fn set_endpoint_link(&self, i: usize, fault: Option<LinkFault>) {
+        self.endpoint_links[i].set_fault(fault);
     }
 }
 
@@ -152,33 +152,33 @@
     ) -> Process {
         let name = format!("c{i}");
         let data = self.folder.join(format!("data-{i}"));
-        let mut words = words(&["control", "--name", &name, "--domain", &domain(i)]);
-        words.extend(["--listen".to_owned(), listen.to_string()]);
-        words.extend(["--listen-peer".to_owned(), peers[i].to_string()]);
+        let mut args = args(&["control", "--name", &name, "--domain", &domain(i)]);
+        args.extend(["--listen".to_owned(), listen.to_string()]);
+        args.extend(["--listen-peer".to_owned(), peers[i].to_string()]);
         for (j, link) in links.iter().enumerate() {
             let address = if i == j { peers[i] } else { link.address };
-            words.extend(["--voter".to_owned(), format!("c{j}@{}@{address}", domain(j))]);
+            args.extend(["--voter".to_owned(), format!("c{j}@{}@{address}", domain(j))]);
         }
-        words.extend(["--data".to_owned(), data.display().to_string()]);
+        args.extend(["--data".to_owned(), data.display().to_string()]);
         for key in ["cluster-key", "root-token", "join-token"] {
-            words.extend(self.key(key));
+            args.extend(self.key(key));
         }
-        Process::new(name, self.sill.to_owned(), words, self.folder).with_data(data)
+        Process::new(name, self.sill.to_owned(), args, self.folder).with_data(data)
     }
 
     fn entry(&self, i: usize, own: [SocketAddr; OWN_ADDRESSES], links: &[Link]) -> Process {
         let name = format!("g{i}");
-        let mut words = words(&["gateway", "--name", &name, "--domain", &domain(i)]);
+        let mut args = args(&["gateway", "--name", &name, "--domain", &domain(i)]);
         for (flag, address) in ["--listen", "--listen-ready", "--listen-metrics"].iter().zip(own) {
-            words.extend([(*flag).to_owned(), address.to_string()]);
+            args.extend([(*flag).to_owned(), address.to_string()]);
         }
         for link in links {
-            words.extend(["--control".to_owned(), link.address.to_string()]);
+            args.extend(["--control".to_owned(), link.address.to_string()]);
         }
-        words.extend(self.key("cluster-key"));
-        words.extend(["--drain-notice-ms".to_owned(), STOP_NOTICE.to_string()]);
-        words.extend(["--drain-limit-ms".to_owned(), STOP_LIMIT.to_string()]);
-        Process::new(name, self.sill.to_owned(), words, self.folder)
+        args.extend(self.key("cluster-key"));
+        args.extend(["--drain-notice-ms".to_owned(), STOP_NOTICE.to_string()]);
+        args.extend(["--drain-limit-ms".to_owned(), STOP_LIMIT.to_string()]);
+        Process::new(name, self.sill.to_owned(), args, self.folder)
     }
 
     fn key(&self, name: &str) -> [String; 2] {
@@ -186,8 +186,8 @@
     }
 }
 
-fn words(words: &[&str]) -> Vec<String> {
-    words.iter().map(|word| (*word).to_owned()).collect()
+fn args(args: &[&str]) -> Vec<String> {
+    args.iter().map(|word| (*word).to_owned()).collect()
 }
 
 /// Control and entry instances with the same number share a failure domain.
--- a/bench/soak/src/exchange.rs
+++ b/bench/soak/src/exchange.rs
@@ -19,7 +19,7 @@
 
 /// An answer.
 #[derive(Debug)]
-pub struct Got {
+pub struct HttpResponse {
     /// The status code.
     pub status: u16,
     /// The headers.
@@ -28,7 +28,7 @@
     pub body: Option<Bytes>,
 }
 
-impl Got {
+impl HttpResponse {
     /// Returns a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
@@ -58,12 +58,12 @@
     /// # Errors
     ///
     /// Fails when no answer begins.
-    pub async fn send(&mut self, req: Request<Full<Bytes>>) -> Result<Got> {
+    pub async fn send(&mut self, req: Request<Full<Bytes>>) -> Result<HttpResponse> {
         self.sender.ready().await?;
         let response = self.sender.send_request(req).await?;
         let (parts, body) = response.into_parts();
         let body = body.collect().await.ok().map(|whole| whole.to_bytes());
-        Ok(Got { status: parts.status.as_u16(), headers: parts.headers, body })
+        Ok(HttpResponse { status: parts.status.as_u16(), headers: parts.headers, body })
     }
 }
 
@@ -72,8 +72,12 @@
 /// # Errors
 ///
 /// Fails when no answer comes in time.
-pub async fn once(address: SocketAddr, req: Request<Full<Bytes>>, patience: Millis) -> Result<Got> {
+pub async fn send_once(
+    address: SocketAddr,
+    req: Request<Full<Bytes>>,
+    timeout: Millis,
+) -> Result<HttpResponse> {
     let exchange = async { Connection::open(address).await?.send(req).await };
-    let done = tokio::time::timeout(patience.into(), exchange).await;
-    done.map_err(|_| eyre!("no answer in {patience}"))?
+    let done = tokio::time::timeout(timeout.into(), exchange).await;
+    done.map_err(|_| eyre!("no answer in {timeout}"))?
 }
--- a/bench/soak/src/journal.rs
+++ b/bench/soak/src/journal.rs
@@ -7,13 +7,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// An entry instance was asked to stop and had not ended yet.
-    Stopping(usize),
+    GracefulStop(usize),
     /// An entry instance that was asked to stop was about to end.
-    Ending(usize),
+    Exit(usize),
     /// An entry instance was killed, or stood still.
-    Struck(usize),
+    Disruption(usize),
     /// An endpoint ended, or its way was cut.
-    Cut(usize),
+    EndpointOutage(usize),
 }
 
 /// The faults of a run, by one clock.
--- a/bench/soak/src/lib.rs
+++ b/bench/soak/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod cli;
 pub mod cluster;
 pub mod exchange;
-pub mod hit;
+pub mod injector;
 pub mod journal;
 pub mod link;
 pub mod operator;
--- a/bench/soak/src/link.rs
+++ b/bench/soak/src/link.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy in front of an address, which can be brought into trouble.
+//! A loopback proxy in front of an address, which can be brought into fault.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,51 +8,51 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::plan::Trouble;
+use crate::plan::LinkFault;
 
 /// Bytes that are taken over at a time.
 const CHUNK: usize = 16 << 10;
 
-/// The way to one address. Its task ends with it.
+/// The direction to one address. Its task ends with it.
 #[derive(Debug)]
 pub struct Link {
     /// Where it is called.
     pub address: SocketAddr,
-    trouble: watch::Sender<Option<Trouble>>,
+    fault: watch::Sender<Option<LinkFault>>,
 }
 
 /// A direction of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    ToTarget,
+    ToCaller,
 }
 
 impl Link {
-    /// Opens a way to `target` on an address of its own.
+    /// Opens a direction to `target` on an address of its own.
     ///
     /// # Errors
     ///
     /// Fails when the address is taken.
     pub async fn open(address: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
-        let trouble = watch::Sender::new(None);
-        tokio::spawn(accept(listener, target, trouble.subscribe()));
-        Ok(Self { address, trouble })
+        let fault = watch::Sender::new(None);
+        tokio::spawn(accept(listener, target, fault.subscribe()));
+        Ok(Self { address, fault })
     }
 
-    /// Brings it into trouble, or out of it.
-    pub fn set(&self, trouble: Option<Trouble>) {
-        self.trouble.send_replace(trouble);
+    /// Brings it into fault, or out of it.
+    pub fn set_fault(&self, fault: Option<LinkFault>) {
+        self.fault.send_replace(fault);
     }
 }
 
 async fn accept(
     listener: TcpListener,
     target: SocketAddr,
-    trouble: watch::Receiver<Option<Trouble>>,
+    fault: watch::Receiver<Option<LinkFault>>,
 ) {
-    let mut ended = trouble.clone();
+    let mut ended = fault.clone();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -61,35 +61,35 @@
                 Err(_) => return,
             },
         };
-        if let Ok((near, _)) = accepted {
-            tokio::spawn(connect(near, target, trouble.clone()));
+        if let Ok((inbound, _)) = accepted {
+            tokio::spawn(connect(inbound, target, fault.clone()));
         }
     }
 }
 
 async fn connect(
-    near: TcpStream,
+    inbound: TcpStream,
     target: SocketAddr,
-    mut trouble: watch::Receiver<Option<Trouble>>,
+    mut fault: watch::Receiver<Option<LinkFault>>,
 ) {
-    if let Some(Trouble::Reset) = *trouble.borrow() {
-        return reset(&near);
+    if let Some(LinkFault::Reset) = *fault.borrow() {
+        return reset(&inbound);
     }
-    if trouble.wait_for(|trouble| passes(*trouble, Way::There)).await.is_err() {
+    if fault.wait_for(|fault| may_pass(*fault, Direction::ToTarget)).await.is_err() {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else { return reset(&near) };
-    let mut resets = trouble.clone();
+    let Ok(outbound) = TcpStream::connect(target).await else { return reset(&inbound) };
+    let mut resets = fault.clone();
     let both = async {
-        let there = copy(&near, &far, Way::There, trouble.clone());
-        let back = copy(&far, &near, Way::Back, trouble.clone());
+        let there = copy(&inbound, &outbound, Direction::ToTarget, fault.clone());
+        let back = copy(&outbound, &inbound, Direction::ToCaller, fault.clone());
         tokio::join!(there, back)
     };
     tokio::select! {
         _ = both => {},
-        Ok(_) = resets.wait_for(|trouble| *trouble == Some(Trouble::Reset)) => {
-            reset(&near);
-            reset(&far);
+        Ok(_) = resets.wait_for(|fault| *fault == Some(LinkFault::Reset)) => {
+            reset(&inbound);
+            reset(&outbound);
         }
     }
 }
@@ -98,17 +98,17 @@
 async fn copy(
     from: &TcpStream,
     to: &TcpStream,
-    way: Way,
-    mut trouble: watch::Receiver<Option<Trouble>>,
+    direction: Direction,
+    mut fault: watch::Receiver<Option<LinkFault>>,
 ) {
     let mut buf = vec![0; CHUNK];
     loop {
         let read = read(from, &mut buf).await;
-        if trouble.wait_for(|trouble| passes(*trouble, way)).await.is_err() {
+        if fault.wait_for(|fault| may_pass(*fault, direction)).await.is_err() {
             return;
         }
-        let delay = match *trouble.borrow() {
-            Some(Trouble::Delay(delay)) => Some(Duration::from(delay)),
+        let delay = match *fault.borrow() {
+            Some(LinkFault::Delay(delay)) => Some(Duration::from(delay)),
             _ => None,
         };
         if let Some(delay) = delay {
@@ -152,13 +152,13 @@
     Ok(())
 }
 
-/// Returns whether bytes pass on a way.
-fn passes(trouble: Option<Trouble>, way: Way) -> bool {
-    match trouble {
-        Some(Trouble::Silent) => false,
-        Some(Trouble::SilentThere) => way != Way::There,
-        Some(Trouble::SilentBack) => way != Way::Back,
-        Some(Trouble::Delay(_) | Trouble::Reset) | None => true,
+/// Returns whether bytes pass on a direction.
+fn may_pass(fault: Option<LinkFault>, direction: Direction) -> bool {
+    match fault {
+        Some(LinkFault::Silent) => false,
+        Some(LinkFault::SilentThere) => direction != Direction::ToTarget,
+        Some(LinkFault::SilentBack) => direction != Direction::ToCaller,
+        Some(LinkFault::Delay(_) | LinkFault::Reset) | None => true,
     }
 }
 
--- a/bench/soak/src/operator.rs
+++ b/bench/soak/src/operator.rs
@@ -20,16 +20,16 @@
 use crate::backend::SERVICE;
 use crate::caller::{CLERKS, GUESTS, HOST, Kind};
 use crate::cluster::key;
-use crate::exchange::{self, Got};
+use crate::exchange::{self, HttpResponse};
 
 /// How long a change or a read may take.
-const PATIENCE: Millis = Millis(4000);
+const REQUEST_TIMEOUT: Millis = Millis(4000);
 
 /// Times that one change is sent before the next one follows.
-const TRIES: usize = 5;
+const MAX_TRIES: usize = 5;
 
 /// Marks an answer that may be old.
-const STALE: &str = "sill-stale";
+const STALE_HEADER: &str = "sill-stale";
 
 /// A change that was acknowledged.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -42,7 +42,7 @@
 
 /// What the operator saw.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// The newest change that was acknowledged.
     pub newest: Acknowledged,
     /// How many were.
@@ -57,15 +57,19 @@
 #[derive(Debug)]
 pub struct Operator {
     controls: Vec<SocketAddr>,
-    seen: Arc<Mutex<Seen>>,
+    observations: Arc<Mutex<Observations>>,
     rng: Rng,
     number: u64,
 }
 
 impl Operator {
     /// Makes an operator who can reach control instances at these addresses.
-    pub fn new(seed: u64, controls: Vec<SocketAddr>, seen: Arc<Mutex<Seen>>) -> Self {
-        Self { controls, seen, rng: seeded(seed), number: 0 }
+    pub fn new(
+        seed: u64,
+        controls: Vec<SocketAddr>,
+        observations: Arc<Mutex<Observations>>,
+    ) -> Self {
+        Self { controls, observations, rng: seeded(seed), number: 0 }
     }
 
     /// Changes and reads settings until it is told to stop.
@@ -85,15 +89,15 @@
         self.number += 1;
         let number = self.number;
         let body = serde_json::to_vec(&document(number)).expect("it can be written");
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES {
             let req = Request::put("/tree/serving")
                 .header("host", "control")
                 .header("authorization", format!("Bearer {}", key("root-token")))
                 .header(header::CHANGE_ID, format!("change-{number}"))
                 .body(Full::new(Bytes::from(body.clone())))
                 .expect("a request of fixed parts");
-            if let Ok(got) = exchange::once(self.pick(), req, PATIENCE).await
-                && self.is_answered(number, &got)
+            if let Ok(got) = exchange::send_once(self.pick_control(), req, REQUEST_TIMEOUT).await
+                && self.note_response(number, &got)
             {
                 return true;
             }
@@ -102,20 +106,22 @@
         false
     }
 
-    fn is_answered(&self, number: u64, got: &Got) -> bool {
+    fn note_response(&self, number: u64, got: &HttpResponse) -> bool {
         let revision = json(got).and_then(|body| body.get("revision").and_then(Value::as_u64));
-        let mut seen = self.seen.lock();
+        let mut observations = self.observations.lock();
         match (got.status, revision) {
             (200, Some(revision)) => {
-                seen.changes += 1;
+                observations.changes += 1;
                 // An earlier change whose answer was lost may be newer than what is repeated here.
-                if revision > seen.newest.revision {
-                    seen.newest = Acknowledged { revision, number };
+                if revision > observations.newest.revision {
+                    observations.newest = Acknowledged { revision, number };
                 }
                 true
             }
             (status, _) if (400..500).contains(&status) && status != 429 => {
-                seen.findings.push(format!("accepted_change_stays: change {number} got {status}"));
+                observations
+                    .findings
+                    .push(format!("accepted_change_stays: change {number} got {status}"));
                 true
             }
             _ => false,
@@ -126,28 +132,28 @@
     ///
     /// Returns whether they were read as new.
     pub async fn read(&mut self) -> bool {
-        let before = self.seen.lock().newest;
-        let Ok((revision, number)) = self.fresh().await else { return false };
-        let mut seen = self.seen.lock();
-        seen.reads += 1;
+        let before = self.observations.lock().newest;
+        let Ok((revision, number)) = self.read_fresh().await else { return false };
+        let mut observations = self.observations.lock();
+        observations.reads += 1;
         let is_other = revision == before.revision && number != before.number;
         if revision < before.revision || is_other {
             let what = format!(
                 "accepted_change_stays: read revision {revision}, number {number}, after {before:?}"
             );
-            seen.findings.push(what);
+            observations.findings.push(what);
         }
         true
     }
 
-    async fn fresh(&mut self) -> Result<(u64, u64)> {
+    async fn read_fresh(&mut self) -> Result<(u64, u64)> {
         let req = Request::get("/tree/serving")
             .header("host", "control")
             .header("authorization", format!("Bearer {}", key("root-token")))
             .body(Full::default())?;
-        let got = exchange::once(self.pick(), req, PATIENCE).await?;
+        let got = exchange::send_once(self.pick_control(), req, REQUEST_TIMEOUT).await?;
         let Some(body) = json(&got).filter(|_| got.status == 200) else { bail!("{}", got.status) };
-        if got.header(STALE).is_some() {
+        if got.header(STALE_HEADER).is_some() {
             bail!("may be old");
         }
         let revision = body.get("revision").and_then(Value::as_u64);
@@ -158,12 +164,12 @@
         }
     }
 
-    fn pick(&mut self) -> SocketAddr {
+    fn pick_control(&mut self) -> SocketAddr {
         self.controls[self.rng.random_range(0..self.controls.len())]
     }
 }
 
-fn json(got: &Got) -> Option<Value> {
+fn json(got: &HttpResponse) -> Option<Value> {
     serde_json::from_slice(got.body.as_ref()?).ok()
 }
 
--- a/bench/soak/src/plan.rs
+++ b/bench/soak/src/plan.rs
@@ -10,10 +10,10 @@
 
 /// Time that a control instance gets to come back in full before the next one is hit. One that lost its
 /// disk takes everything anew and becomes a voter again.
-const CATCH_UP: u64 = 5000;
+const CATCH_UP_MS: u64 = 5000;
 
 /// Whether processes get SIGHUP. To be switched on with programs that don't end by it.
-const HANGS_UP: bool = false;
+const SENDS_SIGHUP: bool = false;
 
 /// How many there are of each.
 #[derive(Debug, Clone, Copy)]
@@ -28,7 +28,7 @@
 
 /// A fault with its time.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Planned {
+pub struct ScheduledFault {
     /// When, from the start of the faults.
     pub at: Millis,
     /// What.
@@ -37,7 +37,7 @@
 
 /// Something that happens to a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hit {
+pub enum ProcessFault {
     /// It is killed and started again.
     Kill,
     /// It stands still and goes on.
@@ -52,7 +52,7 @@
 
 /// What befalls a way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum LinkFault {
     /// Bytes come late.
     Delay(Millis),
     /// Nothing passes, and nobody is told.
@@ -67,7 +67,7 @@
 
 /// What an endpoint does wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Habit {
+pub enum Misbehavior {
     /// It runs a request and resets the connection.
     LoseAnswer,
     /// It breaks its answer off.
@@ -84,19 +84,19 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
     /// A control instance is hit, for a while.
-    Control(usize, Hit, Millis),
+    Control(usize, ProcessFault, Millis),
     /// All control instances are killed, and started again after a while.
     AllControls(Millis),
     /// An entry instance is hit, for a while.
-    Entry(usize, Hit, Millis),
+    Entry(usize, ProcessFault, Millis),
     /// The ways of a control instance are in trouble.
-    ControlLinks(usize, Trouble, Millis),
+    ControlLinks(usize, LinkFault, Millis),
     /// The ways from an entry instance to control instances are in trouble.
-    EntryLinks(usize, Trouble, Millis),
+    EntryLinks(usize, LinkFault, Millis),
     /// The way to an endpoint is in trouble.
-    EndpointLink(usize, Trouble, Millis),
+    EndpointLink(usize, LinkFault, Millis),
     /// An endpoint does something wrong.
-    Endpoint(usize, Habit, Millis),
+    Endpoint(usize, Misbehavior, Millis),
     /// An endpoint says that it leaves, ends, and another one starts.
     Replace(usize),
     /// Entry instances are asked to stop, one after the other.
@@ -128,26 +128,26 @@
 }
 
 /// Draws the faults of a run, in the order of their times.
-pub fn plan(seed: u64, span: Millis, sizes: Sizes) -> Vec<Planned> {
+pub fn plan(seed: u64, span: Millis, sizes: Sizes) -> Vec<ScheduledFault> {
     let mut rng = seeded(seed);
-    let mut all = Vec::new();
-    track(&mut rng, span, &mut all, |rng| control_fault(rng, sizes));
-    track(&mut rng, span, &mut all, |rng| entry_fault(rng, sizes));
-    track(&mut rng, span, &mut all, |rng| endpoint_fault(rng, sizes));
-    track(&mut rng, span, &mut all, |rng| stops(rng, sizes));
-    all.sort_by_key(|planned| planned.at);
-    all
+    let mut faults = Vec::new();
+    track(&mut rng, span, &mut faults, |rng| control_fault(rng, sizes));
+    track(&mut rng, span, &mut faults, |rng| entry_fault(rng, sizes));
+    track(&mut rng, span, &mut faults, |rng| endpoint_fault(rng, sizes));
+    track(&mut rng, span, &mut faults, |rng| stop_series(rng, sizes));
+    faults.sort_by_key(|scheduled| scheduled.at);
+    faults
 }
 
 /// Fills the span with faults one after the other; each comes with the time until the next.
-fn track<F>(rng: &mut Rng, span: Millis, all: &mut Vec<Planned>, mut draw: F)
+fn track<F>(rng: &mut Rng, span: Millis, faults: &mut Vec<ScheduledFault>, mut draw: F)
 where
     F: FnMut(&mut Rng) -> (Fault, u64),
 {
     let mut at = rng.random_range(0..1500);
     while at < span.0 {
         let (fault, takes) = draw(rng);
-        all.push(Planned { at: Millis(at), fault });
+        faults.push(ScheduledFault { at: Millis(at), fault });
         at += takes + rng.random_range(100..1200);
     }
 }
@@ -156,12 +156,12 @@
     let i = rng.random_range(0..sizes.controls);
     let span = rng.random_range(200..3000);
     match rng.random_range(0..10) {
-        0..3 => (Fault::Control(i, Hit::Kill, Millis(span)), span + CATCH_UP / 2),
-        6 if HANGS_UP => (Fault::Control(i, Hit::Hangup, Millis(span)), span),
-        3 => (Fault::Control(i, Hit::Pause, Millis(span)), span + CATCH_UP / 2),
-        4 => (Fault::Control(i, Hit::LoseDisk, Millis(span)), span + CATCH_UP),
-        5 => (Fault::AllControls(Millis(span)), span + CATCH_UP),
-        _ => (Fault::ControlLinks(i, trouble(rng), Millis(span)), span + CATCH_UP / 2),
+        0..3 => (Fault::Control(i, ProcessFault::Kill, Millis(span)), span + CATCH_UP_MS / 2),
+        6 if SENDS_SIGHUP => (Fault::Control(i, ProcessFault::Hangup, Millis(span)), span),
+        3 => (Fault::Control(i, ProcessFault::Pause, Millis(span)), span + CATCH_UP_MS / 2),
+        4 => (Fault::Control(i, ProcessFault::LoseDisk, Millis(span)), span + CATCH_UP_MS),
+        5 => (Fault::AllControls(Millis(span)), span + CATCH_UP_MS),
+        _ => (Fault::ControlLinks(i, link_fault(rng), Millis(span)), span + CATCH_UP_MS / 2),
     }
 }
 
@@ -169,11 +169,11 @@
     let i = rng.random_range(0..sizes.entries);
     let span = rng.random_range(100..2500);
     let fault = match rng.random_range(0..6) {
-        0 => Fault::Entry(i, Hit::Kill, Millis(span)),
-        1 => Fault::Entry(i, Hit::Pause, Millis(span)),
-        2 => Fault::Entry(i, Hit::Stop, Millis(span)),
-        3 if HANGS_UP => Fault::Entry(i, Hit::Hangup, Millis(span)),
-        _ => Fault::EntryLinks(i, trouble(rng), Millis(span)),
+        0 => Fault::Entry(i, ProcessFault::Kill, Millis(span)),
+        1 => Fault::Entry(i, ProcessFault::Pause, Millis(span)),
+        2 => Fault::Entry(i, ProcessFault::Stop, Millis(span)),
+        3 if SENDS_SIGHUP => Fault::Entry(i, ProcessFault::Hangup, Millis(span)),
+        _ => Fault::EntryLinks(i, link_fault(rng), Millis(span)),
     };
     (fault, span)
 }
@@ -183,15 +183,15 @@
     let span = rng.random_range(200..2500);
     let fault = match rng.random_range(0..8) {
         0 => Fault::Replace(i),
-        1 | 2 => Fault::EndpointLink(i, trouble(rng), Millis(span)),
-        _ => Fault::Endpoint(i, habit(rng), Millis(span)),
+        1 | 2 => Fault::EndpointLink(i, link_fault(rng), Millis(span)),
+        _ => Fault::Endpoint(i, misbehavior(rng), Millis(span)),
     };
     (fault, span)
 }
 
 /// Most of them at once, or one after the other with pauses in which each has not ended yet or has. The
 /// next series may begin while the last instances of one still stop.
-fn stops(rng: &mut Rng, sizes: Sizes) -> (Fault, u64) {
+fn stop_series(rng: &mut Rng, sizes: Sizes) -> (Fault, u64) {
     let is_at_once = rng.random();
     let (count, gap) = match is_at_once {
         true => (rng.random_range(sizes.entries.div_ceil(2)..=sizes.entries), 0..150),
@@ -210,22 +210,22 @@
     (Fault::Stops(series), gap * count as u64 + rng.random_range(0..4000))
 }
 
-fn trouble(rng: &mut Rng) -> Trouble {
+fn link_fault(rng: &mut Rng) -> LinkFault {
     match rng.random_range(0..6) {
-        0 => Trouble::Delay(Millis(rng.random_range(20..400))),
-        1 => Trouble::SilentThere,
-        2 => Trouble::SilentBack,
-        3 => Trouble::Reset,
-        _ => Trouble::Silent,
+        0 => LinkFault::Delay(Millis(rng.random_range(20..400))),
+        1 => LinkFault::SilentThere,
+        2 => LinkFault::SilentBack,
+        3 => LinkFault::Reset,
+        _ => LinkFault::Silent,
     }
 }
 
-fn habit(rng: &mut Rng) -> Habit {
+fn misbehavior(rng: &mut Rng) -> Misbehavior {
     match rng.random_range(0..5) {
-        0 => Habit::LoseAnswer,
-        1 => Habit::CutAnswer,
-        2 => Habit::Full,
-        3 => Habit::Hang,
-        _ => Habit::Slow,
+        0 => Misbehavior::LoseAnswer,
+        1 => Misbehavior::CutAnswer,
+        2 => Misbehavior::Full,
+        3 => Misbehavior::Hang,
+        _ => Misbehavior::Slow,
     }
 }
--- a/bench/soak/src/process.rs
+++ b/bench/soak/src/process.rs
@@ -8,13 +8,13 @@
 use nix::sys::signal::{self, Signal};
 use nix::unistd::Pid;
 
-/// A program with its words; it runs or not.
+/// A program with its args; it runs or not.
 #[derive(Debug)]
 pub struct Process {
     /// Its name, for findings and logs.
     pub name: String,
     program: PathBuf,
-    words: Vec<String>,
+    args: Vec<String>,
     log: PathBuf,
     /// Its data folder, if it has one.
     data: Option<PathBuf>,
@@ -25,9 +25,9 @@
 
 impl Process {
     /// Describes a program; it isn't started yet.
-    pub fn new(name: String, program: PathBuf, words: Vec<String>, logs: &Path) -> Self {
+    pub fn new(name: String, program: PathBuf, args: Vec<String>, logs: &Path) -> Self {
         let log = logs.join(format!("{name}.log"));
-        Self { name, program, words, log, data: None, child: None, is_stopping: false }
+        Self { name, program, args, log, data: None, child: None, is_stopping: false }
     }
 
     /// Gives it a data folder.
@@ -43,13 +43,14 @@
     ///
     /// Fails when it can't be started.
     pub fn start(&mut self) -> Result<()> {
-        let runs = self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)));
-        if runs {
+        let is_running =
+            self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)));
+        if is_running {
             return Ok(());
         }
         let log = File::options().create(true).append(true).open(&self.log)?;
         let child = Command::new(&self.program)
-            .args(&self.words)
+            .args(&self.args)
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log)
@@ -84,7 +85,7 @@
     }
 
     /// Has it go on.
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
@@ -96,23 +97,23 @@
     }
 
     /// Sends it the signal that a terminal sends when it closes.
-    pub fn hang_up(&self) {
+    pub fn send_sighup(&self) {
         self.signal(Signal::SIGHUP);
     }
 
     /// Returns whether the start of it with this id runs.
-    pub fn runs(&mut self, id: u32) -> bool {
+    pub fn is_running(&mut self, id: u32) -> bool {
         let child = self.child.as_mut().filter(|child| child.id() == id);
         child.is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
     /// Returns whether it should be running, paused or not.
-    pub fn is_expected(&self) -> bool {
+    pub fn is_expected_running(&self) -> bool {
         self.child.is_some() && !self.is_stopping
     }
 
     /// Returns how it ended, if it has; it counts as not running then.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn take_exit_status(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok().flatten()?;
         self.child = None;
         Some(status)
--- a/bench/soak/src/stream.rs
+++ b/bench/soak/src/stream.rs
@@ -4,10 +4,10 @@
 
 use bytes::Bytes;
 
-use crate::caller::sum;
+use crate::caller::checksum;
 
 /// The header by which a caller asks for a stream.
-pub const PACE: &str = "x-soak-pace";
+pub const PACE_HEADER: &str = "x-soak-pace";
 
 /// How a stream goes. Each takes as long as the other, well within the time of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -51,11 +51,11 @@
 
 /// Returns an event of a stream; the first one has the number 1.
 pub fn event(number: usize, id: &str, body: &[u8], endpoint: &str) -> Bytes {
-    format!("id: {number}\ndata: {id} with {} ran at {endpoint}\n\n", sum(body)).into()
+    format!("id: {number}\ndata: {id} with {} ran at {endpoint}\n\n", checksum(body)).into()
 }
 
 /// Returns whether a caller got all events in their order, each from an endpoint that ran the request.
-pub fn is_whole(pace: Pace, id: &str, body: &[u8], endpoints: &[String], got: &[u8]) -> bool {
+pub fn is_complete(pace: Pace, id: &str, body: &[u8], endpoints: &[String], got: &[u8]) -> bool {
     let mut rest = got;
     for number in 1..=pace.events() {
         let after = |endpoint: &String| rest.strip_prefix(&event(number, id, body, endpoint)[..]);
--- a/bench/soak/src/verdict.rs
+++ b/bench/soak/src/verdict.rs
@@ -6,7 +6,7 @@
 use sill_wire::link::LIMIT_WINDOW;
 
 use crate::backend::{Ledger, expected};
-use crate::caller::{Answered, Client, GUESTS, Record};
+use crate::caller::{CallerAnswer, Client, GUESTS, Record};
 use crate::journal::{Event, Journal};
 use crate::stream;
 
@@ -14,7 +14,7 @@
 const MAX_ATTEMPTS: usize = 2;
 
 /// How much of its limit an account may use in any window, as the users state it.
-const MOST: f64 = 1.1;
+const MAX_LIMIT_SHARE: f64 = 1.1;
 
 /// What a run came to.
 #[derive(Debug, Default)]
@@ -28,7 +28,7 @@
     /// Those that were refused as not run.
     pub refused: usize,
     /// Those without a whole answer, by why.
-    pub cut: Vec<(End, usize)>,
+    pub cut: Vec<(Outcome, usize)>,
     /// How much of its limit the limited account used.
     pub limit_used: f64,
     /// The most of its limit that it used in any window.
@@ -67,7 +67,7 @@
 /// but for faults from outside and the caller's own deadline. Cut off, it may have run, and its caller may
 /// not send it again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// With a whole answer.
     Whole,
     /// Its connection ended before it was read, as far as is known: an unused connection may end just when
@@ -88,10 +88,10 @@
 }
 
 /// Counts how requests ended that have no whole answer.
-pub fn count_cuts(records: &[Record], ledger: &Ledger, journal: &Journal) -> Vec<(End, usize)> {
+pub fn count_cuts(records: &[Record], ledger: &Ledger, journal: &Journal) -> Vec<(Outcome, usize)> {
     let mut counts = Vec::new();
     for record in records.iter().filter(|record| record.is_cut()) {
-        let end = end_of(record, ledger, journal);
+        let end = outcome(record, ledger, journal);
         match counts.iter_mut().find(|(counted, _)| *counted == end) {
             Some((_, count)) => *count += 1,
             None => counts.push((end, 1)),
@@ -102,7 +102,7 @@
 
 /// Checks each request against what the endpoints ran, and when faults were brought about.
 pub fn check(records: &[Record], ledger: &Ledger, journal: &Journal) -> Vec<String> {
-    let mut findings = ledger.oddities();
+    let mut findings = ledger.anomalies();
     findings.extend(check_limit(&GUESTS, limit_most(&GUESTS, records, ledger)));
     for record in records {
         let runs = ledger.runs(&record.id);
@@ -115,40 +115,40 @@
         if let Some(answer) = &record.answer {
             findings.extend(check_answer(record, answer, &runs));
         }
-        let rule = match end_of(record, ledger, journal) {
-            End::CutByStop | End::TurnedAway => "graceful_stop",
-            End::CutWithoutReason => "whole_answer",
+        let rule = match outcome(record, ledger, journal) {
+            Outcome::CutByStop | Outcome::TurnedAway => "graceful_stop",
+            Outcome::CutWithoutReason => "whole_answer",
             _ => continue,
         };
-        findings.push(format!("{rule}: {}, ran at {runs:?}", told(record)));
+        findings.push(format!("{rule}: {}, ran at {runs:?}", describe_cut(record)));
     }
     findings
 }
 
 /// Returns how a request ended.
-fn end_of(record: &Record, ledger: &Ledger, journal: &Journal) -> End {
+fn outcome(record: &Record, ledger: &Ledger, journal: &Journal) -> Outcome {
     let runs = ledger.runs(&record.id);
     let Record { kind, entry, sent, ended, .. } = record;
     let is_hit = |event| journal.overlaps(event, *sent, *ended);
     if !record.is_cut() {
-        End::Whole
+        Outcome::Whole
     } else if *ended - *sent >= kind.deadline() {
-        End::OutOfTime
-    } else if is_hit(Event::Struck(*entry)) {
-        End::Struck
+        Outcome::OutOfTime
+    } else if is_hit(Event::Disruption(*entry)) {
+        Outcome::Struck
     } else if record.answer.is_none() && runs.is_empty() {
-        match record.is_first && !is_hit(Event::Ending(*entry)) {
-            true => End::TurnedAway,
-            false => End::Unread,
+        match record.is_first && !is_hit(Event::Exit(*entry)) {
+            true => Outcome::TurnedAway,
+            false => Outcome::Unread,
         }
-    } else if ledger.is_broken(&record.id)
-        || runs.iter().filter_map(|run| endpoint_of(run)).any(|i| is_hit(Event::Cut(i)))
+    } else if ledger.is_withheld(&record.id)
+        || runs.iter().filter_map(|run| endpoint_of(run)).any(|i| is_hit(Event::EndpointOutage(i)))
     {
-        End::BrokenOff
-    } else if is_hit(Event::Stopping(*entry)) {
-        End::CutByStop
+        Outcome::BrokenOff
+    } else if is_hit(Event::GracefulStop(*entry)) {
+        Outcome::CutByStop
     } else {
-        End::CutWithoutReason
+        Outcome::CutWithoutReason
     }
 }
 
@@ -159,7 +159,7 @@
 }
 
 fn check_limit(client: &Client, most: f64) -> Option<String> {
-    let is_over = most > MOST;
+    let is_over = most > MAX_LIMIT_SHARE;
     let account = client.account;
     is_over.then(|| format!("account_limit: {account} used {most:.2} of their limit in a window"))
 }
@@ -187,11 +187,11 @@
 }
 
 /// Returns whether an answer is a refusal that promises that the request has not run.
-pub fn is_refusal(answer: &Answered) -> bool {
+pub fn is_refusal(answer: &CallerAnswer) -> bool {
     answer.is_not_run || matches!(answer.status, 408 | 421 | 429 | 503)
 }
 
-fn check_answer(record: &Record, answer: &Answered, runs: &[String]) -> Option<String> {
+fn check_answer(record: &Record, answer: &CallerAnswer, runs: &[String]) -> Option<String> {
     let Record { id, body, .. } = record;
     if is_refusal(answer) && !runs.is_empty() {
         return Some(format!("not_run_is_true: {id} got {} and ran at {runs:?}", answer.status));
@@ -199,7 +199,7 @@
     if answer.status == 200 {
         let got = answer.body.as_ref()?;
         let is_own = match record.pace {
-            Some(pace) => stream::is_whole(pace, id, body, runs, got),
+            Some(pace) => stream::is_complete(pace, id, body, runs, got),
             None => runs.iter().any(|endpoint| expected(id, body, endpoint) == *got),
         };
         return (!is_own).then(|| format!("whole_answer: {id} got {got:?}, ran at {runs:?}"));
@@ -208,7 +208,7 @@
     is_denied.then(|| format!("settings: {id} got {} though it is allowed", answer.status))
 }
 
-fn told(record: &Record) -> String {
+fn describe_cut(record: &Record) -> String {
     let Record { id, kind, entry, sent, ended, answer, .. } = record;
     let status = answer.as_ref().map(|answer| answer.status);
     format!("{kind:?} {id} at g{entry} from {sent} to {ended} was cut after head {status:?}")
--- a/bench/soak/tests/plan.rs
+++ b/bench/soak/tests/plan.rs
@@ -2,7 +2,9 @@
 
 use sill_base::Millis;
 use sill_soak::cluster::STOP_LIMIT;
-use sill_soak::plan::{Fault, Habit, Hit, Planned, Series, Sizes, Trouble, plan};
+use sill_soak::plan::{
+    Fault, LinkFault, Misbehavior, ProcessFault, ScheduledFault, Series, Sizes, plan,
+};
 
 const SIZES: Sizes = Sizes { controls: 3, entries: 3, endpoints: 4 };
 
@@ -10,10 +12,10 @@
 const CAUGHT_UP: u64 = 4000;
 
 /// The end of a fault that takes a control instance out.
-fn out_until(planned: &Planned) -> Option<u64> {
-    match planned.fault {
+fn out_until(scheduled: &ScheduledFault) -> Option<u64> {
+    match scheduled.fault {
         Fault::Control(_, _, span) | Fault::ControlLinks(_, _, span) | Fault::AllControls(span) => {
-            Some(planned.at.0 + span.0)
+            Some(scheduled.at.0 + span.0)
         }
         _ => None,
     }
@@ -26,12 +28,12 @@
 fn no_plan_takes_more_from_the_control_instances_than_they_promise_to_bear() {
     for seed in 0..500 {
         let faults = plan(seed, Millis(60_000), SIZES);
-        let outs = faults.iter().filter_map(|planned| Some((planned, out_until(planned)?)));
-        let outs: Vec<(&Planned, u64)> = outs.collect();
+        let outs = faults.iter().filter_map(|scheduled| Some((scheduled, out_until(scheduled)?)));
+        let outs: Vec<(&ScheduledFault, u64)> = outs.collect();
         for pair in outs.windows(2) {
             let [(first, until), (second, _)] = pair else { unreachable!() };
             assert!(second.at.0 >= *until, "seed {seed}: {first:?}, then {second:?}");
-            if matches!(first.fault, Fault::Control(_, Hit::LoseDisk, _)) {
+            if matches!(first.fault, Fault::Control(_, ProcessFault::LoseDisk, _)) {
                 let since = second.at.0 - until;
                 assert!(since >= CAUGHT_UP, "seed {seed}: {since} ms after {first:?}");
             }
@@ -48,8 +50,8 @@
     let (mut at_once, mut beside) = (0, 0);
     for seed in 0..SEEDS {
         let faults = plan(seed, Millis(15_000), SIZES);
-        let series = faults.iter().filter_map(|planned| match planned.fault {
-            Fault::Stops(series) => Some((planned.at, series)),
+        let series = faults.iter().filter_map(|scheduled| match scheduled.fault {
+            Fault::Stops(series) => Some((scheduled.at, series)),
             _ => None,
         });
         let series: Vec<(Millis, Series)> = series.collect();
@@ -69,14 +71,21 @@
 /// that are merely slow passed although the program repeated what must not run twice.
 #[test]
 fn the_short_run_has_a_fault_for_each_promise() {
-    let faults =
-        plan(sill_soak::run::SHORT.seed, Millis::from_secs(sill_soak::run::SHORT.seconds), SIZES);
-    let has = |is_meant: fn(&Fault) -> bool| faults.iter().any(|planned| is_meant(&planned.fault));
-    assert!(has(|f| matches!(f, Fault::Endpoint(_, Habit::LoseAnswer, _))));
-    assert!(has(|f| matches!(f, Fault::EndpointLink(_, Trouble::Reset | Trouble::Silent, _))));
-    assert!(has(|f| matches!(f, Fault::Endpoint(_, Habit::CutAnswer, _))));
-    assert!(has(|f| matches!(f, Fault::Entry(_, Hit::Kill | Hit::Stop, _))));
-    assert!(has(|f| matches!(f, Fault::Control(_, Hit::Kill | Hit::LoseDisk, _))));
+    let faults = plan(
+        sill_soak::run::SHORT_RUN.seed,
+        Millis::from_secs(sill_soak::run::SHORT_RUN.seconds),
+        SIZES,
+    );
+    let has =
+        |is_meant: fn(&Fault) -> bool| faults.iter().any(|scheduled| is_meant(&scheduled.fault));
+    assert!(has(|f| matches!(f, Fault::Endpoint(_, Misbehavior::LoseAnswer, _))));
+    assert!(has(|f| matches!(f, Fault::EndpointLink(_, LinkFault::Reset | LinkFault::Silent, _))));
+    assert!(has(|f| matches!(f, Fault::Endpoint(_, Misbehavior::CutAnswer, _))));
+    assert!(has(|f| matches!(f, Fault::Entry(_, ProcessFault::Kill | ProcessFault::Stop, _))));
+    assert!(has(|f| matches!(
+        f,
+        Fault::Control(_, ProcessFault::Kill | ProcessFault::LoseDisk, _)
+    )));
     assert!(has(
         |f| matches!(f, Fault::Stops(series) if series.count > 1 && series.gap < STOP_LIMIT)
     ));
--- a/bench/soak/tests/verdict.rs
+++ b/bench/soak/tests/verdict.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use sill_base::Millis;
 use sill_soak::backend::{Ledger, expected};
-use sill_soak::caller::{Answered, GUESTS, Kind, Record};
+use sill_soak::caller::{CallerAnswer, GUESTS, Kind, Record};
 use sill_soak::journal::{Event, Journal};
 use sill_soak::stream::{Pace, event};
 use sill_soak::verdict::check;
@@ -20,7 +20,7 @@
     head: bool,
     /// Where it ran.
     runs: &'static [&'static str],
-    is_broken: bool,
+    is_withheld: bool,
     /// What went on meanwhile.
     events: &'static [Event],
     /// The rule that it breaks.
@@ -32,7 +32,7 @@
     is_first: false,
     head: false,
     runs: &[],
-    is_broken: false,
+    is_withheld: false,
     events: &[],
     rule: None,
 };
@@ -43,7 +43,7 @@
 #[test]
 fn a_request_that_was_read_is_not_cut_without_a_reason() {
     const RAN: &[&str] = &["e2.1"];
-    let stopping = &[Event::Stopping(1)];
+    let stopping = &[Event::GracefulStop(1)];
     let cases = [
         Cut {
             name: "stop",
@@ -71,36 +71,42 @@
         Cut {
             name: "another stops",
             runs: RAN,
-            events: &[Event::Stopping(0)],
+            events: &[Event::GracefulStop(0)],
             rule: Some("whole_answer"),
             ..CUT
         },
         Cut {
             name: "another endpoint is cut off",
             runs: RAN,
-            events: &[Event::Stopping(1), Event::Cut(1), Event::Struck(2)],
+            events: &[Event::GracefulStop(1), Event::EndpointOutage(1), Event::Disruption(2)],
             rule: Some("graceful_stop"),
             ..CUT
         },
         Cut { name: "used connection", events: stopping, ..CUT },
-        Cut { name: "gone", is_first: true, events: &[Event::Ending(1)], ..CUT },
-        Cut { name: "killed", runs: RAN, events: &[Event::Stopping(1), Event::Struck(1)], ..CUT },
+        Cut { name: "gone", is_first: true, events: &[Event::Exit(1)], ..CUT },
+        Cut {
+            name: "killed",
+            runs: RAN,
+            events: &[Event::GracefulStop(1), Event::Disruption(1)],
+            ..CUT
+        },
         Cut {
             name: "endpoint cut off",
             runs: RAN,
-            events: &[Event::Stopping(1), Event::Cut(2)],
+            events: &[Event::GracefulStop(1), Event::EndpointOutage(2)],
             ..CUT
         },
-        Cut { name: "endpoint broke off", runs: RAN, is_broken: true, events: stopping, ..CUT },
+        Cut { name: "endpoint broke off", runs: RAN, is_withheld: true, events: stopping, ..CUT },
     ];
     for case in cases {
         let (ledger, journal) = (Ledger::default(), Journal::default());
         case.runs.iter().for_each(|run| ledger.note_run(ID, run));
-        if case.is_broken {
-            ledger.note_broken(ID);
+        if case.is_withheld {
+            ledger.note_withheld(ID);
         }
         case.events.iter().for_each(|event| journal.note(*event, SENT, ENDED));
-        let answer = case.head.then_some(Answered { status: 200, is_not_run: false, body: None });
+        let answer =
+            case.head.then_some(CallerAnswer { status: 200, is_not_run: false, body: None });
         let (sent, ended, is_first) = (SENT, ENDED, case.is_first);
         let record = Record::new(ID.to_owned(), Kind::Stream);
         let record = Record { entry: 1, sent, ended, is_first, answer, ..record };
@@ -124,7 +130,7 @@
             ledger.note_run(&id, "e0.1");
             let at = Millis(i * 10_000 / count);
             let body = Some(expected(&id, b"", "e0.1"));
-            let answer = Some(Answered { status: 200, is_not_run: false, body });
+            let answer = Some(CallerAnswer { status: 200, is_not_run: false, body });
             let record = Record::new(id, Kind::Idempotent);
             Record { client: &GUESTS, sent: at, ended: at, answer, ..record }
         });
@@ -152,15 +158,15 @@
         ("of another endpoint", vec![events(1, last, "e3.1")], false),
         ("no stream", vec![vec![expected(ID, b"body", "e0.1")]], false),
     ];
-    for (name, parts, is_whole) in cases {
+    for (name, parts, is_complete) in cases {
         let ledger = Ledger::default();
         ["e0.1", "e1.4"].iter().for_each(|endpoint| ledger.note_run(ID, endpoint));
         let body = Some(Bytes::from(parts.concat().concat()));
-        let answer = Some(Answered { status: 200, is_not_run: false, body });
+        let answer = Some(CallerAnswer { status: 200, is_not_run: false, body });
         let record = Record::new(ID.to_owned(), Kind::ResumableStream);
         let record =
             Record { pace: Some(Pace::Slow), body: Bytes::from_static(b"body"), answer, ..record };
         let findings = check(&[record], &ledger, &Journal::default());
-        assert_eq!(findings.is_empty(), is_whole, "{name}: {findings:?}");
+        assert_eq!(findings.is_empty(), is_complete, "{name}: {findings:?}");
     }
 }
--- a/daemons/sill/tests/soak.rs
+++ b/daemons/sill/tests/soak.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use sill_soak::run::{SHORT, SIZES, Short, SoakCfg, run_once};
+use sill_soak::run::{SHORT_RUN, SIZES, ShortRun, SoakCfg, run_once};
 
 /// How long faults go on in the runs that are played again.
 const SECONDS: u64 = 15;
@@ -13,7 +13,7 @@
 /// settings that went back.
 #[test]
 fn promises_hold_under_faults_from_outside() {
-    play(SHORT);
+    play(SHORT_RUN);
 }
 
 /// A seed that failed once or more, and why. It fails now and then at most, since the order in which
@@ -45,11 +45,11 @@
 fn play_all(cases: &[FailedSeed]) {
     for FailedSeed { seed, cause } in cases {
         println!("seed={seed} cause={cause:?}");
-        play(Short { seed: *seed, seconds: SECONDS });
+        play(ShortRun { seed: *seed, seconds: SECONDS });
     }
 }
 
-fn play(Short { seed, seconds }: Short) {
+fn play(ShortRun { seed, seconds }: ShortRun) {
     let cfg = SoakCfg {
         sill: PathBuf::from(env!("CARGO_BIN_EXE_sill")),
         seed,
