--- a/bench/soak/src/backend.rs
+++ b/bench/soak/src/backend.rs
@@ -1,4 +1,4 @@
-//! Endpoints that note what they run, and misbehave when told to.
+//! Endpoints that note which requests they run, and misbehave on demand.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,22 +27,23 @@
 use crate::plan::Misbehavior;
 use crate::stream::{PACE_HEADER, Pace, event};
 
-/// The service that all endpoints serve.
+/// Name of the service that all endpoints serve.
 pub const SERVICE: &str = "cases";
 
-/// How often an endpoint announces itself.
+/// Interval between the announcements of an endpoint.
 const ANNOUNCE_INTERVAL: Millis = Millis(500);
 
-/// How long an announcement may take.
+/// Timeout of an announcement.
 const ANNOUNCE_TIMEOUT: Millis = Millis(700);
 
-/// How long an endpoint serves after it has said that it leaves.
+/// Time for which an endpoint still serves after it has announced that it is leaving.
 pub const LEAVE_NOTICE: Millis = Millis(3000);
 
-/// By how much the pauses of a slow endpoint's stream are longer; it still ends in its caller's time.
+/// Factor by which a slow endpoint extends the pauses of a stream. The stream still ends before its
+/// caller's deadline.
 const SLOW_FACTOR: f64 = 1.4;
 
-/// What all endpoints saw.
+/// Runs and anomalies that all endpoints have noted.
 #[derive(Debug, Default)]
 pub struct Ledger {
     runs: Mutex<Map<String, Vec<String>>>,
@@ -50,7 +51,7 @@
     anomalies: Mutex<Vec<String>>,
 }
 
-/// An endpoint that can be replaced by another start of it, at the same address.
+/// An endpoint that can be replaced by a new incarnation at the same address.
 #[derive(Debug)]
 pub struct Endpoint {
     name: String,
@@ -64,7 +65,7 @@
     tasks: JoinSet<()>,
 }
 
-/// What one start of an endpoint needs to answer.
+/// State that one incarnation of an endpoint needs to answer requests.
 #[derive(Debug)]
 struct EndpointState {
     id: String,
@@ -72,34 +73,34 @@
     misbehavior: Arc<Mutex<Option<Misbehavior>>>,
 }
 
-/// A part of an answer, or its end before it is whole.
+/// A part of an answer, or the error with which it breaks off.
 type Chunk = Result<Bytes, &'static str>;
 
-/// An answer that may break off.
+/// The body of an answer, which may break off.
 type AnswerBody = UnsyncBoxBody<Bytes, &'static str>;
 
 impl Ledger {
-    /// Returns where a request was run, in order.
+    /// Returns the endpoint incarnations that ran a request, in order.
     pub fn runs(&self, id: &str) -> Vec<String> {
         self.runs.lock().get(id).cloned().unwrap_or_default()
     }
 
-    /// Returns whether an endpoint was told to keep back the answer to a request, or a part of it.
+    /// Returns whether an endpoint deliberately withheld all or part of the answer to a request.
     pub fn is_withheld(&self, id: &str) -> bool {
         self.withheld.lock().contains(id)
     }
 
-    /// Notes that a request is run at an endpoint.
+    /// Notes that an endpoint incarnation runs a request.
     pub fn note_run(&self, id: &str, endpoint: &str) {
         self.runs.lock().entry(id.to_owned()).or_default().push(endpoint.to_owned());
     }
 
-    /// Notes that the answer to a request, or a part of it, is kept back.
+    /// Notes that all or part of the answer to a request is withheld.
     pub fn note_withheld(&self, id: &str) {
         self.withheld.lock().insert(id.to_owned());
     }
 
-    /// Returns what should never have come.
+    /// Returns the requests that arrived with a wrong body, account or credential.
     pub fn anomalies(&self) -> Vec<String> {
         self.anomalies.lock().clone()
     }
@@ -110,11 +111,11 @@
 }
 
 impl Endpoint {
-    /// Starts an endpoint that listens at `address` and says that it is at `announced`.
+    /// Starts an endpoint that listens on `address` and announces the address `announced`.
     ///
     /// # Errors
     ///
-    /// Fails when the address is taken.
+    /// Fails when the address is in use.
     pub async fn start(
         name: String,
         address: SocketAddr,
@@ -137,21 +138,21 @@
         Ok(endpoint)
     }
 
-    /// Gives it a misbehavior, or takes it away.
+    /// Sets or clears the misbehavior, also of later incarnations.
     pub fn set_misbehavior(&self, misbehavior: Option<Misbehavior>) {
         *self.misbehavior.lock() = misbehavior;
     }
 
-    /// Has it say that it leaves.
+    /// Makes further announcements say that the endpoint is leaving.
     pub fn start_leaving(&self) {
         *self.is_leaving.lock() = true;
     }
 
-    /// Ends it, whatever it does, and starts it anew at the same address.
+    /// Aborts all tasks of the endpoint and starts a new incarnation at the same address.
     ///
     /// # Errors
     ///
-    /// Fails when the address is taken.
+    /// Fails when the address is in use.
     pub async fn replace(&mut self) -> Result<()> {
         self.tasks.shutdown().await;
         self.is_leaving = Arc::default();
@@ -226,15 +227,17 @@
     if misbehavior == Some(Misbehavior::Full) {
         return Ok(refusal(StatusCode::SERVICE_UNAVAILABLE, &id));
     }
-    let Ok(body) = body.collect().await else { return Err("the request broke off") };
+    let Ok(body) = body.collect().await else { return Err("the request body ended early") };
     let body = body.to_bytes();
     if text(CHECKSUM_HEADER) != checksum(&body) {
-        state.ledger.note_anomaly(format!("whole_request: {id} came with another body"));
-    }
-    if account != text(ACCOUNT_HEADER) || parts.headers.contains_key("authorization") {
         state
             .ledger
-            .note_anomaly(format!("accounts: {id} came for {account:?}, or with the caller's key"));
+            .note_anomaly(format!("whole_request: {id} arrived with a body of another checksum"));
+    }
+    if account != text(ACCOUNT_HEADER) || parts.headers.contains_key("authorization") {
+        state.ledger.note_anomaly(format!(
+            "accounts: {id} arrived for {account:?}, or with the caller's key"
+        ));
     }
     state.ledger.note_run(&id, &state.id);
     if matches!(
@@ -246,7 +249,7 @@
     match misbehavior {
         Some(Misbehavior::Slow) => tokio::time::sleep(Duration::from_millis(400)).await,
         Some(Misbehavior::Hang) => std::future::pending().await,
-        Some(Misbehavior::LoseAnswer) => return Err("the answer is lost"),
+        Some(Misbehavior::LoseAnswer) => return Err("the endpoint drops the answer"),
         _ => tokio::time::sleep(Duration::from_millis(5)).await,
     }
     let response = Response::builder().header(header::REQUEST_ID, &id);
@@ -269,10 +272,11 @@
             response.header("content-length", whole.len()).body(answer)
         }
     };
-    Ok(response.expect("a response of fixed parts"))
+    Ok(response.expect("a response with valid headers"))
 }
 
-/// Makes an answer of its parts, each of which comes after a pause. It may break off in the middle of one.
+/// Builds an answer that sends each part after a pause. With `CutAnswer` it breaks off within a
+/// part.
 fn answer_body(
     mut parts: Vec<Bytes>,
     gap: Duration,
@@ -296,7 +300,7 @@
     StreamBody::new(frames).boxed_unsync()
 }
 
-/// Returns the answer to a request, which anybody can work out.
+/// Returns the complete answer to a request, which follows from the arguments alone.
 pub fn expected(id: &str, body: &[u8], endpoint: &str) -> Bytes {
     let line = format!("{id} with {} ran at {endpoint}\n", checksum(body));
     line.repeat(8).into()
@@ -308,10 +312,10 @@
         .header(header::REQUEST_ID, id)
         .header(header::NOT_RUN, "true")
         .body(answer_body(Vec::new(), Duration::ZERO, None));
-    response.expect("a response of fixed parts")
+    response.expect("a response with valid headers")
 }
 
-/// Announces an endpoint again and again, to one control instance after the other if one fails.
+/// Announces an endpoint periodically. After a failure it moves on to the next control instance.
 async fn announce(
     mut announcement: Announcement,
     controls: Vec<SocketAddr>,
@@ -321,12 +325,12 @@
     loop {
         announcement.sequence += 1;
         announcement.leaving = is_leaving.lock().then_some(LEAVE_NOTICE);
-        let body = serde_json::to_vec(&announcement).expect("it can be written");
+        let body = serde_json::to_vec(&announcement).expect("an announcement can be serialised");
         let req = Request::post("/announce")
             .header("host", "control")
             .header("authorization", format!("Bearer {}", key("join-token")))
             .body(Full::new(Bytes::from(body)))
-            .expect("a request of fixed parts");
+            .expect("a request with valid headers");
         let sent =
             exchange::send_once(controls[control % controls.len()], req, ANNOUNCE_TIMEOUT).await;
         match sent {
--- a/bench/soak/src/caller.rs
+++ b/bench/soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers, who keep their connections and note what they get.
+//! Callers, which reuse connections and record the answers to their requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,69 +19,69 @@
 use crate::journal::Journal;
 use crate::stream::{PACE_HEADER, Pace};
 
-/// An account.
+/// A client account.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Client {
-    /// Its name.
+    /// Name of the account.
     pub account: &'static str,
-    /// Its key.
+    /// Key that its callers send.
     pub key: &'static str,
-    /// Requests a second that it may send, over all entry instances.
+    /// Rate limit in requests per second over all entry instances, if any.
     pub limit: Option<u32>,
 }
 
-/// The account of most callers.
+/// The account of most callers, without a rate limit.
 pub static CLERKS: Client = Client { account: "clerks", key: "soak-clerks-key", limit: None };
 
-/// An account whose callers send far more than they may.
+/// An account whose callers send far more than its rate limit.
 pub static GUESTS: Client = Client { account: "guests", key: "soak-guests-key", limit: Some(20) };
 
-/// The header with the account that a request has to arrive for.
+/// The request header with the account that the endpoint must see.
 pub const ACCOUNT_HEADER: &str = "x-soak-account";
 
-/// The host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "soak.example";
 
-/// The header with the sum of a body.
+/// The request header with the checksum of the body.
 pub const CHECKSUM_HEADER: &str = "x-soak-sum";
 
-/// The time that callers give for an answer.
+/// Deadline that callers set for an answer.
 const DEADLINE: Millis = Millis(1500);
 
-/// The time that they give for a stream: less than a planned stop takes, which is thus never the reason
-/// why one that began before it is not whole.
+/// Deadline that callers set for a stream. It is shorter than a graceful stop takes, so a stop is
+/// never the reason why a stream that began before it is incomplete.
 const STREAM_DEADLINE: Millis = Millis(2900);
 
-/// The time after which a caller gives up in any case.
+/// Timeout after which a caller abandons a connection attempt or a request.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// The largest body.
+/// Upper bound of the length of request bodies.
 const MAX_BODY_BYTES: usize = 6000;
 
-/// What is asked for, and whether it may run twice.
+/// Kind of a request: single answer or stream, and whether it may be run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// An answer; it may.
+    /// A single answer; may be run more than once.
     Idempotent,
-    /// An answer; it must not.
+    /// A single answer; must not be run more than once.
     NonIdempotent,
-    /// Events; it must not.
+    /// A stream of events; must not be run more than once.
     Stream,
-    /// Events, which may go on at another endpoint.
+    /// A stream of events that another endpoint may resume.
     ResumableStream,
 }
 
 impl Kind {
-    /// All kinds.
+    /// All kinds of requests.
     pub const ALL: [Self; 4] =
         [Self::Idempotent, Self::NonIdempotent, Self::Stream, Self::ResumableStream];
 
-    /// Returns whether a request may run once at most.
+    /// Returns whether a request must be run at most once.
     pub const fn runs_once(self) -> bool {
         matches!(self, Self::NonIdempotent | Self::Stream)
     }
 
-    /// Returns the path of its route.
+    /// Returns the path prefix of the route for this kind.
     pub const fn path(self) -> &'static str {
         match self {
             Self::Idempotent => "/looked-up/",
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Returns the kind of its route.
+    /// Returns the route kind in the settings.
     pub const fn route(self) -> RouteKind {
         match self {
             Self::Idempotent => RouteKind::Idempotent,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns the time that callers give.
+    /// Returns the deadline that callers set.
     pub const fn deadline(self) -> Millis {
         match self {
             Self::Idempotent | Self::NonIdempotent => DEADLINE,
@@ -110,33 +110,33 @@
     }
 }
 
-/// A request and what became of it, as its caller saw it.
+/// A request and its outcome from its caller's point of view.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Its kind.
+    /// Kind of the request.
     pub kind: Kind,
-    /// Whose it is.
+    /// Account that sends the request.
     pub client: &'static Client,
-    /// How its stream goes, if it is one.
+    /// Pace of the stream; `None` for a single answer.
     pub pace: Option<Pace>,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// The entry instance that it was sent to.
+    /// Index of the entry instance that the request was sent to.
     pub entry: usize,
-    /// Whether it was the first one on its connection.
+    /// Whether the request was the first on its connection.
     pub is_first: bool,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent: Millis,
-    /// When its answer was whole, or its connection ended.
+    /// Time at which the answer was complete, the connection ended, or the caller gave up.
     pub ended: Millis,
-    /// The answer; none if the connection ended or the caller gave up.
+    /// The answer; `None` if the connection ended before its head or the caller gave up.
     pub answer: Option<CallerAnswer>,
 }
 
 impl Record {
-    /// Makes a request that is still to be sent.
+    /// Creates the record of a request that has not been sent yet.
     pub fn new(id: String, kind: Kind) -> Self {
         let (sent, ended) = (Millis::ZERO, Millis::ZERO);
         Self {
@@ -153,24 +153,24 @@
         }
     }
 
-    /// Returns whether its connection ended before the answer was whole.
+    /// Returns whether there is no complete answer.
     pub fn is_cut(&self) -> bool {
         self.answer.as_ref().is_none_or(|answer| answer.body.is_none())
     }
 }
 
-/// An answer.
+/// An answer as its caller received it.
 #[derive(Debug, Clone)]
 pub struct CallerAnswer {
     /// The status code.
     pub status: u16,
-    /// Whether it certifies that the request has not run.
+    /// Whether the answer guarantees that the request was not run.
     pub is_not_run: bool,
-    /// The body, if it is whole.
+    /// The body; `None` if it is truncated.
     pub body: Option<Bytes>,
 }
 
-/// Returns a sum by which bodies are told apart.
+/// Returns the 64-bit FNV-1a hash of a body as 16 hexadecimal digits.
 pub fn checksum(body: &[u8]) -> String {
     let sum = body.iter().fold(0xcbf2_9ce4_8422_2325_u64, |sum, byte| {
         (sum ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
@@ -178,26 +178,27 @@
     format!("{sum:016x}")
 }
 
-/// A caller.
+/// Configuration of a caller.
 #[derive(Debug, Clone)]
 pub struct CallerCfg {
-    /// Its name, with which ids begin.
+    /// Name of the caller and prefix of its request ids.
     pub name: String,
-    /// The seed of what it sends.
+    /// Seed of its requests and pauses.
     pub seed: u64,
-    /// Its account.
+    /// Account of the caller.
     pub client: &'static Client,
-    /// Whether it asks for is_streaming.
+    /// Whether it requests streams.
     pub is_streaming: bool,
-    /// The one entry instance that it comes to, also while that one stops, as where a balancer has too few
-    /// others in rotation. Other callers open each connection to the next one.
+    /// Index of the only entry instance that it uses, even while that instance stops, as behind a
+    /// load balancer with too few others in rotation. Without one, each new connection goes to the
+    /// next entry instance.
     pub pinned_entry: Option<usize>,
-    /// All entry instances.
+    /// Addresses of all entry instances.
     pub entries: Vec<SocketAddr>,
 }
 
-/// Sends one request after the other until it is told to stop. A connection is used until it ends or an
-/// answer says that it does.
+/// Sends requests one at a time until `stop` is set. A connection is reused until it ends or an
+/// answer has `connection: close`.
 pub async fn run(
     cfg: CallerCfg,
     journal: Arc<Journal>,
@@ -264,7 +265,7 @@
     Record { pace: is_streaming.then_some(pace), body: body.into(), ..Record::new(id, kind) }
 }
 
-/// Makes the request of a record.
+/// Builds the HTTP request of a record.
 pub fn request(record: &Record) -> Request<Full<Bytes>> {
     let Record { id, kind, client, .. } = record;
     let req = Request::post(format!("{}{id}", kind.path()))
@@ -276,5 +277,5 @@
         .header(PACE_HEADER, record.pace.map_or("", Pace::name))
         .header(CHECKSUM_HEADER, checksum(&record.body))
         .body(Full::new(record.body.clone()));
-    req.expect("a request of fixed parts")
+    req.expect("a request with valid headers")
 }
--- a/bench/soak/src/cli.rs
+++ b/bench/soak/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the soak.
+//! Command line of the soak test.
 
 use std::path::PathBuf;
 
@@ -7,36 +7,36 @@
 
 use crate::run::{self, SoakCfg};
 
-/// `sill-soak`.
+/// Flags and help text of `sill-soak`.
 pub const SOAK: Program = Program {
     name: "sill-soak",
-    about: "runs the real programs under random faults and checks what they promise",
+    about: "runs the real programs under random faults and checks their guarantees",
     operands: "",
     flags: &[
-        Flag::with_default("sill", "FILE", "target/release/sill", "the program to run"),
+        Flag::with_default("sill", "FILE", "target/release/sill", "path of the sill program"),
         Flag::with_default(
             "seed",
             "N",
             "1",
-            "seed of the first run; each further run takes the next",
+            "seed of the first run; each further run uses the next number",
         ),
-        Flag::with_default("runs", "N", "1", "how many runs"),
-        Flag::with_default("seconds", "S", "20", "how long faults go on in each run"),
-        Flag::with_default("entries", "N", "3", "how many entry instances there are"),
+        Flag::with_default("runs", "N", "1", "number of runs"),
+        Flag::with_default("seconds", "S", "20", "seconds during which each run injects faults"),
+        Flag::with_default("entries", "N", "3", "number of entry instances"),
         Flag::with_default(
             "logs",
             "DIR",
             "target/soak",
-            "where the logs of a run with findings stay",
+            "folder that keeps the logs of runs with findings",
         ),
     ],
 };
 
-/// Runs the soak.
+/// Runs the soak test once for each seed and prints one verdict per run.
 ///
 /// # Errors
 ///
-/// Fails when a flag is wrong, a program can't be started, or a run has findings.
+/// Fails when a flag is invalid, a program can't be started, or a run has findings.
 pub fn run(args: Vec<String>) -> Result<()> {
     let Some(mut values) = SOAK.values_or_help(args)? else { return Ok(()) };
     let sill: Option<PathBuf> = values.required("sill");
--- a/bench/soak/src/cluster.rs
+++ b/bench/soak/src/cluster.rs
@@ -1,4 +1,4 @@
-//! All processes of a run, and the ways between them.
+//! All processes of a run and the proxied links between them.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -14,53 +14,53 @@
 use crate::plan::{LinkFault, Sizes};
 use crate::process::Process;
 
-/// How long an entry instance that is asked to stop takes new calls as if it were not.
+/// Time for which a stopping entry instance still accepts new requests (`--drain-notice-ms`).
 const STOP_NOTICE: Millis = Millis(600);
 
-/// After how long an entry instance that was asked to stop cuts what still runs.
+/// Time after which a stopping entry instance cuts off requests in flight (`--drain-limit-ms`).
 pub const STOP_LIMIT: Millis = Millis(3000);
 
-/// Addresses of one control instance or entry instance.
+/// Number of listening addresses reserved per control instance or entry instance.
 const OWN_ADDRESSES: usize = 3;
 
-/// The system under test.
+/// The cluster under test.
 #[derive(Debug)]
 pub struct Cluster {
-    /// Control instances.
+    /// Processes of the control instances.
     pub controls: Vec<Process>,
-    /// Entry instances.
+    /// Processes of the entry instances.
     pub entries: Vec<Process>,
-    /// Endpoints.
+    /// Endpoints, which run inside the soak process.
     pub endpoints: Vec<Endpoint>,
-    /// Where callers reach entry instances.
+    /// Addresses on which entry instances accept callers.
     pub entry_addresses: Vec<SocketAddr>,
-    /// Where operators and endpoints reach control instances.
+    /// Addresses of the links through which operators and endpoints reach control instances.
     pub control_addresses: Vec<SocketAddr>,
-    /// From one control instance to another, by the first and the second.
+    /// Links between control instances, indexed by source and target.
     control_links: Vec<Vec<Link>>,
-    /// From an entry instance to each control instance.
+    /// Links from entry instances to control instances, indexed by source and target.
     entry_links: Vec<Vec<Link>>,
-    /// To each control instance from outside.
+    /// Links from operators and endpoints to each control instance.
     outer_links: Vec<Link>,
-    /// To each endpoint.
+    /// Links to each endpoint.
     endpoint_links: Vec<Link>,
 }
 
-/// Hands out addresses.
+/// Hands out reserved loopback addresses.
 struct Addresses(std::vec::IntoIter<SocketAddr>);
 
 impl Addresses {
     fn take(&mut self) -> SocketAddr {
-        self.0.next().expect("as many as were counted")
+        self.0.next().expect("all addresses were counted before they were reserved")
     }
 }
 
 impl Cluster {
-    /// Starts everything.
+    /// Opens all links and starts all endpoints and processes.
     ///
     /// # Errors
     ///
-    /// Fails when something can't be started.
+    /// Fails when an address is in use or a program can't be started.
     pub async fn start(
         sill: &Path,
         folder: &Path,
@@ -85,8 +85,8 @@
         let outer_links = open_all(&mut addresses, &listens).await?;
         let entry_addresses: Vec<SocketAddr> = (0..entries).map(|_| addresses.take()).collect();
         let control_addresses: Vec<SocketAddr> = outer_links.iter().map(|l| l.address).collect();
-        let own: Vec<SocketAddr> = (0..endpoints).map(|_| addresses.take()).collect();
-        let endpoint_links = open_all(&mut addresses, &own).await?;
+        let own_addresses: Vec<SocketAddr> = (0..endpoints).map(|_| addresses.take()).collect();
+        let endpoint_links = open_all(&mut addresses, &own_addresses).await?;
         let programs = Programs { sill, folder };
         let mut cluster = Self {
             controls: (0..controls)
@@ -94,8 +94,8 @@
                 .collect(),
             entries: (0..entries)
                 .map(|i| {
-                    let own = [entry_addresses[i], addresses.take(), addresses.take()];
-                    programs.entry(i, own, &entry_links[i])
+                    let own_addresses = [entry_addresses[i], addresses.take(), addresses.take()];
+                    programs.entry(i, own_addresses, &entry_links[i])
                 })
                 .collect(),
             endpoints: Vec::new(),
@@ -106,7 +106,7 @@
             outer_links,
             endpoint_links,
         };
-        for (i, address) in own.into_iter().enumerate() {
+        for (i, address) in own_addresses.into_iter().enumerate() {
             let (name, announced) = (format!("e{i}"), cluster.endpoint_links[i].address);
             let controls = cluster.control_addresses.clone();
             let endpoint = Endpoint::start(name, address, announced, controls, ledger.clone());
@@ -117,7 +117,7 @@
         Ok(cluster)
     }
 
-    /// Brings all ways of a control instance into fault, or out of it.
+    /// Sets or clears a fault on all links from and to a control instance.
     pub fn set_control_links(&self, i: usize, fault: Option<LinkFault>) {
         self.control_links[i].iter().for_each(|link| link.set_fault(fault));
         self.control_links.iter().for_each(|links| links[i].set_fault(fault));
@@ -125,18 +125,18 @@
         self.outer_links[i].set_fault(fault);
     }
 
-    /// Brings the ways from an entry instance to control instances into fault, or out of it.
+    /// Sets or clears a fault on the links from an entry instance to all control instances.
     pub fn set_entry_links(&self, i: usize, fault: Option<LinkFault>) {
         self.entry_links[i].iter().for_each(|link| link.set_fault(fault));
     }
 
-    /// Brings the way to an endpoint into fault, or out of it.
+    /// Sets or clears a fault on the link to an endpoint.
     pub fn set_endpoint_link(&self, i: usize, fault: Option<LinkFault>) {
         self.endpoint_links[i].set_fault(fault);
     }
 }
 
-/// How programs are started.
+/// Builds the command lines of programs.
 struct Programs<'a> {
     sill: &'a Path,
     folder: &'a Path,
@@ -166,10 +166,17 @@
         Process::new(name, self.sill.to_owned(), args, self.folder).with_data(data)
     }
 
-    fn entry(&self, i: usize, own: [SocketAddr; OWN_ADDRESSES], links: &[Link]) -> Process {
+    fn entry(
+        &self,
+        i: usize,
+        own_addresses: [SocketAddr; OWN_ADDRESSES],
+        links: &[Link],
+    ) -> Process {
         let name = format!("g{i}");
         let mut args = args(&["gateway", "--name", &name, "--domain", &domain(i)]);
-        for (flag, address) in ["--listen", "--listen-ready", "--listen-metrics"].iter().zip(own) {
+        for (flag, address) in
+            ["--listen", "--listen-ready", "--listen-metrics"].iter().zip(own_addresses)
+        {
             args.extend([(*flag).to_owned(), address.to_string()]);
         }
         for link in links {
@@ -190,7 +197,7 @@
     args.iter().map(|word| (*word).to_owned()).collect()
 }
 
-/// Control and entry instances with the same number share a failure domain.
+/// Returns the failure domain of control and entry instance `i`, which share one.
 fn domain(i: usize) -> String {
     format!("d{i}")
 }
@@ -199,7 +206,7 @@
     folder.join(format!("{name}.txt"))
 }
 
-/// Returns the key or token of a name.
+/// Returns the secret stored in the key file of this name.
 pub fn key(name: &str) -> String {
     format!("soak-{name}")
 }
--- a/bench/soak/src/exchange.rs
+++ b/bench/soak/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange after the other on a connection that is kept open.
+//! HTTP client that sends requests one at a time on a persistent connection.
 
 use std::net::SocketAddr;
 
@@ -11,36 +11,36 @@
 use sill_base::Millis;
 use tokio::net::TcpStream;
 
-/// A connection; its task ends with it.
+/// An HTTP/1 client connection. Its background task ends when this is dropped.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
 }
 
-/// An answer.
+/// A response, complete or truncated.
 #[derive(Debug)]
 pub struct HttpResponse {
     /// The status code.
     pub status: u16,
-    /// The headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// The body, if it came to the end that its framing names.
+    /// The body; `None` if it ended before its framing said so.
     pub body: Option<Bytes>,
 }
 
 impl HttpResponse {
-    /// Returns a header.
+    /// Returns the value of a header, if it is present and is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Connects to an address.
     ///
     /// # Errors
     ///
-    /// Fails when there is nobody.
+    /// Fails when the connection is refused or the handshake fails.
     pub async fn open(address: SocketAddr) -> Result<Self> {
         let stream = TcpStream::connect(address).await?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
@@ -48,16 +48,16 @@
         Ok(Self { sender })
     }
 
-    /// Returns whether it can take a request; one that has ended can't.
+    /// Returns whether a request can be sent; `false` once the connection is closed.
     pub async fn is_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends a request and reads the answer. An answer that breaks off has no body.
+    /// Sends a request and reads the response, whose body is `None` if it is truncated.
     ///
     /// # Errors
     ///
-    /// Fails when no answer begins.
+    /// Fails when the connection ends before the head of the response.
     pub async fn send(&mut self, req: Request<Full<Bytes>>) -> Result<HttpResponse> {
         self.sender.ready().await?;
         let response = self.sender.send_request(req).await?;
@@ -67,11 +67,11 @@
     }
 }
 
-/// Sends one request on a connection of its own.
+/// Sends one request on a new connection.
 ///
 /// # Errors
 ///
-/// Fails when no answer comes in time.
+/// Fails when the connection fails or the response does not end within the timeout.
 pub async fn send_once(
     address: SocketAddr,
     req: Request<Full<Bytes>>,
@@ -79,5 +79,5 @@
 ) -> Result<HttpResponse> {
     let exchange = async { Connection::open(address).await?.send(req).await };
     let done = tokio::time::timeout(timeout.into(), exchange).await;
-    done.map_err(|_| eyre!("no answer in {timeout}"))?
+    done.map_err(|_| eyre!("no answer from {address} within {timeout} ms"))?
 }
--- a/bench/soak/src/injector.rs
+++ b/bench/soak/src/injector.rs
@@ -1,4 +1,4 @@
-//! Brings one fault about, and takes it back.
+//! Injects one fault and reverts it.
 
 use std::sync::Arc;
 
@@ -12,28 +12,28 @@
 use crate::plan::{Fault, LinkFault, ProcessFault, Series};
 use crate::process::Process;
 
-/// How long a program may take to stop when asked; it is killed then.
+/// Time that a program may take to exit after SIGTERM before it is killed.
 const STOP_TIMEOUT: Millis = Millis(STOP_LIMIT.0 * 2);
 
-/// How often a stop is looked at.
+/// How often the injector checks whether a stopping process has exited.
 const STOP_POLL_INTERVAL: Millis = Millis(10);
 
-/// How long ago a process may have ended when that is noticed, on a busy machine.
+/// Longest time between the exit of a process and its detection on a busy machine.
 const EXIT_DETECTION_DELAY: Millis = Millis(300);
 
-/// How long a cut on a way may be noticed afterwards, by bytes that were held back.
+/// How long after a link fault held-back bytes may still break a request.
 const CUT_GRACE: Millis = Millis(1000);
 
-/// What faults are brought about on, and where they are noted.
+/// Injects faults into a cluster and notes them in the journal.
 #[derive(Debug, Clone)]
 pub struct FaultInjector {
-    /// The system under test.
+    /// The cluster under test.
     pub cluster: Arc<tokio::sync::Mutex<Cluster>>,
-    /// The faults.
+    /// Receives the time span of each fault that can break requests.
     pub journal: Arc<Journal>,
 }
 
-/// A process by its target.
+/// Identifies a process of the cluster by its index.
 #[derive(Debug, Clone, Copy)]
 enum Target {
     Control(usize),
@@ -50,11 +50,11 @@
 }
 
 impl FaultInjector {
-    /// Brings a fault about, and returns once it is over.
+    /// Injects a fault and returns once it is over.
     ///
     /// # Errors
     ///
-    /// Fails when a process can't be started, or does not stop when asked.
+    /// Fails when a process can't be started, or does not exit in time after SIGTERM.
     pub async fn inject(self, fault: Fault) -> Result<()> {
         match fault {
             Fault::Control(i, fault, span) => {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Sets something, and takes it back after a while.
+    /// Calls `set` with `true`, and with `false` once the span is over.
     async fn set_for<F>(&self, span: Millis, set: F) -> Result<()>
     where
         F: Fn(&Cluster, bool),
@@ -142,7 +142,8 @@
         self.note_disruption(target, from, self.journal.now());
     }
 
-    /// What stood still may find its time over when it goes on, until its next planned stop has ended.
+    /// Pauses a process. Timeouts that expired during the pause may fire once it resumes, so the
+    /// disruption is noted for one `STOP_LIMIT` longer.
     async fn pause(&self, target: Target, span: Millis) -> Result<()> {
         let from = self.journal.now();
         target.process_mut(&mut *self.cluster.lock().await).pause();
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Stops entry instances one after the other, and starts each again after a while.
+    /// Stops entry instances at the intervals of the series, and restarts each once it has exited.
     async fn stop_in_series(&self, series: Series) -> Result<()> {
         let mut tasks = JoinSet::new();
         for i in series.instances() {
@@ -176,11 +177,12 @@
         Ok(())
     }
 
-    /// Asks a process to stop, and waits until that start of it has ended, by itself or by another fault.
+    /// Sends SIGTERM to a process and waits until that child has exited, on its own or by another
+    /// fault.
     async fn stop(&self, target: Target, again: Option<Millis>) -> Result<()> {
         let from = self.journal.now();
-        let asked = target.process_mut(&mut *self.cluster.lock().await).ask_to_stop();
-        let Some(id) = asked else { return Ok(()) };
+        let stopped_id = target.process_mut(&mut *self.cluster.lock().await).ask_to_stop();
+        let Some(id) = stopped_id else { return Ok(()) };
         let mut again = again;
         while target.process_mut(&mut *self.cluster.lock().await).is_running(id) {
             let took = self.journal.now() - from;
@@ -200,14 +202,17 @@
         let mut cluster = self.cluster.lock().await;
         let process = target.process_mut(&mut cluster);
         match process.take_exit_status() {
-            // Before it has set its handlers, the signal ends it at once; it has taken nothing then.
+            // A signal that arrives before the handlers are installed terminates the process at
+            // once, which is no failure: it has accepted no request by then.
             Some(status) if !status.success() && status.code().is_some() => {
-                bail!("{} was asked to stop and ended with {status}", process.name)
+                bail!("{} exited with {status} after SIGTERM", process.name)
             }
             _ => Ok(()),
         }
     }
 
+    /// Kills a process whose stop timed out. That is a finding only for an entry instance that no
+    /// other fault disrupted meanwhile.
     async fn kill_overdue(&self, target: Target, from: Millis) -> Result<()> {
         let now = self.journal.now();
         let is_late = match target {
@@ -216,7 +221,7 @@
         };
         self.kill(target).await;
         if is_late {
-            bail!("graceful_stop: {target:?} did not end in {STOP_TIMEOUT} ms");
+            bail!("graceful_stop: {target:?} did not exit within {STOP_TIMEOUT} ms after SIGTERM");
         }
         Ok(())
     }
--- a/bench/soak/src/journal.rs
+++ b/bench/soak/src/journal.rs
@@ -1,22 +1,22 @@
-//! Which faults were brought about when, to tell whose fault a broken connection is.
+//! The time spans of injected faults, which the verdict uses to attribute broken connections.
 
 use parking_lot::Mutex;
 use sill_base::{Clock, Millis};
 
-/// What happened to whom.
+/// A fault or stop that can break requests, with the index of its instance or endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// An entry instance was asked to stop and had not ended yet.
+    /// An entry instance was sent SIGTERM and had not exited yet.
     GracefulStop(usize),
-    /// An entry instance that was asked to stop was about to end.
+    /// An entry instance exited at the end of a graceful stop.
     Exit(usize),
-    /// An entry instance was killed, or stood still.
+    /// An entry instance was killed or paused.
     Disruption(usize),
-    /// An endpoint ended, or its way was cut.
+    /// An endpoint was replaced, or the link to it was cut.
     EndpointOutage(usize),
 }
 
-/// The faults of a run, by one clock.
+/// The events of a run, timed by one clock.
 #[derive(Debug, Default)]
 pub struct Journal {
     clock: Clock,
@@ -24,22 +24,22 @@
 }
 
 impl Journal {
-    /// Returns the time.
+    /// Returns the current time of the run's clock.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Notes what went on from then until now.
+    /// Notes an event that lasted from `from` until now.
     pub fn note_since(&self, from: Millis, event: Event) {
         self.note(event, from, self.now());
     }
 
-    /// Notes what went on, or has consequences, for a span.
+    /// Notes an event and the span during which it takes effect.
     pub fn note(&self, event: Event, from: Millis, until: Millis) {
         self.spans.lock().push((event, from, until));
     }
 
-    /// Returns whether it went on at any time of a span.
+    /// Returns whether the event was in effect at any time of a span.
     pub fn overlaps(&self, event: Event, from: Millis, until: Millis) -> bool {
         let spans = self.spans.lock();
         spans.iter().any(|span| span.0 == event && span.1 <= until && from <= span.2)
--- a/bench/soak/src/lib.rs
+++ b/bench/soak/src/lib.rs
@@ -1,8 +1,10 @@
-//! A soak: the real programs as separate processes under random faults from outside them.
+//! A soak test: runs the real programs as separate processes and injects random faults from
+//! outside.
 //!
-//! Control instances, entry instances for routes, endpoints and callers talk through loopback proxies,
-//! which delay, hold back, cut one way and reset. Processes are killed, stopped, paused, restarted, and
-//! lose their disks. What callers, endpoints and the operator saw is then held against the promises.
+//! Traffic to control instances and endpoints passes through loopback proxies, which delay it, drop
+//! it in one or both directions, or reset connections. Processes are killed, stopped, paused and
+//! restarted, and lose their disks. Afterwards the records of callers, endpoints and the operator
+//! are checked against the guarantees of the system.
 
 pub mod backend;
 pub mod caller;
--- a/bench/soak/src/link.rs
+++ b/bench/soak/src/link.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy in front of an address, which can be brought into fault.
+//! A loopback TCP proxy that can inject faults.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,18 +10,18 @@
 
 use crate::plan::LinkFault;
 
-/// Bytes that are taken over at a time.
+/// Largest number of bytes forwarded at a time.
 const CHUNK: usize = 16 << 10;
 
-/// The direction to one address. Its task ends with it.
+/// A proxy for one target address. Its background task ends when this is dropped.
 #[derive(Debug)]
 pub struct Link {
-    /// Where it is called.
+    /// Address on which the proxy accepts connections.
     pub address: SocketAddr,
     fault: watch::Sender<Option<LinkFault>>,
 }
 
-/// A direction of a connection.
+/// A direction of a proxied connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Direction {
     ToTarget,
@@ -29,11 +29,11 @@
 }
 
 impl Link {
-    /// Opens a direction to `target` on an address of its own.
+    /// Starts a proxy on `address` that forwards to `target`.
     ///
     /// # Errors
     ///
-    /// Fails when the address is taken.
+    /// Fails when the address is in use.
     pub async fn open(address: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let fault = watch::Sender::new(None);
@@ -41,7 +41,7 @@
         Ok(Self { address, fault })
     }
 
-    /// Brings it into fault, or out of it.
+    /// Sets or clears the fault of this link.
     pub fn set_fault(&self, fault: Option<LinkFault>) {
         self.fault.send_replace(fault);
     }
@@ -94,7 +94,7 @@
     }
 }
 
-/// Takes bytes over until one side ends.
+/// Forwards bytes until one side closes or fails.
 async fn copy(
     from: &TcpStream,
     to: &TcpStream,
@@ -152,7 +152,7 @@
     Ok(())
 }
 
-/// Returns whether bytes pass on a direction.
+/// Returns whether the fault lets bytes pass in a direction.
 fn may_pass(fault: Option<LinkFault>, direction: Direction) -> bool {
     match fault {
         Some(LinkFault::Silent) => false,
@@ -162,7 +162,7 @@
     }
 }
 
-/// Has the connection end by a reset once it is dropped.
+/// Makes the connection end with a TCP reset when it is dropped.
 fn reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/bench/soak/src/main.rs
+++ b/bench/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The fault soak.
+//! The `sill-soak` binary.
 
 use std::process::ExitCode;
 
--- a/bench/soak/src/operator.rs
+++ b/bench/soak/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator, who changes settings all the time and reads them back.
+//! The operator, which keeps changing settings and reading them back.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,38 +22,38 @@
 use crate::cluster::key;
 use crate::exchange::{self, HttpResponse};
 
-/// How long a change or a read may take.
+/// Timeout of a single change or read.
 const REQUEST_TIMEOUT: Millis = Millis(4000);
 
-/// Times that one change is sent before the next one follows.
+/// Maximum number of times that one change is sent.
 const MAX_TRIES: usize = 5;
 
-/// Marks an answer that may be old.
+/// The response header that marks settings as possibly stale.
 const STALE_HEADER: &str = "sill-stale";
 
-/// A change that was acknowledged.
+/// An acknowledged change of the settings.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Acknowledged {
-    /// Its revision.
+    /// Revision assigned to the change.
     pub revision: u64,
-    /// The number that stands in its document.
+    /// Number of the change, which its document contains.
     pub number: u64,
 }
 
-/// What the operator saw.
+/// Acknowledged changes, reads and findings of the operator.
 #[derive(Debug, Default)]
 pub struct Observations {
-    /// The newest change that was acknowledged.
+    /// The acknowledged change with the highest revision.
     pub newest: Acknowledged,
-    /// How many were.
+    /// Number of acknowledged changes.
     pub changes: u64,
-    /// Reads that were answered as new.
+    /// Number of reads that were not marked as stale.
     pub reads: u64,
-    /// Answers that break a promise.
+    /// Responses that violate a guarantee.
     pub findings: Vec<String>,
 }
 
-/// The operator.
+/// Sends changes and reads to random control instances.
 #[derive(Debug)]
 pub struct Operator {
     controls: Vec<SocketAddr>,
@@ -63,7 +63,7 @@
 }
 
 impl Operator {
-    /// Makes an operator who can reach control instances at these addresses.
+    /// Creates an operator that uses control instances at these addresses.
     pub fn new(
         seed: u64,
         controls: Vec<SocketAddr>,
@@ -72,7 +72,7 @@
         Self { controls, observations, rng: seeded(seed), number: 0 }
     }
 
-    /// Changes and reads settings until it is told to stop.
+    /// Changes and reads settings until `stop` is set.
     pub async fn run(mut self, stop: watch::Receiver<bool>) -> Self {
         while !*stop.borrow() {
             self.change().await;
@@ -82,20 +82,19 @@
         self
     }
 
-    /// Makes one change. Where the outcome stays unclear, it may come into force later.
-    ///
-    /// Returns whether it was acknowledged.
+    /// Makes one change and returns whether its outcome is final. Without a response the change may
+    /// still be applied later.
     pub async fn change(&mut self) -> bool {
         self.number += 1;
         let number = self.number;
-        let body = serde_json::to_vec(&document(number)).expect("it can be written");
+        let body = serde_json::to_vec(&document(number)).expect("a document can be serialised");
         for _ in 0..MAX_TRIES {
             let req = Request::put("/tree/serving")
                 .header("host", "control")
                 .header("authorization", format!("Bearer {}", key("root-token")))
                 .header(header::CHANGE_ID, format!("change-{number}"))
                 .body(Full::new(Bytes::from(body.clone())))
-                .expect("a request of fixed parts");
+                .expect("a request with valid headers");
             if let Ok(got) = exchange::send_once(self.pick_control(), req, REQUEST_TIMEOUT).await
                 && self.note_response(number, &got)
             {
@@ -112,7 +111,7 @@
         match (got.status, revision) {
             (200, Some(revision)) => {
                 observations.changes += 1;
-                // An earlier change whose answer was lost may be newer than what is repeated here.
+                // A retry may return an older revision than the newest acknowledged change.
                 if revision > observations.newest.revision {
                     observations.newest = Acknowledged { revision, number };
                 }
@@ -128,9 +127,10 @@
         }
     }
 
-    /// Reads the settings at any control instance, and checks that they are not old.
+    /// Reads the settings from a random control instance, and checks that they are no older than
+    /// the newest acknowledged change.
     ///
-    /// Returns whether they were read as new.
+    /// Returns whether there was a response that is not marked as stale.
     pub async fn read(&mut self) -> bool {
         let before = self.observations.lock().newest;
         let Ok((revision, number)) = self.read_fresh().await else { return false };
@@ -154,13 +154,13 @@
         let got = exchange::send_once(self.pick_control(), req, REQUEST_TIMEOUT).await?;
         let Some(body) = json(&got).filter(|_| got.status == 200) else { bail!("{}", got.status) };
         if got.header(STALE_HEADER).is_some() {
-            bail!("may be old");
+            bail!("the settings are marked as possibly stale");
         }
         let revision = body.get("revision").and_then(Value::as_u64);
         let number = body.pointer("/document/services/cases/max_connections");
         match (revision, number.and_then(Value::as_u64)) {
             (Some(revision), Some(number)) => Ok((revision, number - 1000)),
-            _ => bail!("another shape"),
+            _ => bail!("the response has no revision or no change number"),
         }
     }
 
@@ -173,7 +173,8 @@
     serde_json::from_slice(got.body.as_ref()?).ok()
 }
 
-/// Returns the settings of a run, with a number by which changes are told apart.
+/// Returns the settings of a run. The number is stored in `max_connections` and identifies the
+/// change.
 fn document(number: u64) -> Document {
     let mut document = Document::default();
     let pool = Pool { max_connections: Some(1000 + number as u32), ..Pool::default() };
--- a/bench/soak/src/plan.rs
+++ b/bench/soak/src/plan.rs
@@ -1,146 +1,147 @@
-//! Which faults come when, drawn from a seed.
+//! The schedule of faults, generated from a seed.
 //!
-//! Each kind of thing has a track of its own, so that faults of several kinds overlap. On the track of
-//! control instances at most one of them is out at a time, unless all are killed together: a quorum is
-//! promised as long as one of three is lost, and a disk may be lost only while the others have theirs.
+//! Control instances, entry instances, endpoints and planned stops have separate tracks, so that
+//! faults of several kinds overlap. At most one control instance is down at a time, unless all are
+//! killed together: a quorum is guaranteed only while at most one of three is lost, and a disk may
+//! be lost only while the others keep theirs.
 
 use rand::Rng as _;
 use sill_base::Millis;
 use sill_base::random::{Rng, seeded};
 
-/// Time that a control instance gets to come back in full before the next one is hit. One that lost its
-/// disk takes everything anew and becomes a voter again.
+/// Recovery time of a control instance before the next fault on its track. An instance that lost
+/// its disk fetches all data again and is readmitted as a voter.
 const CATCH_UP_MS: u64 = 5000;
 
-/// Whether processes get SIGHUP. To be switched on with programs that don't end by it.
+/// Whether processes are sent SIGHUP. Only to be enabled for programs that it does not terminate.
 const SENDS_SIGHUP: bool = false;
 
-/// How many there are of each.
+/// Number of processes of each kind in a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Sizes {
-    /// Control instances.
+    /// Number of control instances.
     pub controls: usize,
-    /// Entry instances.
+    /// Number of entry instances.
     pub entries: usize,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
 }
 
-/// A fault with its time.
+/// A fault and the time at which it starts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScheduledFault {
-    /// When, from the start of the faults.
+    /// Time since the start of fault injection.
     pub at: Millis,
-    /// What.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// Something that happens to a process.
+/// A fault of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessFault {
-    /// It is killed and started again.
+    /// Kills the process and restarts it.
     Kill,
-    /// It stands still and goes on.
+    /// Suspends the process and resumes it.
     Pause,
-    /// It is asked to stop, and started again once it has.
+    /// Sends SIGTERM and restarts the process once it has exited.
     Stop,
-    /// It is killed, loses its disk, and is started again.
+    /// Kills the process, removes its data folder and restarts it.
     LoseDisk,
-    /// It gets SIGHUP, which must not end it.
+    /// Sends SIGHUP, which must not terminate the process.
     Hangup,
 }
 
-/// What befalls a way.
+/// A fault of a network link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Bytes come late.
+    /// Delays all bytes by this time.
     Delay(Millis),
-    /// Nothing passes, and nobody is told.
+    /// Holds back all bytes in both directions and signals no error.
     Silent,
-    /// Nothing passes towards the one that was called.
+    /// Holds back all bytes towards the called process.
     SilentThere,
-    /// Nothing passes back to the caller.
+    /// Holds back all bytes towards the calling process.
     SilentBack,
-    /// Open connections are reset, and new ones refused.
+    /// Resets open connections and new ones.
     Reset,
 }
 
-/// What an endpoint does wrong.
+/// A fault of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Misbehavior {
-    /// It runs a request and resets the connection.
+    /// Runs the request and drops the connection without an answer.
     LoseAnswer,
-    /// It breaks its answer off.
+    /// Runs the request and truncates the answer.
     CutAnswer,
-    /// It says that it has no room.
+    /// Refuses requests with status 503.
     Full,
-    /// It takes its time.
+    /// Answers slowly.
     Slow,
-    /// It runs a request and never answers.
+    /// Runs the request and never answers.
     Hang,
 }
 
-/// One fault.
+/// A fault with its target and, where it has one, its duration.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
-    /// A control instance is hit, for a while.
+    /// A process fault of one control instance.
     Control(usize, ProcessFault, Millis),
-    /// All control instances are killed, and started again after a while.
+    /// Kills all control instances and restarts them after this time.
     AllControls(Millis),
-    /// An entry instance is hit, for a while.
+    /// A process fault of one entry instance.
     Entry(usize, ProcessFault, Millis),
-    /// The ways of a control instance are in trouble.
+    /// A fault of all links from and to one control instance.
     ControlLinks(usize, LinkFault, Millis),
-    /// The ways from an entry instance to control instances are in trouble.
+    /// A fault of the links from one entry instance to all control instances.
     EntryLinks(usize, LinkFault, Millis),
-    /// The way to an endpoint is in trouble.
+    /// A fault of the link to one endpoint.
     EndpointLink(usize, LinkFault, Millis),
-    /// An endpoint does something wrong.
+    /// Incorrect or slow answers from one endpoint.
     Endpoint(usize, Misbehavior, Millis),
-    /// An endpoint says that it leaves, ends, and another one starts.
+    /// One endpoint announces that it is leaving, ends, and is replaced by a new incarnation.
     Replace(usize),
-    /// Entry instances are asked to stop, one after the other.
+    /// Sends SIGTERM to several entry instances in turn.
     Stops(Series),
 }
 
-/// Planned stops of entry instances, each of which is started again once it has ended.
+/// Graceful stops of several entry instances, each of which is restarted after it has exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Series {
-    /// The first one.
+    /// Index of the first entry instance to stop.
     pub first: usize,
-    /// How many.
+    /// Number of entry instances to stop.
     pub count: usize,
-    /// How many there are; after the last one it goes on with the first.
+    /// Number of entry instances in the run; indexes wrap around at this number.
     pub of: usize,
-    /// Time from one signal to the next one's.
+    /// Time between the signals to two successive instances.
     pub gap: Millis,
-    /// Time until each gets a second signal.
+    /// Time after which each instance is sent a second signal, if any.
     pub again: Option<Millis>,
-    /// How long each stays away.
+    /// Time between the exit of an instance and its restart.
     pub away: Millis,
 }
 
 impl Series {
-    /// Returns the entry instances in their order.
+    /// Returns the indexes of the entry instances in the order in which they are stopped.
     pub fn instances(self) -> impl Iterator<Item = usize> {
         (0..self.count).map(move |i| (self.first + i) % self.of)
     }
 }
 
-/// Draws the faults of a run, in the order of their times.
+/// Generates the faults of a run from a seed, ordered by start time.
 pub fn plan(seed: u64, span: Millis, sizes: Sizes) -> Vec<ScheduledFault> {
     let mut rng = seeded(seed);
     let mut faults = Vec::new();
-    track(&mut rng, span, &mut faults, |rng| control_fault(rng, sizes));
-    track(&mut rng, span, &mut faults, |rng| entry_fault(rng, sizes));
-    track(&mut rng, span, &mut faults, |rng| endpoint_fault(rng, sizes));
-    track(&mut rng, span, &mut faults, |rng| stop_series(rng, sizes));
+    fill_track(&mut rng, span, &mut faults, |rng| control_fault(rng, sizes));
+    fill_track(&mut rng, span, &mut faults, |rng| entry_fault(rng, sizes));
+    fill_track(&mut rng, span, &mut faults, |rng| endpoint_fault(rng, sizes));
+    fill_track(&mut rng, span, &mut faults, |rng| stop_series(rng, sizes));
     faults.sort_by_key(|scheduled| scheduled.at);
     faults
 }
 
-/// Fills the span with faults one after the other; each comes with the time until the next.
-fn track<F>(rng: &mut Rng, span: Millis, faults: &mut Vec<ScheduledFault>, mut draw: F)
+/// Fills the span with successive faults. `draw` returns a fault and the time that it occupies.
+fn fill_track<F>(rng: &mut Rng, span: Millis, faults: &mut Vec<ScheduledFault>, mut draw: F)
 where
     F: FnMut(&mut Rng) -> (Fault, u64),
 {
@@ -189,8 +190,9 @@
     (fault, span)
 }
 
-/// Most of them at once, or one after the other with pauses in which each has not ended yet or has. The
-/// next series may begin while the last instances of one still stop.
+/// Stops most entry instances nearly at once, or one after another at intervals shorter or longer
+/// than a stop takes. The next series may begin while the last instances of the previous one still
+/// stop.
 fn stop_series(rng: &mut Rng, sizes: Sizes) -> (Fault, u64) {
     let is_at_once = rng.random();
     let (count, gap) = match is_at_once {
--- a/bench/soak/src/process.rs
+++ b/bench/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! A program that the soak started, and what is done to it from outside.
+//! A child process of the soak test and the signals sent to it.
 
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
@@ -8,40 +8,39 @@
 use nix::sys::signal::{self, Signal};
 use nix::unistd::Pid;
 
-/// A program with its args; it runs or not.
+/// A program with its arguments and, while it runs, its child process.
 #[derive(Debug)]
 pub struct Process {
-    /// Its name, for findings and logs.
+    /// Name of the process in findings and of its log file.
     pub name: String,
     program: PathBuf,
     args: Vec<String>,
     log: PathBuf,
-    /// Its data folder, if it has one.
     data: Option<PathBuf>,
     child: Option<Child>,
-    /// Whether it was asked to stop.
+    /// Whether SIGTERM was sent since the last start.
     is_stopping: bool,
 }
 
 impl Process {
-    /// Describes a program; it isn't started yet.
+    /// Creates a process that is not started yet.
     pub fn new(name: String, program: PathBuf, args: Vec<String>, logs: &Path) -> Self {
         let log = logs.join(format!("{name}.log"));
         Self { name, program, args, log, data: None, child: None, is_stopping: false }
     }
 
-    /// Gives it a data folder.
+    /// Sets the data folder, which `lose_disk` removes.
     pub fn with_data(mut self, data: PathBuf) -> Self {
         self.data = Some(data);
         self
     }
 
-    /// Starts it, unless another fault has brought it back already. Its log goes on where the one of an
-    /// earlier run ended.
+    /// Starts the process, unless it already runs because another fault restarted it. Output is
+    /// appended to the log of earlier starts.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be started.
+    /// Fails when the log can't be opened or the program can't be started.
     pub fn start(&mut self) -> Result<()> {
         let is_running =
             self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)));
@@ -60,7 +59,7 @@
         Ok(())
     }
 
-    /// Kills it.
+    /// Kills the process with SIGKILL and waits for its exit.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -68,51 +67,51 @@
         }
     }
 
-    /// Kills it and takes its disk away.
+    /// Kills the process and removes its data folder.
     ///
     /// # Errors
     ///
-    /// Fails when the folder can't be removed.
+    /// Fails when the process has no data folder or the folder can't be removed.
     pub fn lose_disk(&mut self) -> Result<()> {
         self.kill();
-        let data = self.data.as_ref().ok_or_else(|| eyre!("{} has no disk", self.name))?;
+        let data = self.data.as_ref().ok_or_else(|| eyre!("{} has no data folder", self.name))?;
         fs::remove_dir_all(data).wrap_err_with(|| data.display().to_string())
     }
 
-    /// Has it stand still.
+    /// Suspends the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Has it go on.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Asks it to stop. Returns the id of this start of it, if it runs.
+    /// Sends SIGTERM. Returns the process id of the child, if there is one.
     pub fn ask_to_stop(&mut self) -> Option<u32> {
         self.is_stopping = true;
         self.signal(Signal::SIGTERM);
         self.child.as_ref().map(Child::id)
     }
 
-    /// Sends it the signal that a terminal sends when it closes.
+    /// Sends SIGHUP, as a closing terminal does.
     pub fn send_sighup(&self) {
         self.signal(Signal::SIGHUP);
     }
 
-    /// Returns whether the start of it with this id runs.
+    /// Returns whether the child with this process id is running; `false` after a restart.
     pub fn is_running(&mut self, id: u32) -> bool {
         let child = self.child.as_mut().filter(|child| child.id() == id);
         child.is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Returns whether it should be running, paused or not.
+    /// Returns whether the process was started, and neither killed nor sent SIGTERM since.
     pub fn is_expected_running(&self) -> bool {
         self.child.is_some() && !self.is_stopping
     }
 
-    /// Returns how it ended, if it has; it counts as not running then.
+    /// Returns the exit status if the child has exited, and forgets that child.
     pub fn take_exit_status(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok().flatten()?;
         self.child = None;
--- a/bench/soak/src/run.rs
+++ b/bench/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: start, faults, recovery, verdict.
+//! One run: starts the cluster, injects faults, waits for recovery and checks the records.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -23,70 +23,72 @@
 use crate::plan::{self, Sizes};
 use crate::verdict::{self, Verdict};
 
-/// How many there are of each by default: a few dozen processes and ways in all.
+/// Default number of processes of each kind: a few dozen processes and links in total.
 pub const SIZES: Sizes = Sizes { controls: 3, entries: 3, endpoints: 4 };
 
-/// Callers for each entry instance, each with one connection. Half of them ask for streams.
+/// Number of callers per entry instance, each with one connection. Half of them request streams.
 const CALLERS_PER_ENTRY: usize = 6;
 
-/// Callers at most. All requests are kept until the verdict: with 1,500 callers the soak itself took 22 GB
-/// within a minute and a half, on machines that others use as well.
+/// Maximum number of callers. All requests are kept in memory until the verdict: with 1,500 callers
+/// the soak test itself used 22 GB within a minute and a half, on shared machines.
 const MAX_CALLERS: usize = 200;
 
-/// One caller in so many has an account with a limit.
+/// One in this many callers uses the account with a rate limit.
 const LIMITED_EVERY: usize = 6;
 
-/// One caller in so many comes to one entry instance only.
+/// One in this many callers uses a single entry instance.
 const PINNED_EVERY: usize = 3;
 
-/// How long everything may take to serve, at the start and after the faults. No figure is measured by
-/// it; a run that reaches it has hung.
+/// Timeout for the cluster to serve, at the start and after the faults. It bounds no measured
+/// figure: a run that reaches it has hung.
 const HANG_TIMEOUT: Millis = Millis(40_000);
 
-/// Requests in a row that each entry instance must answer at the end.
+/// Number of consecutive requests that each entry instance must answer to count as serving.
 const REQUIRED_ANSWERS: usize = 10;
 
-/// Time for what is still on its way when callers stop: their patience, and a paused process.
+/// Time for requests that are still in flight when callers stop: the timeout of callers, and the
+/// rest of a pause of a process.
 const SETTLE_TIME: Duration = Duration::from_millis(4500);
 
 /// Settings of a run.
 #[derive(Debug, Clone)]
 pub struct SoakCfg {
-    /// The program to run.
+    /// Path of the `sill` program.
     pub sill: PathBuf,
-    /// The seed.
+    /// Seed of the faults, the callers and the operator.
     pub seed: u64,
-    /// How long faults go on.
+    /// Duration of fault injection in seconds.
     pub seconds: u64,
-    /// How many entry instances there are.
+    /// Number of entry instances.
     pub entries: usize,
-    /// Where the logs of a run with findings stay.
+    /// Folder that keeps the logs of runs with findings.
     pub logs: PathBuf,
 }
 
-/// The seed and length of a run that is short and still has a fault for each promise.
+/// Seed and duration of a short run.
 #[derive(Debug, Clone, Copy)]
 pub struct ShortRun {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// How long faults go on.
+    /// Duration of fault injection in seconds.
     pub seconds: u64,
 }
 
-/// The run that CI plays.
+/// The run in CI, which is short and still has a fault for each guarantee.
 pub const SHORT_RUN: ShortRun = ShortRun { seed: 163, seconds: 10 };
 
-/// What a run goes through.
+/// The fault injector of a run and the findings collected so far.
 struct Run {
     injector: FaultInjector,
     findings: Arc<Mutex<Vec<String>>>,
 }
 
-/// Runs once.
+/// Runs the soak test once with the given seed.
 ///
 /// # Errors
 ///
-/// Fails when a program can't be started; what breaks a promise is a finding of the verdict.
+/// Fails when a program can't be started or the cluster never acknowledges a change. A violated
+/// guarantee is no error but a finding of the verdict.
 pub fn run_once(cfg: &SoakCfg) -> Result<Verdict> {
     let folder = cfg.logs.join(format!("seed-{}", cfg.seed));
     if folder.exists() {
@@ -117,7 +119,10 @@
     let began = journal.now();
     while !operator.change().await {
         if journal.now() - began > HANG_TIMEOUT {
-            bail!("no change was acknowledged; see {}", folder.display());
+            bail!(
+                "no settings change was acknowledged within {HANG_TIMEOUT} ms; see the logs in {}",
+                folder.display()
+            );
         }
     }
     run.wait_until_served(&entries, "start").await;
@@ -174,7 +179,7 @@
 }
 
 impl Run {
-    /// Carries out the plan, and waits until all faults are over.
+    /// Injects all faults of the plan and waits until they are over. Returns the number of faults.
     async fn inject_faults(&self, cfg: &SoakCfg) -> usize {
         let plan = plan::plan(cfg.seed, Millis::from_secs(cfg.seconds), cfg.sizes());
         let journal = &self.injector.journal;
@@ -196,7 +201,8 @@
         count
     }
 
-    /// Notes programs that ended by themselves, as when an invariant did not hold.
+    /// Adds a finding for each program that exited on its own, for example after a failed
+    /// assertion.
     async fn note_exits(&self) {
         let mut cluster = self.injector.cluster.lock().await;
         let Cluster { controls, entries, .. } = &mut *cluster;
@@ -204,12 +210,15 @@
             if process.is_expected_running()
                 && let Some(status) = process.take_exit_status()
             {
-                self.findings.lock().push(format!("process: {} ended, {status}", process.name));
+                self.findings
+                    .lock()
+                    .push(format!("process: {} exited unexpectedly with {status}", process.name));
             }
         }
     }
 
-    /// Waits until each entry instance answers several requests in a row.
+    /// Waits until each entry instance answers consecutive requests. One that does not within
+    /// `HANG_TIMEOUT` is a finding.
     async fn wait_until_served(&self, entries: &[SocketAddr], when: &str) {
         let mut waits = JoinSet::new();
         for (i, entry) in entries.iter().copied().enumerate() {
@@ -223,24 +232,30 @@
         }
         while let Some(waited) = waits.join_next().await {
             if let Ok(Some(i)) = waited {
-                let what = format!("recovery: g{i} doesn't serve at the {when}");
+                let what = format!(
+                    "recovery: g{i} doesn't serve at the {when} of the run within {HANG_TIMEOUT} ms"
+                );
                 self.findings.lock().push(what);
             }
         }
     }
 
-    /// Waits until the settings are read as new once more; they are checked on the way.
+    /// Waits until one more read returns settings that are not marked as stale. The operator checks
+    /// them against the acknowledged changes.
     async fn wait_until_read(&self, operator: &mut Operator) {
         let began = self.injector.journal.now();
         while !operator.read().await {
             if self.injector.journal.now() - began > HANG_TIMEOUT {
-                return self.findings.lock().push("recovery: no settings are read".to_owned());
+                return self
+                    .findings
+                    .lock()
+                    .push("recovery: no control instance returns current settings".to_owned());
             }
         }
     }
 }
 
-/// Returns once an entry instance has answered several requests in a row.
+/// Returns once an entry instance has answered `REQUIRED_ANSWERS` consecutive requests.
 async fn wait_until_serving(entry: SocketAddr, name: String) {
     let mut in_a_row = 0;
     for number in 0.. {
--- a/bench/soak/src/stream.rs
+++ b/bench/soak/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streams of events, which anybody can work out from id, body and endpoint.
+//! Event streams whose content follows from request id, body and endpoint.
 
 use std::time::Duration;
 
@@ -6,20 +6,21 @@
 
 use crate::caller::checksum;
 
-/// The header by which a caller asks for a stream.
+/// The request header that selects the pace of a stream.
 pub const PACE_HEADER: &str = "x-soak-pace";
 
-/// How a stream goes. Each takes as long as the other, well within the time of a planned stop.
+/// Number and spacing of the events of a stream. Both variants take about as long, well within the
+/// time of a graceful stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pace {
-    /// Many events.
+    /// Many events with short pauses.
     Long,
-    /// Few, with long pauses.
+    /// Few events with long pauses.
     Slow,
 }
 
 impl Pace {
-    /// Returns its name in the header.
+    /// Returns the value of the `PACE_HEADER` header.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Long => "long",
@@ -27,12 +28,12 @@
         }
     }
 
-    /// Finds it by its name.
+    /// Parses the value of the `PACE_HEADER` header.
     pub fn from_name(name: &str) -> Option<Self> {
         [Self::Long, Self::Slow].into_iter().find(|pace| pace.name() == name)
     }
 
-    /// Returns the number of events.
+    /// Returns the number of events of a complete stream.
     pub const fn events(self) -> usize {
         match self {
             Self::Long => 32,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Returns the pause before each event.
+    /// Returns the pause before each event of a stream.
     pub const fn gap(self) -> Duration {
         match self {
             Self::Long => Duration::from_millis(50),
@@ -49,12 +50,13 @@
     }
 }
 
-/// Returns an event of a stream; the first one has the number 1.
+/// Returns one event of a stream. Numbers start at 1.
 pub fn event(number: usize, id: &str, body: &[u8], endpoint: &str) -> Bytes {
     format!("id: {number}\ndata: {id} with {} ran at {endpoint}\n\n", checksum(body)).into()
 }
 
-/// Returns whether a caller got all events in their order, each from an endpoint that ran the request.
+/// Returns whether a body has all events once and in order, each from an endpoint that ran the
+/// request.
 pub fn is_complete(pace: Pace, id: &str, body: &[u8], endpoints: &[String], got: &[u8]) -> bool {
     let mut rest = got;
     for number in 1..=pace.events() {
--- a/bench/soak/src/verdict.rs
+++ b/bench/soak/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What a run showed, held against the promises.
+//! Checks the records of a run against the guarantees of the system.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -10,34 +10,34 @@
 use crate::journal::{Event, Journal};
 use crate::stream;
 
-/// Endpoints that one call may run at, as the settings of a run say.
+/// Maximum number of endpoints that may run one request: `max_attempts` in the settings of a run.
 const MAX_ATTEMPTS: usize = 2;
 
-/// How much of its limit an account may use in any window, as the users state it.
+/// Largest share of its limit that an account may use in any window, as the requirements state it.
 const MAX_LIMIT_SHARE: f64 = 1.1;
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Requests that callers sent.
+    /// Number of requests that callers sent.
     pub requests: usize,
-    /// Those that were answered whole.
+    /// Number of requests with a complete answer of status 200.
     pub answered: usize,
-    /// Those that were refused as not run.
+    /// Number of requests refused with the guarantee that they were not run.
     pub refused: usize,
-    /// Those without a whole answer, by why.
+    /// Number of requests without a complete answer, by outcome.
     pub cut: Vec<(Outcome, usize)>,
-    /// How much of its limit the limited account used.
+    /// Share of its limit that the limited account used over the whole run.
     pub limit_used: f64,
-    /// The most of its limit that it used in any window.
+    /// Largest share of its limit that the limited account used in any window.
     pub limit_most: f64,
-    /// Faults that were brought about.
+    /// Number of faults injected.
     pub faults: usize,
-    /// Changes that were acknowledged.
+    /// Number of settings changes that were acknowledged.
     pub changes: u64,
-    /// Promises that were broken.
+    /// Violated guarantees, each with the name of its rule as prefix.
     pub findings: Vec<String>,
 }
 
@@ -61,46 +61,49 @@
     }
 }
 
-/// How a request ended, as its caller saw it.
+/// How a request ended from its caller's point of view.
 ///
-/// One that an entry instance has read ends with a whole answer, also where that instance is asked to stop,
-/// but for faults from outside and the caller's own deadline. Cut off, it may have run, and its caller may
-/// not send it again.
+/// A request that an entry instance has read gets a complete answer, even if the instance is
+/// stopped gracefully meanwhile. The only exceptions are injected faults and the caller's own
+/// deadline. A request that was cut off may have run, so its caller may not send it again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// The answer was complete.
     Whole,
-    /// Its connection ended before it was read, as far as is known: an unused connection may end just when
-    /// its caller sends the next request on it, and a new one when its entry instance is gone.
+    /// The connection probably ended before the request was read: an idle connection may be closed
+    /// just as its caller sends the next request, and a new one fails when its entry instance has
+    /// exited.
     Unread,
-    /// The connection was opened for it and ended before it was read, though the entry instance went on.
+    /// The connection was opened for this request and ended before the request was read, although
+    /// the entry instance kept running.
     TurnedAway,
-    /// Its time was up.
+    /// The caller's deadline passed.
     OutOfTime,
-    /// Its entry instance was killed or stood still.
+    /// The entry instance was killed or paused.
     Struck,
-    /// An endpoint that ran it broke off, or the way to it was cut.
+    /// An endpoint that ran the request broke off its answer, or the link to that endpoint was cut.
     BrokenOff,
-    /// By an entry instance that was asked to stop.
+    /// Cut off by an entry instance during its graceful stop.
     CutByStop,
-    /// By an entry instance that was not.
+    /// Cut off by an entry instance that was not stopping, without an injected fault.
     CutWithoutReason,
 }
 
-/// Counts how requests ended that have no whole answer.
+/// Counts the requests without a complete answer by outcome.
 pub fn count_cuts(records: &[Record], ledger: &Ledger, journal: &Journal) -> Vec<(Outcome, usize)> {
     let mut counts = Vec::new();
     for record in records.iter().filter(|record| record.is_cut()) {
-        let end = outcome(record, ledger, journal);
-        match counts.iter_mut().find(|(counted, _)| *counted == end) {
+        let ended_as = outcome(record, ledger, journal);
+        match counts.iter_mut().find(|(counted, _)| *counted == ended_as) {
             Some((_, count)) => *count += 1,
-            None => counts.push((end, 1)),
+            None => counts.push((ended_as, 1)),
         }
     }
     counts
 }
 
-/// Checks each request against what the endpoints ran, and when faults were brought about.
+/// Checks each request against the runs noted by endpoints and the faults in the journal. Returns
+/// the violated guarantees.
 pub fn check(records: &[Record], ledger: &Ledger, journal: &Journal) -> Vec<String> {
     let mut findings = ledger.anomalies();
     findings.extend(check_limit(&GUESTS, limit_most(&GUESTS, records, ledger)));
@@ -125,7 +128,6 @@
     findings
 }
 
-/// Returns how a request ended.
 fn outcome(record: &Record, ledger: &Ledger, journal: &Journal) -> Outcome {
     let runs = ledger.runs(&record.id);
     let Record { kind, entry, sent, ended, .. } = record;
@@ -152,9 +154,9 @@
     }
 }
 
-/// Returns the number of the endpoint that noted a run, which it did with its name and start.
+/// Returns the index of the endpoint that noted a run as `e<index>.<incarnation>`.
 fn endpoint_of(run: &str) -> Option<usize> {
-    let (name, _start) = run.split_once('.')?;
+    let (name, _incarnation) = run.split_once('.')?;
     name.strip_prefix('e')?.parse().ok()
 }
 
@@ -164,7 +166,7 @@
     is_over.then(|| format!("account_limit: {account} used {most:.2} of their limit in a window"))
 }
 
-/// Returns how much of its limit an account used over the whole run; 1 is all of it.
+/// Returns the share of its limit that an account used over the whole run; 1 is the full limit.
 pub fn limit_used(client: &Client, records: &[Record], ledger: &Ledger) -> f64 {
     let sent = records.iter().filter(|record| record.client == client);
     let ran = sent.filter(|record| !ledger.runs(&record.id).is_empty()).count();
@@ -174,7 +176,8 @@
     ran as f64 / allowed.max(1.0)
 }
 
-/// Returns the most of its limit that an account used in any window; 1 is all of it.
+/// Returns the largest share of its limit that an account used in any `LIMIT_WINDOW`; 1 is the full
+/// limit.
 pub fn limit_most(client: &Client, records: &[Record], ledger: &Ledger) -> f64 {
     let ran = |record: &&Record| record.client == client && !ledger.runs(&record.id).is_empty();
     let mut sent: Vec<Millis> = records.iter().filter(ran).map(|record| record.sent).collect();
@@ -186,7 +189,7 @@
     most as f64 / (limit * LIMIT_WINDOW.as_secs_f64())
 }
 
-/// Returns whether an answer is a refusal that promises that the request has not run.
+/// Returns whether an answer is a refusal that guarantees that the request was not run.
 pub fn is_refusal(answer: &CallerAnswer) -> bool {
     answer.is_not_run || matches!(answer.status, 408 | 421 | 429 | 503)
 }
@@ -205,7 +208,8 @@
         return (!is_own).then(|| format!("whole_answer: {id} got {got:?}, ran at {runs:?}"));
     }
     let is_denied = (400..500).contains(&answer.status) && !is_refusal(answer);
-    is_denied.then(|| format!("settings: {id} got {} though it is allowed", answer.status))
+    is_denied
+        .then(|| format!("settings: {id} got {} although the settings allow it", answer.status))
 }
 
 fn describe_cut(record: &Record) -> String {
--- a/bench/soak/tests/plan.rs
+++ b/bench/soak/tests/plan.rs
@@ -1,4 +1,4 @@
-//! What is drawn from a seed.
+//! Tests of the fault schedule that is generated from a seed.
 
 use sill_base::Millis;
 use sill_soak::cluster::STOP_LIMIT;
@@ -8,11 +8,11 @@
 
 const SIZES: Sizes = Sizes { controls: 3, entries: 3, endpoints: 4 };
 
-/// Time after which a control instance that lost its disk has everything again.
-const CAUGHT_UP: u64 = 4000;
+/// Minimum time in milliseconds that a control instance needs to recover after losing its disk.
+const MIN_CATCH_UP_MS: u64 = 4000;
 
-/// The end of a fault that takes a control instance out.
-fn out_until(scheduled: &ScheduledFault) -> Option<u64> {
+/// Returns the end in milliseconds of a fault that takes down a control instance.
+fn outage_end(scheduled: &ScheduledFault) -> Option<u64> {
     match scheduled.fault {
         Fault::Control(_, _, span) | Fault::ControlLinks(_, _, span) | Fault::AllControls(span) => {
             Some(scheduled.at.0 + span.0)
@@ -21,29 +21,30 @@
     }
 }
 
-/// With two of three control instances out at once no change could be acknowledged, and with two disks
-/// lost one after the other acknowledged changes would be gone, whatever the program does. A run that
-/// brings that about would report findings that are none.
+/// With two of three control instances down no change can be acknowledged, and with two disks lost
+/// in quick succession acknowledged changes are lost, whatever the program does. A plan that causes
+/// this would report false findings.
 #[test]
 fn no_plan_takes_more_from_the_control_instances_than_they_promise_to_bear() {
     for seed in 0..500 {
         let faults = plan(seed, Millis(60_000), SIZES);
-        let outs = faults.iter().filter_map(|scheduled| Some((scheduled, out_until(scheduled)?)));
-        let outs: Vec<(&ScheduledFault, u64)> = outs.collect();
-        for pair in outs.windows(2) {
+        let outages =
+            faults.iter().filter_map(|scheduled| Some((scheduled, outage_end(scheduled)?)));
+        let outages: Vec<(&ScheduledFault, u64)> = outages.collect();
+        for pair in outages.windows(2) {
             let [(first, until), (second, _)] = pair else { unreachable!() };
             assert!(second.at.0 >= *until, "seed {seed}: {first:?}, then {second:?}");
             if matches!(first.fault, Fault::Control(_, ProcessFault::LoseDisk, _)) {
                 let since = second.at.0 - until;
-                assert!(since >= CAUGHT_UP, "seed {seed}: {since} ms after {first:?}");
+                assert!(since >= MIN_CATCH_UP_MS, "seed {seed}: {since} ms after {first:?}");
             }
         }
     }
 }
 
-/// A call was lost where several entry instances stopped while callers had nowhere else to go. Stops that
-/// come alone, or wait until the ones before are over, never show it: in a plan they are often on at once,
-/// and beside a kill, a pause or a stop of another track.
+/// Guards against lost requests when several entry instances stop at once and callers have no other
+/// instance to use. Separate stops, or stops that wait for the previous one, never show this. Plans
+/// must often have overlapping stops, also beside a kill, a pause or a stop of another track.
 #[test]
 fn planned_stops_overlap_with_each_other_and_with_other_faults() {
     const SEEDS: u64 = 200;
@@ -66,9 +67,10 @@
     assert!(beside > SEEDS / 2, "{beside} of {SEEDS} seeds have stops beside other faults");
 }
 
-/// The short run in CI must bring about what can break each promise: an answer that is lost, a connection
-/// to an endpoint that is reset, an entry instance and a control instance that go. A run of endpoints
-/// that are merely slow passed although the program repeated what must not run twice.
+/// The short run in CI must inject faults that can break each guarantee: a lost answer, a reset
+/// connection to an endpoint, the loss of an entry instance and of a control instance. With
+/// endpoints that are only slow, the run passes even if the program repeats non-idempotent
+/// requests.
 #[test]
 fn the_short_run_has_a_fault_for_each_promise() {
     let faults = plan(
@@ -77,7 +79,7 @@
         SIZES,
     );
     let has =
-        |is_meant: fn(&Fault) -> bool| faults.iter().any(|scheduled| is_meant(&scheduled.fault));
+        |is_kind: fn(&Fault) -> bool| faults.iter().any(|scheduled| is_kind(&scheduled.fault));
     assert!(has(|f| matches!(f, Fault::Endpoint(_, Misbehavior::LoseAnswer, _))));
     assert!(has(|f| matches!(f, Fault::EndpointLink(_, LinkFault::Reset | LinkFault::Silent, _))));
     assert!(has(|f| matches!(f, Fault::Endpoint(_, Misbehavior::CutAnswer, _))));
--- a/bench/soak/tests/verdict.rs
+++ b/bench/soak/tests/verdict.rs
@@ -1,4 +1,4 @@
-//! What counts as a broken promise.
+//! Tests of the rules by which the verdict reports violated guarantees.
 
 use bytes::Bytes;
 use sill_base::Millis;
@@ -12,34 +12,34 @@
 const SENT: Millis = Millis(10_000);
 const ENDED: Millis = Millis(11_000);
 
-/// A request that was cut after a second.
+/// Test case: a request that was cut off after one second.
 struct Cut {
     name: &'static str,
     is_first: bool,
-    /// Whether the head of an answer came.
-    head: bool,
-    /// Where it ran.
+    /// Whether the caller received the head of an answer.
+    has_head: bool,
+    /// Endpoint incarnations that ran the request.
     runs: &'static [&'static str],
     is_withheld: bool,
-    /// What went on meanwhile.
+    /// Events during the request.
     events: &'static [Event],
-    /// The rule that it breaks.
+    /// The rule that the verdict must report, if any.
     rule: Option<&'static str>,
 }
 
 const CUT: Cut = Cut {
     name: "",
     is_first: false,
-    head: false,
+    has_head: false,
     runs: &[],
     is_withheld: false,
     events: &[],
     rule: None,
 };
 
-/// An entry instance that was asked to stop took a stream and cut it when its time was over: the caller
-/// had half of its answer and could not send it again. Only a fault that reached the instance, or the
-/// endpoint that ran the stream, is a reason; one elsewhere at the same time is none.
+/// A stopping entry instance accepts a stream and cuts it off at the end of its stop time: the
+/// caller has half an answer and may not send the request again. Only a fault of this instance, or
+/// of the endpoint that ran the stream, excuses that; a simultaneous fault elsewhere does not.
 #[test]
 fn a_request_that_was_read_is_not_cut_without_a_reason() {
     const RAN: &[&str] = &["e2.1"];
@@ -48,7 +48,7 @@
         Cut {
             name: "stop",
             runs: RAN,
-            head: true,
+            has_head: true,
             events: stopping,
             rule: Some("graceful_stop"),
             ..CUT
@@ -67,7 +67,7 @@
             rule: Some("graceful_stop"),
             ..CUT
         },
-        Cut { name: "no stop", runs: RAN, head: true, rule: Some("whole_answer"), ..CUT },
+        Cut { name: "no stop", runs: RAN, has_head: true, rule: Some("whole_answer"), ..CUT },
         Cut {
             name: "another stops",
             runs: RAN,
@@ -106,7 +106,7 @@
         }
         case.events.iter().for_each(|event| journal.note(*event, SENT, ENDED));
         let answer =
-            case.head.then_some(CallerAnswer { status: 200, is_not_run: false, body: None });
+            case.has_head.then_some(CallerAnswer { status: 200, is_not_run: false, body: None });
         let (sent, ended, is_first) = (SENT, ENDED, case.is_first);
         let record = Record::new(ID.to_owned(), Kind::Stream);
         let record = Record { entry: 1, sent, ended, is_first, answer, ..record };
@@ -116,15 +116,15 @@
     }
 }
 
-/// An account that sends far more than it may is served as if it had no limit. Callers of other accounts find
-/// the endpoints full.
+/// If the rate limit of an account is not enforced, its callers fill the endpoints and crowd out
+/// the callers of other accounts.
 #[test]
 fn a_limit_that_is_not_held_is_a_finding() {
-    let limit = u64::from(GUESTS.limit.expect("it has one"));
-    // Over ten seconds, by parts of what the limit lets through in them.
-    for (parts, is_finding) in [(1, false), (2, true), (6, true)] {
+    let limit = u64::from(GUESTS.limit.expect("GUESTS has a rate limit"));
+    // Multiples of the number of requests that the limit allows in ten seconds.
+    for (factor, is_finding) in [(1, false), (2, true), (6, true)] {
         let ledger = Ledger::default();
-        let count = parts * limit * 10;
+        let count = factor * limit * 10;
         let records = (0..count).map(|i| {
             let id = format!("r0-{i}");
             ledger.note_run(&id, "e0.1");
@@ -137,12 +137,12 @@
         let records: Vec<Record> = records.collect();
         let findings = check(&records, &ledger, &Journal::default());
         let is_found = findings.iter().any(|finding| finding.starts_with("account_limit"));
-        assert_eq!(is_found, is_finding, "{parts} times the limit: {findings:?}");
+        assert_eq!(is_found, is_finding, "{factor} times the limit: {findings:?}");
     }
 }
 
-/// A stream that goes on at another endpoint may repeat an event, leave one out, or end early. Its caller
-/// reads a text that nobody wrote.
+/// A stream that is resumed at another endpoint may repeat an event, skip one, or end early. Its
+/// caller then reads a text that no endpoint produced.
 #[test]
 fn a_stream_has_each_event_once_and_in_order() {
     let events = |from: usize, to: usize, endpoint: &str| -> Vec<Bytes> {
