--- a/bench/load/src/exchange.rs
+++ b/bench/load/src/exchange.rs
@@ -196,7 +196,7 @@
     since: Instant,
     exchange: &mut Exchange,
 ) -> Ending {
-    let answer = Answer::to(summary);
+    let answer = Answer::compute(summary);
     let mut reader = SseReader::default();
     let mut last = None;
     while let Some(piece) = res.next().await {
@@ -250,7 +250,7 @@
     let Ok(body) = res.body().await else {
         return Ending::Cut;
     };
-    let answer = Answer::to(summary);
+    let answer = Answer::compute(summary);
     let body: Value = serde_json::from_slice(&body).unwrap_or_default();
     let text = body.pointer("/choices/0/message/content").and_then(Value::as_str);
     if text.is_some_and(|text| text == answer.text()) {
--- a/bench/standin/src/answer.rs
+++ b/bench/standin/src/answer.rs
@@ -13,7 +13,7 @@
 
 impl Answer {
     /// Works out the answer to a request.
-    pub fn to(summary: &ChatSummary) -> Self {
+    pub fn compute(summary: &ChatSummary) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(summary.model.as_bytes());
         hasher.update(&[0]);
--- a/bench/standin/src/cache.rs
+++ b/bench/standin/src/cache.rs
@@ -10,9 +10,9 @@
 #[derive(Debug, Default)]
 pub struct PrefixCache {
     capacity_blocks: usize,
-    used_at: Map<u64, u64>,
-    by_use: BTreeMap<u64, u64>,
-    uses: u64,
+    last_uses: Map<u64, u64>,
+    blocks_by_use: BTreeMap<u64, u64>,
+    use_count: u64,
 }
 
 impl PrefixCache {
@@ -24,7 +24,7 @@
 
     /// Returns how many leading blocks are held.
     pub fn longest_prefix(&self, blocks: &[u64]) -> usize {
-        blocks.iter().take_while(|b| self.used_at.contains_key(b)).count()
+        blocks.iter().take_while(|b| self.last_uses.contains_key(b)).count()
     }
 
     /// Holds all blocks of a prompt, and returns what changed.
@@ -32,20 +32,20 @@
         let mut events = Vec::new();
         // Later blocks are useless without earlier ones, so the earliest count as used last.
         for &block in blocks.iter().rev() {
-            self.uses += 1;
-            match self.used_at.insert(block, self.uses) {
-                Some(before) => {
-                    self.by_use.remove(&before);
+            self.use_count += 1;
+            match self.last_uses.insert(block, self.use_count) {
+                Some(previous_use) => {
+                    self.blocks_by_use.remove(&previous_use);
                 }
                 None => events.push(CacheEvent::Stored { block }),
             }
-            self.by_use.insert(self.uses, block);
+            self.blocks_by_use.insert(self.use_count, block);
         }
-        while self.used_at.len() > self.capacity_blocks {
-            let Some((_, block)) = self.by_use.pop_first() else {
+        while self.last_uses.len() > self.capacity_blocks {
+            let Some((_, block)) = self.blocks_by_use.pop_first() else {
                 break;
             };
-            self.used_at.remove(&block);
+            self.last_uses.remove(&block);
             events.push(CacheEvent::Dropped { block });
         }
         events
@@ -53,6 +53,6 @@
 
     /// Returns the tokens held.
     pub fn tokens(&self) -> u64 {
-        (self.used_at.len() * BLOCK_TOKENS) as u64
+        (self.last_uses.len() * BLOCK_TOKENS) as u64
     }
 }
--- a/bench/standin/src/cli.rs
+++ b/bench/standin/src/cli.rs
@@ -13,7 +13,7 @@
 use crate::weights::{self, Store, StoreCfg};
 
 /// How many times as dear an instance is that the platform never takes back.
-const ON_DEMAND: u64 = 4;
+const ON_DEMAND_PRICE_FACTOR: u64 = 4;
 
 /// `sill-standin endpoint`.
 pub const ENDPOINT: Program = Program {
@@ -148,15 +148,15 @@
 /// # Errors
 ///
 /// Fails when a flag is wrong or the address can't be bound.
-pub fn run(mut words: Vec<String>) -> Result<()> {
-    let kind = if words.is_empty() { String::new() } else { words.remove(0) };
+pub fn run(mut args: Vec<String>) -> Result<()> {
+    let kind = if args.is_empty() { String::new() } else { args.remove(0) };
     let program = match kind.as_str() {
         "endpoint" => &ENDPOINT,
         "cloud" => &CLOUD,
         "weights" => &WEIGHTS,
         _ => bail!("expected `endpoint`, `cloud` or `weights` and its flags; each has `--help`"),
     };
-    let Some(mut values) = program.values_or_help(words)? else {
+    let Some(mut values) = program.values_or_help(args)? else {
         return Ok(());
     };
     let address = match kind.as_str() {
@@ -185,7 +185,7 @@
     let class = Name::from(class.unwrap_or_default());
     let price = price.unwrap_or_default();
     let offers = domains.iter().flat_map(|domain| {
-        [(true, price), (false, price * ON_DEMAND)].map(|(reclaimable, price)| Offer {
+        [(true, price), (false, price * ON_DEMAND_PRICE_FACTOR)].map(|(reclaimable, price)| Offer {
             domain: domain.as_str().into(),
             class: class.clone(),
             reclaimable,
--- a/bench/standin/src/cloud.rs
+++ b/bench/standin/src/cloud.rs
@@ -97,20 +97,20 @@
 
     /// Starts an instance, or none where the platform has none left. The same start again returns
     /// the same instance.
-    pub fn start(&self, wanted: StartInstance) -> Option<Instance> {
+    pub fn start(&self, request: StartInstance) -> Option<Instance> {
         let mut state = self.0.lock();
-        if let Some(there) = state.instances.values().find(|i| i.wanted.start == wanted.start) {
-            return Some(there.clone());
+        if let Some(existing) = state.instances.values().find(|i| i.wanted.start == request.start) {
+            return Some(existing.clone());
         }
         let offer = state.offers.iter_mut().find(|offer| {
-            offer.domain == wanted.domain
-                && offer.class == wanted.class
-                && offer.reclaimable == wanted.reclaimable
+            offer.domain == request.domain
+                && offer.class == request.class
+                && offer.reclaimable == request.reclaimable
         })?;
         offer.left = offer.left.checked_sub(1)?;
         state.started += 1;
         let name: Name = format!("i-{}", state.started).into();
-        let instance = Instance { name: name.clone(), wanted };
+        let instance = Instance { name: name.clone(), wanted: request };
         state.instances.insert(name, instance.clone());
         Some(instance)
     }
@@ -118,14 +118,14 @@
     /// Stops an instance; its place is free again.
     pub fn stop(&self, name: &str) -> bool {
         let mut state = self.0.lock();
-        let Some(stopped) = state.instances.remove(name) else {
+        let Some(instance) = state.instances.remove(name) else {
             return false;
         };
-        let wanted = stopped.wanted;
+        let request = instance.wanted;
         for offer in &mut state.offers {
-            if offer.domain == wanted.domain
-                && offer.class == wanted.class
-                && offer.reclaimable == wanted.reclaimable
+            if offer.domain == request.domain
+                && offer.class == request.class
+                && offer.reclaimable == request.reclaimable
             {
                 offer.left += 1;
             }
@@ -139,18 +139,19 @@
     }
 
     /// Gives notice to all reclaimable instances of a domain, and starts no more of them there.
-    pub fn reclaim(&self, wave: &ReclaimDomain) -> usize {
+    pub fn reclaim(&self, request: &ReclaimDomain) -> usize {
         let mut state = self.0.lock();
-        let hit = |domain: &Name, reclaimable: bool| reclaimable && *domain == wave.domain;
+        let is_affected =
+            |domain: &Name, reclaimable: bool| reclaimable && *domain == request.domain;
         for offer in &mut state.offers {
-            if hit(&offer.domain, offer.reclaimable) {
+            if is_affected(&offer.domain, offer.reclaimable) {
                 offer.left = 0;
             }
         }
-        let taken = state.instances.values();
-        let taken = taken.filter(|i| hit(&i.wanted.domain, i.wanted.reclaimable));
+        let affected = state.instances.values();
+        let affected = affected.filter(|i| is_affected(&i.wanted.domain, i.wanted.reclaimable));
         let notices: Vec<Notice> =
-            taken.map(|i| Notice { instance: i.name.clone(), in_ms: wave.in_ms }).collect();
+            affected.map(|i| Notice { instance: i.name.clone(), in_ms: request.in_ms }).collect();
         let count = notices.len();
         state.notices.extend(notices);
         count
@@ -216,8 +217,8 @@
     Failure::new(ErrorCode::NotFound, "no such instance").response(&Name::default())
 }
 
-async fn reclaim(cloud: AppState, wave: web::types::Json<ReclaimDomain>) -> HttpResponse {
-    let count = cloud.reclaim(&wave);
+async fn reclaim(cloud: AppState, request: web::types::Json<ReclaimDomain>) -> HttpResponse {
+    let count = cloud.reclaim(&request);
     http::json(200, &serde_json::json!({ "notices": count }))
 }
 
--- a/bench/standin/src/endpoint.rs
+++ b/bench/standin/src/endpoint.rs
@@ -28,13 +28,13 @@
 use crate::run;
 
 /// Time between two announcements.
-const ANNOUNCE_EVERY: Millis = Millis(1000);
+const ANNOUNCE_INTERVAL: Millis = Millis(1000);
 
 /// KV imports under way at once.
-const IMPORTS: usize = 64;
+const MAX_IMPORTS: usize = 64;
 
 /// The largest body taken, in bytes.
-const MAX_BODY: usize = 32 << 20;
+const MAX_BODY_BYTES: usize = 32 << 20;
 
 /// Settings of a stand-in endpoint.
 #[derive(Debug, Clone)]
@@ -98,14 +98,14 @@
     queued: AtomicU32,
     queued_tokens: AtomicU64,
     cache: Mutex<PrefixCache>,
-    reported: Mutex<LoadReport>,
+    load_report: Mutex<LoadReport>,
     pub(crate) ledger: Ledger,
     pub(crate) exports: Mutex<Exports>,
     pub(crate) outbox: Outbox,
     pub(crate) orders: Orders,
-    cancelled: Mutex<Set<Name>>,
-    dies_at: Mutex<Option<Millis>>,
-    dead: AtomicBool,
+    cancelled_requests: Mutex<Set<Name>>,
+    terminates_at: Mutex<Option<Millis>>,
+    is_dead: AtomicBool,
 }
 
 impl Default for EndpointCfg {
@@ -152,14 +152,14 @@
             queued: AtomicU32::new(0),
             queued_tokens: AtomicU64::new(0),
             cache: Mutex::new(PrefixCache::new(cfg.cache_tokens)),
-            reported: Mutex::new(LoadReport::new(cfg.lag)),
+            load_report: Mutex::new(LoadReport::new(cfg.lag)),
             ledger: Ledger::default(),
             exports: Mutex::new(Exports::default()),
             outbox: Outbox::default(),
             orders: Orders::new(cfg.serves.clone()),
-            cancelled: Mutex::default(),
-            dies_at: Mutex::new(None),
-            dead: AtomicBool::new(false),
+            cancelled_requests: Mutex::default(),
+            terminates_at: Mutex::new(None),
+            is_dead: AtomicBool::new(false),
             cfg,
         });
         let name = format!("endpoint-{}", shared.cfg.name);
@@ -174,27 +174,27 @@
     }
 
     /// Gives it notice; it dies hard after that time.
-    pub fn reclaim(&self, in_ms: Millis) {
-        self.shared.reclaim(in_ms);
+    pub fn reclaim(&self, time_left: Millis) {
+        self.shared.reclaim(time_left);
     }
 
     /// Returns whether it is dead.
     pub fn is_dead(&self) -> bool {
-        self.shared.dead.load(Ordering::Relaxed)
+        self.shared.is_dead.load(Ordering::Relaxed)
     }
 }
 
 impl Shared {
-    fn reclaim(&self, in_ms: Millis) {
-        let at = self.clock.now() + in_ms;
-        let mut dies_at = self.dies_at.lock();
-        *dies_at = Some(dies_at.map_or(at, |before| before.min(at)));
-        event!(Info, "reclaim_notice", name = self.cfg.name, in_ms = in_ms);
+    fn reclaim(&self, time_left: Millis) {
+        let at = self.clock.now() + time_left;
+        let mut terminates_at = self.terminates_at.lock();
+        *terminates_at = Some(terminates_at.map_or(at, |current| current.min(at)));
+        event!(Info, "reclaim_notice", name = self.cfg.name, in_ms = time_left);
     }
 
     fn announcement(&self) -> Announcement {
         let cfg = &self.cfg;
-        let dies_at = *self.dies_at.lock();
+        let terminates_at = *self.terminates_at.lock();
         Announcement {
             name: cfg.name.clone(),
             incarnation: self.incarnation,
@@ -210,8 +210,8 @@
             prefill_tokens_per_s: (1_000_000 / cfg.prefill_us_per_token.max(1)) as u32,
             decode_ms: cfg.decode.0 as u32,
             cache_tokens: cfg.cache_tokens,
-            load: self.reported.lock().at(self.clock.now()),
-            leaving: dies_at.map(|at| at - self.clock.now()),
+            load: self.load_report.lock().report_at(self.clock.now()),
+            leaving: terminates_at.map(|at| at - self.clock.now()),
             checks_fencing: cfg.checks_fencing,
         }
     }
@@ -224,7 +224,7 @@
             cached_tokens: self.cache.lock().tokens(),
             age: Millis::ZERO,
         };
-        self.reported.lock().sample(self.clock.now(), load);
+        self.load_report.lock().sample(self.clock.now(), load);
     }
 
     /// Waits for a slot and for the prompt to be computed.
@@ -235,8 +235,8 @@
         self.queued.fetch_sub(1, Ordering::Relaxed);
         self.queued_tokens.fetch_sub(prompt_tokens, Ordering::Relaxed);
         let permit = permit?;
-        let held = self.cache.lock().longest_prefix(blocks);
-        let cached_tokens = ((held * prefix::BLOCK_TOKENS) as u64).min(prompt_tokens);
+        let cached_blocks = self.cache.lock().longest_prefix(blocks);
+        let cached_tokens = ((cached_blocks * prefix::BLOCK_TOKENS) as u64).min(prompt_tokens);
         Some(Admission { permit, cached_tokens })
     }
 
@@ -245,18 +245,18 @@
     }
 
     pub(crate) fn is_dead(&self) -> bool {
-        self.dead.load(Ordering::Relaxed)
+        self.is_dead.load(Ordering::Relaxed)
     }
 
     /// Holds the blocks of a prompt in the prefix cache.
-    pub(crate) fn store(&self, blocks: &[u64]) {
+    pub(crate) fn cache_prompt(&self, blocks: &[u64]) {
         let events = self.cache.lock().insert(blocks);
         self.outbox.add(self.clock.now() + self.cfg.lag, events);
     }
 
     /// Returns whether a request was cancelled.
     pub(crate) fn is_cancelled(&self, request: &Name) -> bool {
-        self.cancelled.lock().contains(request)
+        self.cancelled_requests.lock().contains(request)
     }
 }
 
@@ -276,11 +276,11 @@
 async fn serve(shared: Arc<Shared>, listener: std::net::TcpListener) -> io::Result<()> {
     let app = shared.clone();
     let server = HttpServer::new(async move || {
-        let http = client::streaming(IMPORTS).await.expect("a client without TLS can be made");
+        let http = client::streaming(MAX_IMPORTS).await.expect("a client without TLS can be made");
         App::new()
             .state(app.clone())
             .state(http)
-            .state(web::types::PayloadConfig::new(MAX_BODY))
+            .state(web::types::PayloadConfig::new(MAX_BODY_BYTES))
             .service((
                 web::resource("/v1/chat/completions").route(web::post().to(run::chat)),
                 web::resource("/v1/completions").route(web::post().to(run::chat)),
@@ -292,7 +292,7 @@
                 web::resource("/ledger").route(web::get().to(ledger)),
                 web::resource("/reclaim").route(web::post().to(reclaim)),
             ))
-            .default_service(web::route().to(plain))
+            .default_service(web::route().to(serve_plain))
     })
     .workers(1)
     .disable_signals()
@@ -300,26 +300,26 @@
     .run();
     let announcer = ntex::rt::spawn(announce(shared.clone()));
     let publisher = ntex::rt::spawn(events::publish(shared.clone()));
-    let dying = server.clone();
+    let stopping_server = server.clone();
     ntex::rt::spawn(async move {
-        die_on_time(&shared).await;
-        dying.stop(false).await;
+        wait_for_termination(&shared).await;
+        stopping_server.stop(false).await;
         if shared.cfg.exit_on_death {
             std::process::exit(137);
         }
     });
-    let ended = server.await;
+    let result = server.await;
     announcer.cancel();
     publisher.cancel();
-    ended
+    result
 }
 
-async fn die_on_time(shared: &Shared) {
+async fn wait_for_termination(shared: &Shared) {
     const POLL: ntex::time::Millis = ntex::time::Millis(5);
     loop {
-        let due = shared.dies_at.lock().is_some_and(|at| at <= shared.clock.now());
+        let due = shared.terminates_at.lock().is_some_and(|at| at <= shared.clock.now());
         if due {
-            shared.dead.store(true, Ordering::Relaxed);
+            shared.is_dead.store(true, Ordering::Relaxed);
             event!(Info, "died", name = shared.cfg.name);
             return;
         }
@@ -332,31 +332,31 @@
     let Ok(http) = client::streaming(4).await else {
         return;
     };
-    let mut turn = 0;
-    let mut told_leaving = false;
+    let mut entry_index = 0;
+    let mut has_announced_leaving = false;
     while !shared.is_dead() {
         let announcement = shared.announcement();
-        told_leaving = announcement.leaving.is_some();
+        has_announced_leaving = announcement.leaving.is_some();
         for _ in 0..shared.cfg.entries.len() {
-            let entry = shared.cfg.entries[turn % shared.cfg.entries.len()];
-            if tell(&http, &shared, entry, &announcement).await {
+            let entry = shared.cfg.entries[entry_index % shared.cfg.entries.len()];
+            if send_announcement(&http, &shared, entry, &announcement).await {
                 break;
             }
-            turn += 1;
+            entry_index += 1;
         }
-        // A notice must not wait for the next turn.
-        for _ in 0..ANNOUNCE_EVERY.0 / 20 {
+        // A notice must not wait for the next entry_index.
+        for _ in 0..ANNOUNCE_INTERVAL.0 / 20 {
             ntex::time::sleep(ntex::time::Millis(20)).await;
             shared.sample_load();
-            if !told_leaving && shared.dies_at.lock().is_some() {
+            if !has_announced_leaving && shared.terminates_at.lock().is_some() {
                 break;
             }
         }
     }
-    let _ = told_leaving;
+    let _ = has_announced_leaving;
 }
 
-async fn tell(
+async fn send_announcement(
     http: &ntex::client::Client,
     shared: &Shared,
     entry: SocketAddr,
@@ -390,17 +390,21 @@
     app: web::types::State<Arc<Shared>>,
     request: web::types::Path<Name>,
 ) -> HttpResponse {
-    app.cancelled.lock().insert(request.into_inner());
+    app.cancelled_requests.lock().insert(request.into_inner());
     HttpResponse::NoContent().finish()
 }
 
 /// Takes any call of a plain service, and answers with what was called.
-async fn plain(app: web::types::State<Arc<Shared>>, req: HttpRequest, body: Bytes) -> HttpResponse {
+async fn serve_plain(
+    app: web::types::State<Arc<Shared>>,
+    req: HttpRequest,
+    body: Bytes,
+) -> HttpResponse {
     let request = request_header(&req, header::REQUEST_ID);
     let run = app.ledger.open(LedgerEntry {
         request: request.clone(),
         attempt: attempt(&req),
-        idempotency_key: key(&req),
+        idempotency_key: idempotency_key(&req),
         path: format!("{} {}", req.method(), req.path()),
         ..LedgerEntry::default()
     });
@@ -412,10 +416,10 @@
     app.running.fetch_sub(1, Ordering::Relaxed);
     drop(admission);
     app.ledger.close(run, RunEnd::Finished);
-    let echo = blake3::hash(&body).to_hex();
+    let body_hash = blake3::hash(&body).to_hex();
     http::json(
         200,
-        &json!({ "method": req.method().as_str(), "path": req.path(), "body": echo.as_str() }),
+        &json!({ "method": req.method().as_str(), "path": req.path(), "body": body_hash.as_str() }),
     )
 }
 
@@ -427,6 +431,6 @@
     request_header(req, header::ATTEMPT).parse().unwrap_or_default()
 }
 
-pub(crate) fn key(req: &HttpRequest) -> Option<Name> {
+pub(crate) fn idempotency_key(req: &HttpRequest) -> Option<Name> {
     Some(request_header(req, header::IDEMPOTENCY_KEY)).filter(|k| !k.is_empty())
 }
--- a/bench/standin/src/events.rs
+++ b/bench/standin/src/events.rs
@@ -12,24 +12,24 @@
 use crate::endpoint::Shared;
 
 /// Time between two batches.
-const EVERY: u32 = 100;
+const PUBLISH_INTERVAL_MS: u32 = 100;
 
 /// Events that wait at most; when more happen, the oldest are lost.
-const MAX_WAITING: usize = 65_536;
+const MAX_PENDING_EVENTS: usize = 65_536;
 
 /// Events that wait to be published.
 #[derive(Debug, Default)]
-pub struct Outbox(Mutex<Waiting>);
+pub struct Outbox(Mutex<Queue>);
 
 #[derive(Debug, Default)]
-struct Waiting {
-    events: VecDeque<Due>,
-    next: u64,
+struct Queue {
+    events: VecDeque<PendingEvent>,
+    next_sequence: u64,
     batches: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Due {
+struct PendingEvent {
     at: Millis,
     event: CacheEvent,
 }
@@ -37,29 +37,29 @@
 impl Outbox {
     /// Adds events that are to be published at that time.
     pub fn add(&self, at: Millis, events: Vec<CacheEvent>) {
-        let mut waiting = self.0.lock();
-        waiting.events.extend(events.into_iter().map(|event| Due { at, event }));
-        while waiting.events.len() > MAX_WAITING {
-            waiting.events.pop_front();
-            waiting.next += 1;
+        let mut queue = self.0.lock();
+        queue.events.extend(events.into_iter().map(|event| PendingEvent { at, event }));
+        while queue.events.len() > MAX_PENDING_EVENTS {
+            queue.events.pop_front();
+            queue.next_sequence += 1;
         }
     }
 
     /// Takes out what is due, with the number of its first event; the number moves on also where
     /// the batch is lost then.
-    fn take(&self, now: Millis, lose_percent: u8) -> Option<Batch> {
-        let mut waiting = self.0.lock();
-        let due = waiting.events.iter().take_while(|due| due.at <= now).count();
+    fn take_due(&self, now: Millis, lose_percent: u8) -> Option<Batch> {
+        let mut queue = self.0.lock();
+        let due = queue.events.iter().take_while(|due| due.at <= now).count();
         if due == 0 {
             return None;
         }
-        let sequence = waiting.next;
-        waiting.next += due as u64;
-        waiting.batches += 1;
-        let events = waiting.events.drain(..due).map(|due| due.event).collect();
+        let sequence = queue.next_sequence;
+        queue.next_sequence += due as u64;
+        queue.batches += 1;
+        let events = queue.events.drain(..due).map(|due| due.event).collect();
         // Spreads the losses evenly, so that a run can be repeated.
-        let turn = (waiting.batches * 37) % 100;
-        (turn >= u64::from(lose_percent)).then_some(Batch { sequence, events })
+        let sample = (queue.batches * 37) % 100;
+        (sample >= u64::from(lose_percent)).then_some(Batch { sequence, events })
     }
 }
 
@@ -74,13 +74,14 @@
     let Ok(http) = client::streaming(2).await else {
         return;
     };
-    let mut turn = 0;
+    let mut entry_index = 0;
     while !shared.is_dead() {
-        ntex::time::sleep(ntex::time::Millis(EVERY)).await;
-        let Some(batch) = shared.outbox.take(shared.clock.now(), shared.cfg.lose_events) else {
+        ntex::time::sleep(ntex::time::Millis(PUBLISH_INTERVAL_MS)).await;
+        let Some(batch) = shared.outbox.take_due(shared.clock.now(), shared.cfg.lose_events) else {
             continue;
         };
-        let Some(entry) = shared.cfg.entries.get(turn % shared.cfg.entries.len().max(1)) else {
+        let Some(entry) = shared.cfg.entries.get(entry_index % shared.cfg.entries.len().max(1))
+        else {
             continue;
         };
         let url = format!("http://{entry}/events");
@@ -94,7 +95,7 @@
         let sent = client::send(&http, Method::POST, &url, token, &[], Some(&events), TIMEOUT);
         if !sent.await.is_ok_and(|reply| reply.is_ok()) {
             event!(Debug, "events_lost", name = shared.cfg.name, entry = entry);
-            turn += 1;
+            entry_index += 1;
         }
     }
 }
--- a/bench/standin/src/kv.rs
+++ b/bench/standin/src/kv.rs
@@ -16,14 +16,14 @@
 use crate::endpoint::{Shared, pause};
 
 /// Requests whose KV cache is held for export.
-const MAX_HELD: usize = 4096;
+const MAX_EXPORTS: usize = 4096;
 
 /// How long an import may take.
-const TIMEOUT: Millis = Millis(30_000);
+const IMPORT_TIMEOUT: Millis = Millis(30_000);
 
 /// What is held of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct KvPrefix {
     /// Computed tokens, of prompt and answer.
     pub tokens: u64,
     /// The next token of the answer.
@@ -33,27 +33,27 @@
 /// KV cache that can be exported; the oldest goes first.
 #[derive(Debug, Default)]
 pub struct Exports {
-    held: Map<Name, Held>,
-    by_age: VecDeque<Name>,
+    prefixes: Map<Name, KvPrefix>,
+    insertion_order: VecDeque<Name>,
 }
 
 impl Exports {
     /// Holds what was computed for a request so far.
-    pub fn hold(&mut self, request: &Name, held: Held) {
-        if self.held.insert(request.clone(), held).is_some() {
+    pub fn insert(&mut self, request: &Name, kv_prefix: KvPrefix) {
+        if self.prefixes.insert(request.clone(), kv_prefix).is_some() {
             return;
         }
-        self.by_age.push_back(request.clone());
-        if self.by_age.len() > MAX_HELD
-            && let Some(oldest) = self.by_age.pop_front()
+        self.insertion_order.push_back(request.clone());
+        if self.insertion_order.len() > MAX_EXPORTS
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
-            self.held.remove(&oldest);
+            self.prefixes.remove(&oldest);
         }
     }
 
     /// Returns what is held of a request.
-    pub fn get(&self, request: &str) -> Option<Held> {
-        self.held.get(request).copied()
+    pub fn get(&self, request: &str) -> Option<KvPrefix> {
+        self.prefixes.get(request).copied()
     }
 }
 
@@ -62,19 +62,19 @@
     app: web::types::State<Arc<Shared>>,
     prefix: web::types::Path<Name>,
 ) -> HttpResponse {
-    let Some(held) = app.exports.lock().get(&prefix) else {
+    let Some(kv_prefix) = app.exports.lock().get(&prefix) else {
         return Failure::new(ErrorCode::NotFound, "no such prefix").response(&Name::default());
     };
-    pause(Millis((held.tokens * app.cfg.kv_us_per_token).div_ceil(1000))).await;
-    http::json(200, &held)
+    pause(Millis((kv_prefix.tokens * app.cfg.kv_us_per_token).div_ceil(1000))).await;
+    http::json(200, &kv_prefix)
 }
 
 /// Imports from where the KV cache is held.
-pub(crate) async fn fetch(shared: &Shared, client: &Client, source: &KvSource) -> Option<Held> {
+pub(crate) async fn fetch(shared: &Shared, client: &Client, source: &KvSource) -> Option<KvPrefix> {
     if source.address == shared.address.to_string().into() {
         return shared.exports.lock().get(&source.prefix);
     }
     let url = format!("http://{}/kv/{}", source.address, source.prefix);
-    let sent = client::send::<()>(client, Method::GET, &url, None, &[], None, TIMEOUT).await;
+    let sent = client::send::<()>(client, Method::GET, &url, None, &[], None, IMPORT_TIMEOUT).await;
     sent.ok().filter(client::Reply::is_ok)?.json().ok()
 }
--- a/bench/standin/src/ledger.rs
+++ b/bench/standin/src/ledger.rs
@@ -21,19 +21,19 @@
     }
 
     /// Notes what the cache held and what had to be computed.
-    pub fn computed(&self, run: RunId, cached: u64, computed: u64) {
+    pub fn record_computed(&self, run: RunId, cached: u64, computed: u64) {
         let entry = &mut self.0.lock()[run.0];
         entry.cached_tokens = cached;
         entry.computed_tokens = computed;
     }
 
     /// Notes where a run's KV cache was imported from.
-    pub fn imported(&self, run: RunId, from: &Name) {
+    pub fn record_import(&self, run: RunId, from: &Name) {
         self.0.lock()[run.0].imported_from = Some(from.clone());
     }
 
     /// Notes the tokens sent so far.
-    pub fn sent(&self, run: RunId, tokens: u32) {
+    pub fn record_sent(&self, run: RunId, tokens: u32) {
         self.0.lock()[run.0].sent_tokens = tokens;
     }
 
--- a/bench/standin/src/load_report.rs
+++ b/bench/standin/src/load_report.rs
@@ -24,18 +24,18 @@
     /// Takes a sample.
     pub fn sample(&mut self, now: Millis, load: Load) {
         self.samples.push_back((now, load));
-        self.forget(now);
+        self.discard_outdated(now);
     }
 
     /// Returns the newest sample that is old enough, with its age; the oldest one if none is.
-    pub fn at(&mut self, now: Millis) -> Load {
-        self.forget(now);
+    pub fn report_at(&mut self, now: Millis) -> Load {
+        self.discard_outdated(now);
         let (at, load) = self.samples[0];
         Load { age: now - at, ..load }
     }
 
     /// Forgets samples that have a newer one behind them which is old enough. One is always left.
-    fn forget(&mut self, now: Millis) {
+    fn discard_outdated(&mut self, now: Millis) {
         while self.samples.get(1).is_some_and(|(at, _)| *at + self.lag <= now) {
             self.samples.pop_front();
         }
--- a/bench/standin/src/orders.rs
+++ b/bench/standin/src/orders.rs
@@ -21,12 +21,12 @@
     highest: Fence,
     serves: Vec<Servable>,
     role: Role,
-    taken: Vec<TakenOrder>,
+    records: Vec<OrderRecord>,
 }
 
 /// An order as it came, and whether it was carried out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TakenOrder {
+pub struct OrderRecord {
     /// The order.
     pub order: Order,
     /// Whether it was carried out.
@@ -42,8 +42,8 @@
 impl Orders {
     /// Starts with what the endpoint serves by itself.
     pub fn new(serves: Vec<Servable>) -> Self {
-        let (highest, role, taken) = (Fence::default(), Role::default(), Vec::new());
-        Self(Mutex::new(State { highest, serves, role, taken }))
+        let (highest, role, records) = (Fence::default(), Role::default(), Vec::new());
+        Self(Mutex::new(State { highest, serves, role, records }))
     }
 
     /// Returns what the endpoint serves.
@@ -57,27 +57,27 @@
     }
 
     /// Returns all orders that came.
-    pub fn taken(&self) -> Vec<TakenOrder> {
-        self.0.lock().taken.clone()
+    pub fn records(&self) -> Vec<OrderRecord> {
+        self.0.lock().records.clone()
     }
 
     /// Carries an order out, unless it is older than one that came before and that is checked. The
     /// same order again is carried out again, which changes nothing.
-    pub fn take(&self, order: Order, checks_fencing: bool) -> bool {
+    pub fn receive(&self, order: Order, checks_fencing: bool) -> bool {
         let mut state = self.0.lock();
         let fence = Fence { term: order.term, sequence: order.sequence };
         let done = !checks_fencing || fence >= state.highest;
         if done {
             state.highest = state.highest.max(fence);
-            state.carry_out(&order.action);
+            state.apply(&order.action);
         }
-        state.taken.push(TakenOrder { order, done });
+        state.records.push(OrderRecord { order, done });
         done
     }
 }
 
 impl State {
-    fn carry_out(&mut self, action: &OrderAction) {
+    fn apply(&mut self, action: &OrderAction) {
         match action {
             OrderAction::LoadModel { model, version } => {
                 self.unload(model);
@@ -88,10 +88,10 @@
                 });
             }
             OrderAction::UnloadModel { model } => self.unload(model),
-            OrderAction::LoadAdapter { model: below, adapter } => {
+            OrderAction::LoadAdapter { model: base_model, adapter } => {
                 for served in &mut self.serves {
                     if let Servable::Model { model, adapters, .. } = served
-                        && model == below
+                        && model == base_model
                         && !adapters.contains(adapter)
                     {
                         adapters.push(adapter.clone());
@@ -103,8 +103,8 @@
         }
     }
 
-    fn unload(&mut self, unwanted: &Name) {
-        self.serves.retain(|s| !matches!(s, Servable::Model { model, .. } if model == unwanted));
+    fn unload(&mut self, model_name: &Name) {
+        self.serves.retain(|s| !matches!(s, Servable::Model { model, .. } if model == model_name));
     }
 }
 
@@ -113,7 +113,7 @@
     app: web::types::State<Arc<Shared>>,
     order: web::types::Json<Order>,
 ) -> HttpResponse {
-    if app.orders.take(order.into_inner(), app.cfg.checks_fencing) {
+    if app.orders.receive(order.into_inner(), app.cfg.checks_fencing) {
         return HttpResponse::NoContent().finish();
     }
     Failure::new(ErrorCode::Forbidden, "a newer order came before").response(&Name::default())
@@ -121,5 +121,5 @@
 
 /// `GET /orders`.
 pub(crate) async fn list(app: web::types::State<Arc<Shared>>) -> HttpResponse {
-    http::json(200, &app.orders.taken())
+    http::json(200, &app.orders.records())
 }
--- a/bench/standin/src/run.rs
+++ b/bench/standin/src/run.rs
@@ -17,7 +17,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 
 use crate::answer::{Answer, chunk};
-use crate::endpoint::{Shared, attempt, key, pause, request_header};
+use crate::endpoint::{Shared, attempt, idempotency_key, pause, request_header};
 use crate::kv;
 use crate::ledger::RunId;
 
@@ -41,15 +41,15 @@
     let resume =
         body.get("sill_resume").cloned().and_then(|r| serde_json::from_value::<Resume>(r).ok());
     let app = app.get_ref().clone();
-    let mut run = Run::begin(app, &req, request.clone(), summary.clone(), resume.as_ref());
+    let mut run = Run::start(app, &req, request.clone(), summary.clone(), resume.as_ref());
     if let Some(resume) = &resume
-        && !run.import(&client, resume).await
+        && !run.import_kv(&client, resume).await
         && resume.same_run
     {
         return Failure::new(ErrorCode::OutcomeUnknown, "the run is not held here")
             .response(&request);
     }
-    if summary.stream { run.streamed() } else { run.whole().await }
+    if summary.stream { run.into_stream_response() } else { run.into_json_response().await }
 }
 
 /// One run of a model; leaving it early is noted as cancelled, or as killed when the endpoint died.
@@ -62,14 +62,14 @@
     prompt_tokens: u64,
     created: u64,
     next: u32,
-    started: bool,
-    closing: u8,
-    imported: bool,
+    has_prefilled: bool,
+    closing_events: u8,
+    has_imported_kv: bool,
     _slot: Option<OwnedSemaphorePermit>,
 }
 
 impl Run {
-    fn begin(
+    fn start(
         shared: Arc<Shared>,
         req: &HttpRequest,
         request: Name,
@@ -81,12 +81,12 @@
         let id = shared.ledger.open(LedgerEntry {
             request: request.clone(),
             attempt: attempt(req),
-            idempotency_key: key(req),
+            idempotency_key: idempotency_key(req),
             prompt_tokens,
             resumed_at: next,
             ..LedgerEntry::default()
         });
-        let answer = Answer::to(&summary);
+        let answer = Answer::compute(&summary);
         let created = Millis::wall().0 / 1000;
         shared.running.fetch_add(1, Ordering::Relaxed);
         Self {
@@ -98,58 +98,59 @@
             created,
             summary,
             next,
-            started: false,
-            closing: 0,
-            imported: false,
+            has_prefilled: false,
+            closing_events: 0,
+            has_imported_kv: false,
             _slot: None,
         }
     }
 
     /// Imports the KV cache of the same request, and returns whether that worked.
-    async fn import(&mut self, client: &Client, resume: &Resume) -> bool {
+    async fn import_kv(&mut self, client: &Client, resume: &Resume) -> bool {
         let Some(source) = &resume.kv else {
             return false;
         };
-        let held = kv::fetch(&self.shared, client, source).await;
-        self.imported = held.is_some_and(|held| held.next >= resume.at);
-        if self.imported {
-            self.shared.ledger.imported(self.id, &source.address);
+        let kv_prefix = kv::fetch(&self.shared, client, source).await;
+        self.has_imported_kv = kv_prefix.is_some_and(|kv_prefix| kv_prefix.next >= resume.at);
+        if self.has_imported_kv {
+            self.shared.ledger.record_import(self.id, &source.address);
         }
-        self.imported
+        self.has_imported_kv
     }
 
     /// Waits for a slot and computes what the cache does not hold.
     async fn prefill(&mut self) {
-        self.started = true;
+        self.has_prefilled = true;
         let blocks = prefix::block_hashes(&self.summary.model, &self.summary.prompt);
         let Some(admission) = self.shared.admit(&blocks, self.prompt_tokens).await else {
             return;
         };
-        let cached = if self.imported { self.prompt_tokens } else { admission.cached_tokens };
+        let cached =
+            if self.has_imported_kv { self.prompt_tokens } else { admission.cached_tokens };
         let computed = self.prompt_tokens - cached;
-        self.shared.ledger.computed(self.id, cached, computed);
+        self.shared.ledger.record_computed(self.id, cached, computed);
         self.shared.prefill(computed).await;
-        self.shared.store(&blocks);
-        self.hold();
+        self.shared.cache_prompt(&blocks);
+        self.export_kv();
         self._slot = Some(admission.permit);
     }
 
-    async fn decode(&mut self) -> Option<String> {
+    async fn decode_token(&mut self) -> Option<String> {
         if self.next >= self.answer.tokens {
             return None;
         }
         pause(self.shared.cfg.decode).await;
         let token = self.answer.token(self.next);
         self.next += 1;
-        self.shared.ledger.sent(self.id, self.next);
-        self.hold();
+        self.shared.ledger.record_sent(self.id, self.next);
+        self.export_kv();
         Some(token)
     }
 
     /// Lets others import what was computed so far.
-    fn hold(&self) {
+    fn export_kv(&self) {
         let tokens = prefix::token_count(&self.summary.prompt) + u64::from(self.next);
-        self.shared.exports.lock().hold(&self.request, kv::Held { tokens, next: self.next });
+        self.shared.exports.lock().insert(&self.request, kv::KvPrefix { tokens, next: self.next });
     }
 
     fn usage(&self) -> Usage {
@@ -165,7 +166,7 @@
         format!("chatcmpl-{}", self.request)
     }
 
-    fn streamed(self) -> HttpResponse {
+    fn into_stream_response(self) -> HttpResponse {
         let events = stream::unfold(self, |mut run| async move {
             let event = run.next_event().await?;
             Some((event, run))
@@ -174,22 +175,22 @@
     }
 
     async fn next_event(&mut self) -> Option<io::Result<Bytes>> {
-        if !self.started {
+        if !self.has_prefilled {
             self.prefill().await;
         }
         if self.shared.is_dead() || self.shared.is_cancelled(&self.request) {
             return Some(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         let index = self.next;
-        if let Some(token) = self.decode().await {
+        if let Some(token) = self.decode_token().await {
             if self.shared.is_dead() {
                 return Some(Err(io::ErrorKind::ConnectionAborted.into()));
             }
             let data = self.chunk(Some(&token), None);
             return Some(Ok(Bytes::from(format!("id: {index}\ndata: {data}\n\n"))));
         }
-        self.closing += 1;
-        match self.closing {
+        self.closing_events += 1;
+        match self.closing_events {
             1 => {
                 let data = self.chunk(None, Some("stop"));
                 Some(Ok(Bytes::from(format!("data: {data}\n\n"))))
@@ -200,7 +201,7 @@
                 data["usage"] = json!(self.usage());
                 Some(Ok(Bytes::from(format!("data: {data}\n\n"))))
             }
-            2 | 3 if self.closing == 2 || self.summary.include_usage => {
+            2 | 3 if self.closing_events == 2 || self.summary.include_usage => {
                 self.shared.ledger.close(self.id, RunEnd::Finished);
                 Some(Ok(Bytes::from_static(b"data: [DONE]\n\n")))
             }
@@ -212,10 +213,10 @@
         chunk(&self.completion_id(), self.created, &self.summary.model, content, finish)
     }
 
-    async fn whole(mut self) -> HttpResponse {
+    async fn into_json_response(mut self) -> HttpResponse {
         self.prefill().await;
         let mut text = String::new();
-        while let Some(token) = self.decode().await {
+        while let Some(token) = self.decode_token().await {
             text.push_str(&token);
         }
         self.shared.ledger.close(self.id, RunEnd::Finished);
--- a/bench/standin/src/weights.rs
+++ b/bench/standin/src/weights.rs
@@ -45,7 +45,7 @@
     }
 
     /// Takes a turn, and returns how long until its weights are read; none where too many wait.
-    pub fn turn(&self, now: Millis) -> Option<Millis> {
+    pub fn reserve(&self, now: Millis) -> Option<Millis> {
         let mut state = self.state.lock();
         if state.waiting >= self.cfg.waiting {
             return None;
@@ -57,7 +57,7 @@
     }
 
     /// Ends a turn.
-    pub fn done(&self) {
+    pub fn release(&self) {
         let mut state = self.state.lock();
         state.waiting = state.waiting.saturating_sub(1);
     }
@@ -87,11 +87,11 @@
 
 /// `GET /weights/MODEL`: answers once the weights would have been read, without the weights.
 async fn read(store: web::types::State<Arc<Store>>, model: web::types::Path<Name>) -> HttpResponse {
-    let Some(span) = store.turn(store.clock.now()) else {
+    let Some(span) = store.reserve(store.clock.now()) else {
         return Failure { retry_after: Some(1), ..Failure::new(ErrorCode::NoCapacity, "busy") }
             .response(&model);
     };
     pause(span).await;
-    store.done();
+    store.release();
     HttpResponse::Ok().body(Bytes::from(format!("weights of {}\n", *model)))
 }
--- a/bench/standin/tests/load_report.rs
+++ b/bench/standin/tests/load_report.rs
@@ -28,7 +28,7 @@
             let running = i as u32 + 1;
             report.sample(Millis(*at), Load { running, ..Load::default() });
         }
-        let load = report.at(Millis(now));
+        let load = report.report_at(Millis(now));
         assert_eq!((load.running, load.age), (running, Millis(age)), "{name}");
     }
 }
--- a/bench/standin/tests/loopback.rs
+++ b/bench/standin/tests/loopback.rs
@@ -20,13 +20,13 @@
 /// over. The program meant for it ends at once, and its test waits for it until it fails.
 #[test]
 fn an_address_is_free_while_other_threads_start_programs() {
-    let taken: usize = thread::scope(|scope| {
+    let occupied: usize = thread::scope(|scope| {
         for _ in 0..6 {
             scope.spawn(start_programs);
         }
-        (0..CALLS).map(|_| taken_of_one_call()).sum()
+        (0..CALLS).map(|_| count_occupied()).sum()
     });
-    assert_eq!(taken, 0, "of {} addresses", CALLS * PORTS);
+    assert_eq!(occupied, 0, "of {} addresses", CALLS * PORTS);
 }
 
 fn start_programs() {
@@ -35,7 +35,7 @@
     }
 }
 
-fn taken_of_one_call() -> usize {
+fn count_occupied() -> usize {
     let addresses = free_addresses(PORTS).expect("free ports");
     addresses.into_iter().filter(|address| TcpListener::bind(address).is_err()).count()
 }
--- a/bench/standin/tests/platform.rs
+++ b/bench/standin/tests/platform.rs
@@ -7,7 +7,7 @@
 use sill_wire::Role;
 use sill_wire::endpoint::{Order, OrderAction};
 
-fn wanted(start: &str) -> StartInstance {
+fn start_request(start: &str) -> StartInstance {
     let (domain, class) = ("a".into(), "standard".into());
     StartInstance { domain, class, reclaimable: true, start: start.into() }
 }
@@ -23,28 +23,32 @@
         left: 2,
     };
     let cloud = Cloud::new(vec![offer.clone()]);
-    let first = cloud.start(wanted("s1")).expect("one is left");
-    assert_eq!(cloud.start(wanted("s1")), Some(first.clone()), "a start that was sent again");
-    assert!(cloud.start(wanted("s2")).is_some());
-    assert_eq!(cloud.start(wanted("s3")), None);
+    let first = cloud.start(start_request("s1")).expect("one is left");
+    assert_eq!(
+        cloud.start(start_request("s1")),
+        Some(first.clone()),
+        "a start that was sent again"
+    );
+    assert!(cloud.start(start_request("s2")).is_some());
+    assert_eq!(cloud.start(start_request("s3")), None);
     assert_eq!(cloud.reclaim(&ReclaimDomain { domain: "b".into(), in_ms: Millis(1) }), 0);
     assert_eq!(cloud.reclaim(&ReclaimDomain { domain: "a".into(), in_ms: Millis(1) }), 2);
     assert_eq!(cloud.notices(1).len(), 1);
     assert!(cloud.stop(&first.name) && !cloud.stop(&first.name));
-    assert!(cloud.start(wanted("s4")).is_some(), "the place of the stopped one");
+    assert!(cloud.start(start_request("s4")).is_some(), "the place of the stopped one");
     cloud.set_offers(vec![offer]);
-    assert!(cloud.start(wanted("s5")).is_some());
+    assert!(cloud.start(start_request("s5")).is_some());
 }
 
 #[test]
 fn reads_of_weights_share_one_rate() {
     let store = Store::new(StoreCfg { size: 1000, rate: 500, waiting: 3 });
-    assert_eq!(store.turn(Millis(0)), Some(Millis(2000)));
-    assert_eq!(store.turn(Millis(1000)), Some(Millis(3000)));
-    assert_eq!(store.turn(Millis(1000)), Some(Millis(5000)));
-    assert_eq!(store.turn(Millis(1000)), None, "too many wait");
-    store.done();
-    assert_eq!(store.turn(Millis(9000)), Some(Millis(2000)));
+    assert_eq!(store.reserve(Millis(0)), Some(Millis(2000)));
+    assert_eq!(store.reserve(Millis(1000)), Some(Millis(3000)));
+    assert_eq!(store.reserve(Millis(1000)), Some(Millis(5000)));
+    assert_eq!(store.reserve(Millis(1000)), None, "too many wait");
+    store.release();
+    assert_eq!(store.reserve(Millis(9000)), Some(Millis(2000)));
 }
 
 struct OrderCase {
@@ -69,7 +73,7 @@
         for (term, sequence, role) in case.orders {
             let action = OrderAction::ChangeRole { role };
             let order = Order { term, sequence, not_after: Millis(1000), action };
-            orders.take(order, case.checks);
+            orders.receive(order, case.checks);
         }
         assert_eq!(orders.role(), case.role);
     }
--- a/daemons/entry/tests/serving.rs
+++ b/daemons/entry/tests/serving.rs
@@ -469,7 +469,7 @@
         assert_eq!(answer.status, 200, "{answer:?}");
         let request: Value = serde_json::from_str(prompt).expect("the prompt is JSON");
         let expected =
-            Expected::to(&ChatSummary::read(&request).expect("the prompt is a chat request"))
+            Expected::compute(&ChatSummary::read(&request).expect("the prompt is a chat request"))
                 .text();
         assert_eq!(text(&answer), expected, "{prompt}");
     }
--- a/daemons/sill/tests/system/flight.rs
+++ b/daemons/sill/tests/system/flight.rs
@@ -248,7 +248,7 @@
 fn assert_whole(body: &str, answer: &Answer) {
     assert_eq!(answer.status, 200, "{answer:?}");
     let request: Value = serde_json::from_str(body).expect("JSON");
-    let expected = Expected::to(&ChatSummary::read(&request).expect("a request"));
+    let expected = Expected::compute(&ChatSummary::read(&request).expect("a request"));
     let mut text = String::new();
     let mut ids = Vec::new();
     let mut heads = Vec::new();
