--- a/bench/soak/tests/plan.rs
+++ b/bench/soak/tests/plan.rs
@@ -25,7 +25,7 @@
 /// in quick succession acknowledged changes are lost, whatever the program does. A plan that causes
 /// this would report false findings.
 #[test]
-fn no_plan_takes_more_from_the_control_instances_than_they_promise_to_bear() {
+fn no_plan_exceeds_the_faults_that_control_instances_tolerate() {
     for seed in 0..500 {
         let faults = plan(seed, Millis(60_000), SIZES);
         let outages =
@@ -72,7 +72,7 @@
 /// endpoints that are only slow, the run passes even if the program repeats non-idempotent
 /// requests.
 #[test]
-fn the_short_run_has_a_fault_for_each_promise() {
+fn the_short_run_has_a_fault_for_each_guarantee() {
     let faults = plan(
         sill_soak::run::SHORT_RUN.seed,
         Millis::from_secs(sill_soak::run::SHORT_RUN.seconds),
--- a/bench/soak/tests/verdict.rs
+++ b/bench/soak/tests/verdict.rs
@@ -13,7 +13,7 @@
 const ENDED: Millis = Millis(11_000);
 
 /// Test case: a request that was cut off after one second.
-struct Cut {
+struct CutCase {
     name: &'static str,
     is_first: bool,
     /// Whether the caller received the head of an answer.
@@ -27,7 +27,7 @@
     rule: Option<&'static str>,
 }
 
-const CUT: Cut = Cut {
+const DEFAULT_CASE: CutCase = CutCase {
     name: "",
     is_first: false,
     has_head: false,
@@ -41,62 +41,74 @@
 /// caller has half an answer and may not send the request again. Only a fault of this instance, or
 /// of the endpoint that ran the stream, excuses that; a simultaneous fault elsewhere does not.
 #[test]
-fn a_request_that_was_read_is_not_cut_without_a_reason() {
+fn a_request_cut_off_without_a_fault_is_a_finding() {
     const RAN: &[&str] = &["e2.1"];
     let stopping = &[Event::GracefulStop(1)];
     let cases = [
-        Cut {
+        CutCase {
             name: "stop",
             runs: RAN,
             has_head: true,
             events: stopping,
             rule: Some("graceful_stop"),
-            ..CUT
+            ..DEFAULT_CASE
         },
-        Cut {
+        CutCase {
             name: "stop, no head",
             runs: RAN,
             events: stopping,
             rule: Some("graceful_stop"),
-            ..CUT
+            ..DEFAULT_CASE
         },
-        Cut {
+        CutCase {
             name: "new connection",
             is_first: true,
             events: stopping,
             rule: Some("graceful_stop"),
-            ..CUT
+            ..DEFAULT_CASE
         },
-        Cut { name: "no stop", runs: RAN, has_head: true, rule: Some("whole_answer"), ..CUT },
-        Cut {
+        CutCase {
+            name: "no stop",
+            runs: RAN,
+            has_head: true,
+            rule: Some("whole_answer"),
+            ..DEFAULT_CASE
+        },
+        CutCase {
             name: "another stops",
             runs: RAN,
             events: &[Event::GracefulStop(0)],
             rule: Some("whole_answer"),
-            ..CUT
+            ..DEFAULT_CASE
         },
-        Cut {
+        CutCase {
             name: "another endpoint is cut off",
             runs: RAN,
             events: &[Event::GracefulStop(1), Event::EndpointOutage(1), Event::Disruption(2)],
             rule: Some("graceful_stop"),
-            ..CUT
+            ..DEFAULT_CASE
         },
-        Cut { name: "used connection", events: stopping, ..CUT },
-        Cut { name: "gone", is_first: true, events: &[Event::Exit(1)], ..CUT },
-        Cut {
+        CutCase { name: "used connection", events: stopping, ..DEFAULT_CASE },
+        CutCase { name: "gone", is_first: true, events: &[Event::Exit(1)], ..DEFAULT_CASE },
+        CutCase {
             name: "killed",
             runs: RAN,
             events: &[Event::GracefulStop(1), Event::Disruption(1)],
-            ..CUT
+            ..DEFAULT_CASE
         },
-        Cut {
+        CutCase {
             name: "endpoint cut off",
             runs: RAN,
             events: &[Event::GracefulStop(1), Event::EndpointOutage(2)],
-            ..CUT
+            ..DEFAULT_CASE
+        },
+        CutCase {
+            name: "endpoint broke off",
+            runs: RAN,
+            is_withheld: true,
+            events: stopping,
+            ..DEFAULT_CASE
         },
-        Cut { name: "endpoint broke off", runs: RAN, is_withheld: true, events: stopping, ..CUT },
     ];
     for case in cases {
         let (ledger, journal) = (Ledger::default(), Journal::default());
@@ -119,7 +131,7 @@
 /// If the rate limit of an account is not enforced, its callers fill the endpoints and crowd out
 /// the callers of other accounts.
 #[test]
-fn a_limit_that_is_not_held_is_a_finding() {
+fn a_rate_limit_that_is_not_enforced_is_a_finding() {
     let limit = u64::from(GUESTS.limit.expect("GUESTS has a rate limit"));
     // Multiples of the number of requests that the limit allows in ten seconds.
     for (factor, is_finding) in [(1, false), (2, true), (6, true)] {
@@ -144,7 +156,7 @@
 /// A stream that is resumed at another endpoint may repeat an event, skip one, or end early. Its
 /// caller then reads a text that no endpoint produced.
 #[test]
-fn a_stream_has_each_event_once_and_in_order() {
+fn a_stream_with_missing_or_repeated_events_is_a_finding() {
     let events = |from: usize, to: usize, endpoint: &str| -> Vec<Bytes> {
         (from..=to).map(|number| event(number, ID, b"body", endpoint)).collect()
     };
--- a/bench/standin/src/answer.rs
+++ b/bench/standin/src/answer.rs
@@ -1,4 +1,5 @@
-//! Answers that anyone can recompute: token *i* is a pure function of model, prompt and *i*.
+//! Deterministic answers: token *i* is a pure function of model, prompt and *i*, so that a test can
+//! recompute the expected answer.
 
 use serde_json::{Value, json};
 use sill_wire::chat::ChatSummary;
@@ -7,12 +8,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
     seed: u64,
-    /// Its length in tokens.
+    /// Length of the answer in tokens.
     pub tokens: u32,
 }
 
 impl Answer {
-    /// Works out the answer to a request.
+    /// Computes the answer to a request.
     pub fn compute(summary: &ChatSummary) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(summary.model.as_bytes());
@@ -32,13 +33,13 @@
         format!("{:04x} ", x & 0xffff)
     }
 
-    /// Returns the whole text.
+    /// Returns the text of all tokens.
     pub fn text(&self) -> String {
         (0..self.tokens).map(|i| self.token(i)).collect()
     }
 }
 
-/// Makes the JSON of one streamed piece of a chat answer.
+/// Builds the JSON of one streamed chunk of a chat completion.
 pub fn chunk(
     id: &str,
     created: u64,
--- a/bench/standin/src/cache.rs
+++ b/bench/standin/src/cache.rs
@@ -1,4 +1,4 @@
-//! A prefix cache with limited memory, least recently used blocks dropped first.
+//! A prefix cache with limited capacity and least-recently-used eviction.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use sill_wire::endpoint::CacheEvent;
 use sill_wire::prefix::BLOCK_TOKENS;
 
-/// Blocks of prompts that need not be computed again.
+/// The set of prompt blocks whose KV cache is held.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
     capacity_blocks: usize,
@@ -16,21 +16,22 @@
 }
 
 impl PrefixCache {
-    /// Makes an empty cache for that many tokens.
+    /// Creates an empty cache with a capacity in tokens.
     pub fn new(capacity_tokens: u64) -> Self {
         let capacity_blocks = capacity_tokens as usize / BLOCK_TOKENS;
         Self { capacity_blocks, ..Self::default() }
     }
 
-    /// Returns how many leading blocks are held.
+    /// Returns the number of leading blocks that are cached.
     pub fn longest_prefix(&self, blocks: &[u64]) -> usize {
         blocks.iter().take_while(|b| self.last_uses.contains_key(b)).count()
     }
 
-    /// Holds all blocks of a prompt, and returns what changed.
+    /// Inserts all blocks of a prompt. Returns the blocks that were added and evicted.
     pub fn insert(&mut self, blocks: &[u64]) -> Vec<CacheEvent> {
         let mut events = Vec::new();
-        // Later blocks are useless without earlier ones, so the earliest count as used last.
+        // A block is useless without its predecessors, so earlier blocks count as more recently
+        // used.
         for &block in blocks.iter().rev() {
             self.use_count += 1;
             match self.last_uses.insert(block, self.use_count) {
@@ -51,7 +52,7 @@
         events
     }
 
-    /// Returns the tokens held.
+    /// Returns the number of cached tokens.
     pub fn tokens(&self) -> u64 {
         (self.last_uses.len() * BLOCK_TOKENS) as u64
     }
--- a/bench/standin/src/cli.rs
+++ b/bench/standin/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the stand-ins.
+//! Command line of the stand-ins.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,83 +12,103 @@
 use crate::endpoint::{Endpoint, EndpointCfg};
 use crate::weights::{self, Store, StoreCfg};
 
-/// How many times as dear an instance is that the platform never takes back.
+/// Price of an on-demand instance, which is never reclaimed, as a multiple of a reclaimable one.
 const ON_DEMAND_PRICE_FACTOR: u64 = 4;
 
-/// `sill-standin endpoint`.
+/// Flags and help text of `sill-standin endpoint`.
 pub const ENDPOINT: Program = Program {
     name: "sill-standin endpoint",
     about: "a stand-in for a model engine or a plain service",
     operands: "",
     flags: &[
         Flag::one("name", "NAME", "name of the endpoint"),
-        Flag::one("domain", "NAME", "its failure domain"),
-        Flag::with_default("listen", "IP:PORT", "127.0.0.1:0", "where it takes requests"),
+        Flag::one("domain", "NAME", "failure domain of the endpoint"),
+        Flag::with_default("listen", "IP:PORT", "127.0.0.1:0", "address to listen on"),
         Flag::many("entry", "IP:PORT", "entry instance to announce itself to"),
         Flag::one("join-token-file", "FILE", "file with the join token"),
-        Flag::with_default("model", "NAME", "desk-7b", "the model it serves"),
-        Flag::one("service", "NAME", "serve this plain service in place of a model"),
-        Flag::with_default("slots", "N", "8", "requests that run side by side"),
+        Flag::with_default("model", "NAME", "desk-7b", "model to serve"),
+        Flag::one("service", "NAME", "plain service to serve instead of a model"),
+        Flag::with_default("slots", "N", "8", "requests that run concurrently"),
         Flag::with_default(
             "prefill-us-per-token",
             "N",
             "50",
-            "microseconds to compute a prompt token",
+            "microseconds to compute one prompt token",
+        ),
+        Flag::with_default(
+            "kv-us-per-token",
+            "N",
+            "2",
+            "microseconds to transfer the KV cache of one token",
+        ),
+        Flag::with_default("decode-ms", "N", "10", "milliseconds between two tokens of an answer"),
+        Flag::with_default("cache-tokens", "N", "65536", "capacity of the prefix cache in tokens"),
+        Flag::with_default(
+            "lag-ms",
+            "N",
+            "200",
+            "age in milliseconds of load reports and cache events when sent",
         ),
-        Flag::with_default("kv-us-per-token", "N", "2", "microseconds to move a token's KV cache"),
-        Flag::with_default("decode-ms", "N", "10", "milliseconds between two tokens"),
-        Flag::with_default("cache-tokens", "N", "65536", "tokens that the prefix cache holds"),
-        Flag::with_default("lag-ms", "N", "200", "how old reports and events are when sent"),
         Flag::with_default(
             "lose-events",
             "PERCENT",
             "0",
-            "share of cache event batches that are lost",
+            "percentage of cache event batches to drop",
         ),
         Flag::with_default("class", "NAME", "standard", "machine class"),
-        Flag::with_default("price", "N", "1000", "price in thousandths of a currency unit an hour"),
-        Flag::switch("on-demand", "the platform never takes it back"),
-        Flag::switch("no-fencing", "carry out orders with an old fencing token"),
+        Flag::with_default(
+            "price",
+            "N",
+            "1000",
+            "price in thousandths of a currency unit per hour",
+        ),
+        Flag::switch("on-demand", "instance that the platform never reclaims"),
+        Flag::switch("no-fencing", "execute orders with an outdated fencing token"),
     ],
 };
 
-/// `sill-standin cloud`.
+/// Flags and help text of `sill-standin cloud`.
 pub const CLOUD: Program = Program {
     name: "sill-standin cloud",
-    about: "a stand-in for the platform's cloud API; PUT /offers sets what it offers",
+    about: "a stand-in for the platform's cloud API; PUT /offers replaces its offers",
     operands: "",
     flags: &[
-        Flag::with_default("listen", "IP:PORT", "127.0.0.1:0", "where it takes requests"),
+        Flag::with_default("listen", "IP:PORT", "127.0.0.1:0", "address to listen on"),
         Flag::many("domain", "NAME", "failure domain to offer instances in"),
         Flag::with_default("class", "NAME", "standard", "machine class"),
         Flag::with_default(
             "price",
             "N",
             "300",
-            "price of a reclaimable instance; four times on demand",
+            "price of a reclaimable instance; on-demand instances cost four times as much",
         ),
-        Flag::with_default("left", "N", "10", "instances of a kind that it starts in a domain"),
+        Flag::with_default("left", "N", "10", "instances available per failure domain and kind"),
     ],
 };
 
-/// `sill-standin weights`.
+/// Flags and help text of `sill-standin weights`.
 pub const WEIGHTS: Program = Program {
     name: "sill-standin weights",
-    about: "a stand-in for the weights store; all reads share one rate",
+    about: "a stand-in for the weights store; all reads share one bandwidth",
     operands: "",
     flags: &[
-        Flag::with_default("listen", "IP:PORT", "127.0.0.1:0", "where it takes requests"),
+        Flag::with_default("listen", "IP:PORT", "127.0.0.1:0", "address to listen on"),
         Flag::with_default("size", "BYTES", "16000000000", "size of a model's weights"),
-        Flag::with_default("rate", "BYTES", "2000000000", "bytes a second over all reads"),
-        Flag::with_default("waiting", "N", "16", "reads that may wait"),
+        Flag::with_default("rate", "BYTES", "2000000000", "bytes per second over all reads"),
+        Flag::with_default(
+            "waiting",
+            "N",
+            "16",
+            "reads in progress or queued before further ones are refused",
+        ),
     ],
 };
 
-/// Reads the settings of a stand-in endpoint.
+/// Parses the settings of a stand-in endpoint.
 ///
 /// # Errors
 ///
-/// Returns every finding with its flag and variable.
+/// Returns all findings, each with its flag and environment variable.
 pub fn endpoint_cfg(values: &mut Values) -> Result<EndpointCfg, Findings> {
     let name = values.name("name");
     let domain = values.name("domain");
@@ -143,11 +163,11 @@
     })
 }
 
-/// Runs the stand-in that the command line asks for, until it is ended.
+/// Starts the stand-in that the first argument names and runs it until the process is terminated.
 ///
 /// # Errors
 ///
-/// Fails when a flag is wrong or the address can't be bound.
+/// Fails when a flag is invalid or the address can't be bound.
 pub fn run(mut args: Vec<String>) -> Result<()> {
     let kind = if args.is_empty() { String::new() } else { args.remove(0) };
     let program = match kind.as_str() {
--- a/bench/standin/src/cloud.rs
+++ b/bench/standin/src/cloud.rs
@@ -1,4 +1,5 @@
-//! A stand-in for the platform's cloud API: prices, starts with refusals, reclaim notices.
+//! A stand-in for the platform's cloud API: prices, starts that may be refused, and reclaim
+//! notices.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,62 +13,62 @@
 use sill_net::http::{self, Failure};
 use sill_wire::ErrorCode;
 
-/// What the platform offers in one failure domain.
+/// One kind of instance that the platform offers in a failure domain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Offer {
-    /// The failure domain.
+    /// Failure domain of the instances.
     pub domain: Name,
-    /// The machine class.
+    /// Machine class of the instances.
     pub class: Name,
-    /// Whether the platform may take the instance back.
+    /// Whether the platform may reclaim the instances.
     pub reclaimable: bool,
-    /// Price in thousandths of a currency unit an hour.
+    /// Price in thousandths of a currency unit per hour.
     pub price: u64,
-    /// Instances that it still starts; beyond, starts are refused.
+    /// Number of instances still available; at 0, starts are refused.
     pub left: u32,
 }
 
-/// An instance that is wanted.
+/// A request to start an instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StartInstance {
-    /// The failure domain.
+    /// Failure domain in which to start the instance.
     pub domain: Name,
-    /// The machine class.
+    /// Machine class of the instance.
     pub class: Name,
-    /// Whether the platform may take it back.
+    /// Whether the platform may reclaim the instance.
     pub reclaimable: bool,
-    /// Names the start, so that it can be sent again.
+    /// Idempotency key: a retry with the same value returns the same instance.
     pub start: Name,
 }
 
-/// An instance that was started.
+/// A running instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its name.
+    /// Name assigned by the platform.
     pub name: Name,
-    /// What it was started as.
+    /// The request that started the instance.
     pub wanted: StartInstance,
 }
 
-/// A notice that an instance will be taken back.
+/// A reclaim notice for one instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Notice {
-    /// The instance.
+    /// Name of the instance.
     pub instance: Name,
-    /// Time left.
+    /// Time until the instance is reclaimed.
     pub in_ms: Millis,
 }
 
-/// Takes instances back: all reclaimable ones of a failure domain.
+/// A request to reclaim all reclaimable instances of a failure domain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReclaimDomain {
-    /// The failure domain.
+    /// Failure domain whose instances are reclaimed.
     pub domain: Name,
-    /// Time left.
+    /// Time until the instances are reclaimed.
     pub in_ms: Millis,
 }
 
-/// The state of the platform.
+/// The platform with its offers, running instances and reclaim notices.
 #[derive(Debug, Default)]
 pub struct Cloud(Mutex<State>);
 
@@ -80,23 +81,23 @@
 }
 
 impl Cloud {
-    /// Starts with these offers.
+    /// Creates a platform with these offers and no instances.
     pub fn new(offers: Vec<Offer>) -> Self {
         Self(Mutex::new(State { offers, ..State::default() }))
     }
 
-    /// Returns the offers.
+    /// Returns the current offers.
     pub fn offers(&self) -> Vec<Offer> {
         self.0.lock().offers.clone()
     }
 
-    /// Replaces the offers, as when prices change or capacity comes back.
+    /// Replaces the offers, for example after a change of prices or to restore capacity.
     pub fn set_offers(&self, offers: Vec<Offer>) {
         self.0.lock().offers = offers;
     }
 
-    /// Starts an instance, or none where the platform has none left. The same start again returns
-    /// the same instance.
+    /// Starts an instance, or returns `None` if no matching one is available. A retry with the same
+    /// `start` key returns the same instance.
     pub fn start(&self, request: StartInstance) -> Option<Instance> {
         let mut state = self.0.lock();
         if let Some(existing) = state.instances.values().find(|i| i.wanted.start == request.start) {
@@ -115,7 +116,7 @@
         Some(instance)
     }
 
-    /// Stops an instance; its place is free again.
+    /// Stops an instance and makes its capacity available again. Returns whether it existed.
     pub fn stop(&self, name: &str) -> bool {
         let mut state = self.0.lock();
         let Some(instance) = state.instances.remove(name) else {
@@ -133,12 +134,13 @@
         true
     }
 
-    /// Returns the instances.
+    /// Returns all running instances.
     pub fn instances(&self) -> Vec<Instance> {
         self.0.lock().instances.values().cloned().collect()
     }
 
-    /// Gives notice to all reclaimable instances of a domain, and starts no more of them there.
+    /// Adds a notice for each reclaimable instance of a failure domain, and sets the capacity for
+    /// more of them there to 0. Returns the number of notices.
     pub fn reclaim(&self, request: &ReclaimDomain) -> usize {
         let mut state = self.0.lock();
         let is_affected =
@@ -157,7 +159,7 @@
         count
     }
 
-    /// Returns the notices from a number on.
+    /// Returns all notices from index `from` on.
     pub fn notices(&self, from: usize) -> Vec<Notice> {
         self.0.lock().notices.iter().skip(from).cloned().collect()
     }
@@ -165,7 +167,7 @@
 
 type AppState = web::types::State<Arc<Cloud>>;
 
-/// Serves the platform on a thread of its own, and returns where.
+/// Serves the platform's API on a new thread and returns its address.
 ///
 /// # Errors
 ///
--- a/bench/standin/src/endpoint.rs
+++ b/bench/standin/src/endpoint.rs
@@ -1,4 +1,5 @@
-//! An endpoint: a model engine or a plain service, with the habits that the brief describes.
+//! A stand-in endpoint: a model engine or a plain service with a prefix cache, slots, delayed load
+//! reports and reclaim notices.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,53 +28,53 @@
 use crate::orders::{self, Orders};
 use crate::run;
 
-/// Time between two announcements.
+/// Interval between announcements.
 const ANNOUNCE_INTERVAL: Millis = Millis(1000);
 
-/// KV imports under way at once.
+/// Maximum number of concurrent KV cache imports.
 const MAX_IMPORTS: usize = 64;
 
-/// The largest body taken, in bytes.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 32 << 20;
 
 /// Settings of a stand-in endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointCfg {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: Name,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub domain: Name,
-    /// Where it listens; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Entry instances that it announces itself to.
+    /// Entry instances that receive its announcements and cache events.
     pub entries: Vec<SocketAddr>,
-    /// The join token.
+    /// Token that authorises announcements and cache events.
     pub join_token: Secret,
-    /// What it serves.
+    /// Models or services that it serves at the start.
     pub serves: Vec<Servable>,
-    /// Requests that it runs side by side.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Microseconds to compute a prompt token.
+    /// Microseconds to compute one prompt token.
     pub prefill_us_per_token: u64,
-    /// Microseconds to move the KV cache of one token to another endpoint.
+    /// Microseconds to transfer the KV cache of one token to another endpoint.
     pub kv_us_per_token: u64,
     /// Time between two tokens of an answer.
     pub decode: Millis,
-    /// Tokens that its prefix cache holds.
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: u64,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether it refuses orders with an outdated fencing token.
     pub checks_fencing: bool,
-    /// How old its load reports and cache events are when they are sent.
+    /// Age of load reports and cache events when they are sent.
     pub lag: Millis,
-    /// Out of a hundred cache event batches, how many are lost.
+    /// Percentage of cache event batches that are dropped.
     pub lose_events: u8,
-    /// Machine class.
+    /// Machine class of the instance.
     pub class: Name,
-    /// Whether the platform may take it back.
+    /// Whether the platform may reclaim the instance.
     pub reclaimable: bool,
-    /// Price in thousandths of a currency unit an hour.
+    /// Price in thousandths of a currency unit per hour.
     pub price: u64,
-    /// Whether the process ends when the endpoint dies.
+    /// Whether the process exits when the endpoint is reclaimed.
     pub exit_on_death: bool,
 }
 
@@ -81,11 +82,11 @@
 #[derive(Debug, Clone)]
 pub struct Endpoint {
     shared: Arc<Shared>,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub address: SocketAddr,
 }
 
-/// What the parts of an endpoint share.
+/// State shared by the request handlers and background tasks of an endpoint.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) cfg: EndpointCfg,
@@ -134,7 +135,7 @@
 }
 
 impl Endpoint {
-    /// Starts the endpoint on a thread of its own.
+    /// Starts the endpoint on a new thread.
     ///
     /// # Errors
     ///
@@ -168,17 +169,17 @@
         Ok(Self { shared, address })
     }
 
-    /// Returns its runs.
+    /// Returns all runs so far, in order of arrival.
     pub fn ledger(&self) -> Vec<LedgerEntry> {
         self.shared.ledger.runs()
     }
 
-    /// Gives it notice; it dies hard after that time.
+    /// Delivers a reclaim notice: the endpoint terminates abruptly once `time_left` has passed.
     pub fn reclaim(&self, time_left: Millis) {
         self.shared.reclaim(time_left);
     }
 
-    /// Returns whether it is dead.
+    /// Returns whether the endpoint was terminated by a reclaim notice.
     pub fn is_dead(&self) -> bool {
         self.shared.is_dead.load(Ordering::Relaxed)
     }
@@ -227,7 +228,8 @@
         self.load_report.lock().sample(self.clock.now(), load);
     }
 
-    /// Waits for a slot and for the prompt to be computed.
+    /// Waits for a slot and looks up the cached prefix of the prompt. Returns `None` once the
+    /// endpoint stops.
     pub(crate) async fn admit(&self, blocks: &[u64], prompt_tokens: u64) -> Option<Admission> {
         self.queued.fetch_add(1, Ordering::Relaxed);
         self.queued_tokens.fetch_add(prompt_tokens, Ordering::Relaxed);
@@ -248,20 +250,20 @@
         self.is_dead.load(Ordering::Relaxed)
     }
 
-    /// Holds the blocks of a prompt in the prefix cache.
+    /// Adds the blocks of a prompt to the prefix cache and queues the cache events.
     pub(crate) fn cache_prompt(&self, blocks: &[u64]) {
         let events = self.cache.lock().insert(blocks);
         self.outbox.add(self.clock.now() + self.cfg.lag, events);
     }
 
-    /// Returns whether a request was cancelled.
+    /// Returns whether `POST /cancel/REQUEST` was received for a request.
     pub(crate) fn is_cancelled(&self, request: &Name) -> bool {
         self.cancelled_requests.lock().contains(request)
     }
 }
 
-/// Waits to the millisecond; the HTTP library's own timer is coarse, and would hide what an entry
-/// instance adds.
+/// Sleeps with millisecond accuracy. The timer of the HTTP library is too coarse: it would hide the
+/// latency that an entry instance adds.
 pub(crate) async fn pause(span: Millis) {
     if span > Millis::ZERO {
         tokio::time::sleep(span.into()).await;
@@ -276,7 +278,8 @@
 async fn serve(shared: Arc<Shared>, listener: std::net::TcpListener) -> io::Result<()> {
     let app = shared.clone();
     let server = HttpServer::new(async move || {
-        let http = client::streaming(MAX_IMPORTS).await.expect("a client without TLS can be made");
+        let http =
+            client::streaming(MAX_IMPORTS).await.expect("an HTTP client without TLS can be built");
         App::new()
             .state(app.clone())
             .state(http)
@@ -314,6 +317,7 @@
     result
 }
 
+/// Returns once the time of a reclaim notice has passed, and marks the endpoint as dead.
 async fn wait_for_termination(shared: &Shared) {
     const POLL: ntex::time::Millis = ntex::time::Millis(5);
     loop {
@@ -327,7 +331,8 @@
     }
 }
 
-/// Announces itself to one entry instance after another until one takes it in.
+/// Announces the endpoint periodically. If an entry instance does not accept the announcement, the
+/// next one is tried.
 async fn announce(shared: Arc<Shared>) {
     let Ok(http) = client::streaming(4).await else {
         return;
@@ -344,7 +349,7 @@
             }
             entry_index += 1;
         }
-        // A notice must not wait for the next entry_index.
+        // A reclaim notice is announced at once, not only after the full interval.
         for _ in 0..ANNOUNCE_INTERVAL.0 / 20 {
             ntex::time::sleep(ntex::time::Millis(20)).await;
             shared.sample_load();
@@ -373,10 +378,12 @@
     }
 }
 
+/// `GET /ledger`.
 async fn ledger(app: web::types::State<Arc<Shared>>) -> HttpResponse {
     http::json(200, &app.ledger.runs())
 }
 
+/// `POST /reclaim`.
 async fn reclaim(
     app: web::types::State<Arc<Shared>>,
     notice: web::types::Json<ReclaimNotice>,
@@ -385,7 +392,7 @@
     http::json(200, &json!({ "accepted": true }))
 }
 
-/// `POST /cancel/REQUEST`.
+/// `POST /cancel/REQUEST`: makes the stream of a request break off.
 async fn cancel(
     app: web::types::State<Arc<Shared>>,
     request: web::types::Path<Name>,
@@ -394,7 +401,7 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Takes any call of a plain service, and answers with what was called.
+/// Serves any request to a plain service. Echoes method, path and hash of the body.
 async fn serve_plain(
     app: web::types::State<Arc<Shared>>,
     req: HttpRequest,
--- a/bench/standin/src/events.rs
+++ b/bench/standin/src/events.rs
@@ -1,4 +1,4 @@
-//! Publishes cache events late, and loses some.
+//! Publishes cache events with a delay, and drops some batches.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 
 use crate::endpoint::Shared;
 
-/// Time between two batches.
+/// Interval between batches in milliseconds.
 const PUBLISH_INTERVAL_MS: u32 = 100;
 
-/// Events that wait at most; when more happen, the oldest are lost.
+/// Maximum number of pending events. Beyond it the oldest are dropped.
 const MAX_PENDING_EVENTS: usize = 65_536;
 
-/// Events that wait to be published.
+/// Cache events that are to be published.
 #[derive(Debug, Default)]
 pub struct Outbox(Mutex<Queue>);
 
@@ -35,7 +35,7 @@
 }
 
 impl Outbox {
-    /// Adds events that are to be published at that time.
+    /// Adds events that are to be published from the time `at` on.
     pub fn add(&self, at: Millis, events: Vec<CacheEvent>) {
         let mut queue = self.0.lock();
         queue.events.extend(events.into_iter().map(|event| PendingEvent { at, event }));
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Takes out what is due, with the number of its first event; the number moves on also where
-    /// the batch is lost then.
+    /// Removes all due events. Returns them with the sequence number of the first, or `None` if the
+    /// batch is dropped; the sequence number advances in both cases.
     fn take_due(&self, now: Millis, lose_percent: u8) -> Option<Batch> {
         let mut queue = self.0.lock();
         let due = queue.events.iter().take_while(|due| due.at <= now).count();
@@ -57,7 +57,7 @@
         queue.next_sequence += due as u64;
         queue.batches += 1;
         let events = queue.events.drain(..due).map(|due| due.event).collect();
-        // Spreads the losses evenly, so that a run can be repeated.
+        // Dropped batches are spread evenly and deterministically, so that a run is reproducible.
         let sample = (queue.batches * 37) % 100;
         (sample >= u64::from(lose_percent)).then_some(Batch { sequence, events })
     }
@@ -68,7 +68,7 @@
     events: Vec<CacheEvent>,
 }
 
-/// Publishes to one entry instance after another until the endpoint is dead.
+/// Publishes batches until the endpoint is dead. After a failure it uses the next entry instance.
 pub(crate) async fn publish(shared: Arc<Shared>) {
     const TIMEOUT: Millis = Millis(500);
     let Ok(http) = client::streaming(2).await else {
--- a/bench/standin/src/kv.rs
+++ b/bench/standin/src/kv.rs
@@ -1,4 +1,4 @@
-//! Export and import of KV cache by prefix id, which is the name of the request that made it.
+//! Export and import of KV cache by prefix id, which is the id of the request that computed it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,22 +15,22 @@
 
 use crate::endpoint::{Shared, pause};
 
-/// Requests whose KV cache is held for export.
+/// Maximum number of requests whose KV cache is kept for export.
 const MAX_EXPORTS: usize = 4096;
 
-/// How long an import may take.
+/// Timeout of an import.
 const IMPORT_TIMEOUT: Millis = Millis(30_000);
 
-/// What is held of a request.
+/// The computed part of a request whose KV cache can be exported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvPrefix {
-    /// Computed tokens, of prompt and answer.
+    /// Number of computed tokens of prompt and answer.
     pub tokens: u64,
-    /// The next token of the answer.
+    /// Index of the next token of the answer.
     pub next: u32,
 }
 
-/// KV cache that can be exported; the oldest goes first.
+/// KV caches that can be exported. The oldest is evicted first.
 #[derive(Debug, Default)]
 pub struct Exports {
     prefixes: Map<Name, KvPrefix>,
@@ -38,7 +38,7 @@
 }
 
 impl Exports {
-    /// Holds what was computed for a request so far.
+    /// Stores what was computed for a request so far.
     pub fn insert(&mut self, request: &Name, kv_prefix: KvPrefix) {
         if self.prefixes.insert(request.clone(), kv_prefix).is_some() {
             return;
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Returns what is held of a request.
+    /// Returns what was computed for a request, unless it was evicted.
     pub fn get(&self, request: &str) -> Option<KvPrefix> {
         self.prefixes.get(request).copied()
     }
 }
 
-/// `GET /kv/PREFIX`: takes as long as the move of the tokens does.
+/// `GET /kv/PREFIX`: answers after the time that the transfer of the tokens takes.
 pub(crate) async fn export(
     app: web::types::State<Arc<Shared>>,
     prefix: web::types::Path<Name>,
@@ -69,7 +69,7 @@
     http::json(200, &kv_prefix)
 }
 
-/// Imports from where the KV cache is held.
+/// Imports the KV cache from the endpoint that the source names.
 pub(crate) async fn fetch(shared: &Shared, client: &Client, source: &KvSource) -> Option<KvPrefix> {
     if source.address == shared.address.to_string().into() {
         return shared.exports.lock().get(&source.prefix);
--- a/bench/standin/src/lib.rs
+++ b/bench/standin/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for the systems around ours: model endpoints and plain services.
+//! Stand-ins for external systems: model endpoints, plain services, the platform's cloud API and
+//! the weights store.
 
 pub mod answer;
 pub mod cache;
--- a/bench/standin/src/main.rs
+++ b/bench/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the systems around ours.
+//! The `sill-standin` binary.
 
 use std::process::ExitCode;
 
--- a/bench/standin/src/orders.rs
+++ b/bench/standin/src/orders.rs
@@ -1,4 +1,4 @@
-//! Carries out orders, with or without a check of fencing tokens.
+//! Executes orders of control instances, with or without a check of fencing tokens.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 
 use crate::endpoint::Shared;
 
-/// What orders made of the endpoint.
+/// Models and role of an endpoint as changed by orders, and all orders received.
 #[derive(Debug)]
 pub struct Orders(Mutex<State>);
 
@@ -24,12 +24,12 @@
     records: Vec<OrderRecord>,
 }
 
-/// An order as it came, and whether it was carried out.
+/// A received order and whether it was executed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OrderRecord {
-    /// The order.
+    /// The order as received.
     pub order: Order,
-    /// Whether it was carried out.
+    /// Whether the order was executed; `false` if its fencing token was outdated.
     pub done: bool,
 }
 
@@ -40,29 +40,30 @@
 }
 
 impl Orders {
-    /// Starts with what the endpoint serves by itself.
+    /// Creates the state of an endpoint that has received no orders.
     pub fn new(serves: Vec<Servable>) -> Self {
         let (highest, role, records) = (Fence::default(), Role::default(), Vec::new());
         Self(Mutex::new(State { highest, serves, role, records }))
     }
 
-    /// Returns what the endpoint serves.
+    /// Returns the models or services that the endpoint serves.
     pub fn serves(&self) -> Vec<Servable> {
         self.0.lock().serves.clone()
     }
 
-    /// Returns the role.
+    /// Returns the current role of the endpoint.
     pub fn role(&self) -> Role {
         self.0.lock().role
     }
 
-    /// Returns all orders that came.
+    /// Returns all received orders in order of arrival.
     pub fn records(&self) -> Vec<OrderRecord> {
         self.0.lock().records.clone()
     }
 
-    /// Carries an order out, unless it is older than one that came before and that is checked. The
-    /// same order again is carried out again, which changes nothing.
+    /// Executes an order and returns `true`, unless `checks_fencing` is set and an order with a
+    /// newer fencing token was executed before. A repeated order is executed again, which changes
+    /// nothing.
     pub fn receive(&self, order: Order, checks_fencing: bool) -> bool {
         let mut state = self.0.lock();
         let fence = Fence { term: order.term, sequence: order.sequence };
@@ -108,7 +109,7 @@
     }
 }
 
-/// `POST /orders`.
+/// `POST /orders`: executes an order.
 pub(crate) async fn order(
     app: web::types::State<Arc<Shared>>,
     order: web::types::Json<Order>,
@@ -119,7 +120,7 @@
     Failure::new(ErrorCode::Forbidden, "a newer order came before").response(&Name::default())
 }
 
-/// `GET /orders`.
+/// `GET /orders`: returns all received orders.
 pub(crate) async fn list(app: web::types::State<Arc<Shared>>) -> HttpResponse {
     http::json(200, &app.orders.records())
 }
--- a/bench/standin/src/run.rs
+++ b/bench/standin/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs of a model: computed, resumed at a token, moved with their KV cache.
+//! Runs of a model, which may be resumed at a token and migrated with their KV cache.
 
 use std::io;
 use std::sync::Arc;
@@ -52,7 +52,8 @@
     if summary.stream { run.into_stream_response() } else { run.into_json_response().await }
 }
 
-/// One run of a model; leaving it early is noted as cancelled, or as killed when the endpoint died.
+/// One run of a model. A run that is dropped early is recorded as killed if the endpoint is dead,
+/// and as cancelled otherwise.
 struct Run {
     shared: Arc<Shared>,
     id: RunId,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Imports the KV cache of the same request, and returns whether that worked.
+    /// Imports the KV cache of the same request. Returns whether it reaches the token to resume at.
     async fn import_kv(&mut self, client: &Client, resume: &Resume) -> bool {
         let Some(source) = &resume.kv else {
             return false;
@@ -118,7 +119,7 @@
         self.has_imported_kv
     }
 
-    /// Waits for a slot and computes what the cache does not hold.
+    /// Waits for a slot and computes the prompt tokens that are not cached.
     async fn prefill(&mut self) {
         self.has_prefilled = true;
         let blocks = prefix::block_hashes(&self.summary.model, &self.summary.prompt);
@@ -147,7 +148,7 @@
         Some(token)
     }
 
-    /// Lets others import what was computed so far.
+    /// Makes the KV cache computed so far available to other endpoints.
     fn export_kv(&self) {
         let tokens = prefix::token_count(&self.summary.prompt) + u64::from(self.next);
         self.shared.exports.lock().insert(&self.request, kv::KvPrefix { tokens, next: self.next });
--- a/bench/standin/src/weights.rs
+++ b/bench/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the weights store: reads share one rate.
+//! A stand-in for the weights store, whose reads share one bandwidth.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,15 +16,15 @@
 /// Settings of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoreCfg {
-    /// Bytes of each model's weights.
+    /// Size of each model's weights in bytes.
     pub size: u64,
-    /// Bytes a second over all reads.
+    /// Bandwidth in bytes per second over all reads.
     pub rate: u64,
-    /// Reads that may wait; further ones are refused.
+    /// Maximum number of reads in progress or queued; further ones are refused.
     pub waiting: u32,
 }
 
-/// The store; one read follows the other at its rate.
+/// The store, which serves reads one at a time at its full bandwidth.
 #[derive(Debug)]
 pub struct Store {
     cfg: StoreCfg,
@@ -39,12 +39,12 @@
 }
 
 impl Store {
-    /// Makes a store.
+    /// Creates a store without reads.
     pub fn new(cfg: StoreCfg) -> Self {
         Self { cfg, clock: Clock::start(), state: Mutex::default() }
     }
 
-    /// Takes a turn, and returns how long until its weights are read; none where too many wait.
+    /// Queues a read and returns the time until it is complete, or `None` if the queue is full.
     pub fn reserve(&self, now: Millis) -> Option<Millis> {
         let mut state = self.state.lock();
         if state.waiting >= self.cfg.waiting {
@@ -56,14 +56,14 @@
         Some(state.free_at - now)
     }
 
-    /// Ends a turn.
+    /// Removes a completed read from the queue.
     pub fn release(&self) {
         let mut state = self.state.lock();
         state.waiting = state.waiting.saturating_sub(1);
     }
 }
 
-/// Serves the store on a thread of its own, and returns where.
+/// Serves the store on a new thread and returns its address.
 ///
 /// # Errors
 ///
@@ -85,7 +85,8 @@
     Ok(address)
 }
 
-/// `GET /weights/MODEL`: answers once the weights would have been read, without the weights.
+/// `GET /weights/MODEL`: answers after the time that reading the weights takes, without sending
+/// them.
 async fn read(store: web::types::State<Arc<Store>>, model: web::types::Path<Name>) -> HttpResponse {
     let Some(span) = store.reserve(store.clock.now()) else {
         return Failure { retry_after: Some(1), ..Failure::new(ErrorCode::NoCapacity, "busy") }
--- a/bench/standin/tests/load_report.rs
+++ b/bench/standin/tests/load_report.rs
@@ -1,16 +1,17 @@
-//! Load reports that are as old as they say.
+//! Tests of the age of load reports.
 
 use sill_base::Millis;
 use sill_standin::load_report::LoadReport;
 use sill_wire::Load;
 
-/// A report tells the present load with the age of an older one. The entry instance takes what it sent meanwhile for
-/// the requests of others, counts them twice, and refuses callers for whom there is room.
+/// If a report states the current load with the age of an older sample, the entry instance
+/// attributes the requests that it sent in between to others, counts them twice, and refuses
+/// callers despite free slots.
 #[test]
 fn a_report_is_as_old_as_it_says() {
     struct Case {
         name: &'static str,
-        /// Times of the samples; each has as many running requests as it has a place in the list.
+        /// Times of the samples; the n-th sample has n running requests.
         samples: &'static [u64],
         now: u64,
         expected: (u32, u64),
--- a/bench/standin/tests/loopback.rs
+++ b/bench/standin/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Addresses for programs that are started later.
+//! Tests of the addresses for programs that are started later.
 
 use std::net::TcpListener;
 use std::process::Command;
@@ -6,18 +6,19 @@
 
 use sill_standin::loopback::free_addresses;
 
-/// Calls that each get an address of their own.
+/// Number of calls, each of which gets another loopback address.
 const CALLS: usize = 250;
 
-/// Ports asked for in a call.
+/// Number of ports requested per call.
 const PORTS: usize = 16;
 
-/// Programs that each of the other threads starts meanwhile.
+/// Number of programs that each of the other threads starts concurrently.
 const STARTS: usize = 300;
 
-/// Other tests start programs while one looks for free ports. Each new program holds copies of all
-/// open sockets for a moment, so a port that was looked at with a listener is taken once the look is
-/// over. The program meant for it ends at once, and its test waits for it until it fails.
+/// Other tests start programs while one checks for free ports. Each new program briefly inherits
+/// all open sockets, so a port that was checked by binding a listener is still occupied after the
+/// check. The program meant for the port exits at once, and its test waits for it until the
+/// timeout.
 #[test]
 fn an_address_is_free_while_other_threads_start_programs() {
     let occupied: usize = thread::scope(|scope| {
@@ -26,12 +27,12 @@
         }
         (0..CALLS).map(|_| count_occupied()).sum()
     });
-    assert_eq!(occupied, 0, "of {} addresses", CALLS * PORTS);
+    assert_eq!(occupied, 0, "occupied addresses of {}", CALLS * PORTS);
 }
 
 fn start_programs() {
     for _ in 0..STARTS {
-        Command::new("true").status().expect("it can be started");
+        Command::new("true").status().expect("`true` can be started");
     }
 }
 
--- a/bench/standin/tests/platform.rs
+++ b/bench/standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of the platform, and of orders to endpoints.
+//! Tests of the stand-ins for the cloud API, the weights store and orders to endpoints.
 
 use sill_base::Millis;
 use sill_standin::cloud::{Cloud, Offer, ReclaimDomain, StartInstance};
@@ -12,9 +12,10 @@
     StartInstance { domain, class, reclaimable: true, start: start.into() }
 }
 
-/// A wave takes a failure domain's instances, and replacements are refused until capacity is back.
+/// A reclaim of a failure domain must notify all its instances and refuse replacements until
+/// capacity returns.
 #[test]
-fn a_wave_gives_notice_and_refuses_replacements() {
+fn reclaimed_domain_gives_notices_and_refuses_replacements() {
     let offer = Offer {
         domain: "a".into(),
         class: "standard".into(),
@@ -23,11 +24,11 @@
         left: 2,
     };
     let cloud = Cloud::new(vec![offer.clone()]);
-    let first = cloud.start(start_request("s1")).expect("one is left");
+    let first = cloud.start(start_request("s1")).expect("the offer has two instances");
     assert_eq!(
         cloud.start(start_request("s1")),
         Some(first.clone()),
-        "a start that was sent again"
+        "a retried start returns the same instance"
     );
     assert!(cloud.start(start_request("s2")).is_some());
     assert_eq!(cloud.start(start_request("s3")), None);
@@ -35,18 +36,19 @@
     assert_eq!(cloud.reclaim(&ReclaimDomain { domain: "a".into(), in_ms: Millis(1) }), 2);
     assert_eq!(cloud.notices(1).len(), 1);
     assert!(cloud.stop(&first.name) && !cloud.stop(&first.name));
-    assert!(cloud.start(start_request("s4")).is_some(), "the place of the stopped one");
+    assert!(cloud.start(start_request("s4")).is_some(), "stopping an instance frees its capacity");
     cloud.set_offers(vec![offer]);
     assert!(cloud.start(start_request("s5")).is_some());
 }
 
+/// With a bandwidth per read instead of a shared one, concurrent reads would finish too early.
 #[test]
 fn reads_of_weights_share_one_rate() {
     let store = Store::new(StoreCfg { size: 1000, rate: 500, waiting: 3 });
     assert_eq!(store.reserve(Millis(0)), Some(Millis(2000)));
     assert_eq!(store.reserve(Millis(1000)), Some(Millis(3000)));
     assert_eq!(store.reserve(Millis(1000)), Some(Millis(5000)));
-    assert_eq!(store.reserve(Millis(1000)), None, "too many wait");
+    assert_eq!(store.reserve(Millis(1000)), None, "the queue is full");
     store.release();
     assert_eq!(store.reserve(Millis(9000)), Some(Millis(2000)));
 }
@@ -57,8 +59,8 @@
     role: Role,
 }
 
-/// A superseded control instance sends a late order. Endpoints that check fencing tokens refuse it,
-/// the others carry it out.
+/// A superseded control instance sends a late order. Endpoints that check fencing tokens must
+/// refuse it; the others execute it.
 #[test]
 fn a_late_order_is_refused_where_fencing_is_checked() {
     let (prefill, decode) = (Role::Prefill, Role::Decode);
