--- a/daemons/control/src/api/announce.rs
+++ b/daemons/control/src/api/announce.rs
@@ -10,20 +10,20 @@
 use sill_wire::{Announcement, Servable, announce::AnnounceReply};
 
 use crate::api::caller;
-use crate::api::reply::{App, refused};
+use crate::api::reply::{App, error_response};
 use crate::app::judge;
 
 pub async fn post(app: App, req: HttpRequest, body: Bytes) -> HttpResponse {
-    let authorization = caller::text(&req, "authorization").unwrap_or_default();
+    let authorization = caller::header_text(&req, "authorization").unwrap_or_default();
     let join_token = app.cfg.join_token.as_ref();
     if !join_token.is_some_and(|token| token.is_bearer(authorization)) {
-        return refused(401, "unauthorized", "wrong join token");
+        return error_response(401, "unauthorized", "wrong join token");
     }
     let fact = serde_json::from_slice::<Announcement>(&body)
         .map_err(|err| Findings::one("body", err.to_string()))
-        .and_then(fact);
-    let taken = fact.and_then(|fact| app.link.heartbeat(app.clock.now(), fact));
-    if let Err(findings) = taken {
+        .and_then(endpoint_fact);
+    let result = fact.and_then(|fact| app.link.record_heartbeat(app.clock.now(), fact));
+    if let Err(findings) = result {
         event!(Warn, "announcement_refused", reason = findings);
         return http::json(400, &judge::invalid(findings));
     }
@@ -33,7 +33,7 @@
 
 /// Makes what is known of the endpoint. A start of it is another endpoint, whose name callers' requests
 /// carry, so that none reaches a later one at the same address.
-fn fact(announcement: Announcement) -> Result<EndpointFact, Findings> {
+fn endpoint_fact(announcement: Announcement) -> Result<EndpointFact, Findings> {
     let address: Result<SocketAddr, _> = announcement.address.parse();
     let address = address.map_err(|_| Findings::one("address", "expected IP:PORT"))?;
     let service: Name = match &announcement.serves[..] {
--- a/daemons/control/src/api/audit.rs
+++ b/daemons/control/src/api/audit.rs
@@ -5,8 +5,8 @@
 use sill_net::http;
 
 use crate::api::caller;
-use crate::api::reply::{App, refused};
-use crate::api::tree::on_runtime;
+use crate::api::reply::{App, error_response};
+use crate::api::tree::run_on_runtime;
 use crate::app::audit::AuditFilter;
 use crate::submit;
 
@@ -17,19 +17,19 @@
 async fn answer(app: &App, req: &HttpRequest) -> Result<HttpResponse, HttpResponse> {
     let holder = caller::holder(app, req)?;
     let filter = AuditFilter {
-        path: caller::param(req, "path").map(|path| path.trim_matches('/').into()),
-        author: caller::param(req, "author").map(Into::into),
-        since: time(req, "since")?,
-        until: time(req, "until")?,
+        path: caller::query_param(req, "path").map(|path| path.trim_matches('/').into()),
+        author: caller::query_param(req, "author").map(Into::into),
+        since: time_param(req, "since")?,
+        until: time_param(req, "until")?,
     };
-    on_runtime(app, async |shared| submit::catch_up(&shared).await).await;
+    run_on_runtime(app, async |shared| submit::catch_up(&shared).await).await;
     let records = app.log.app().read().audit(&holder.operator(), &filter);
     Ok(http::json(200, &records))
 }
 
-fn time(req: &HttpRequest, name: &str) -> Result<Option<Millis>, HttpResponse> {
-    let Some(text) = caller::param(req, name) else { return Ok(None) };
+fn time_param(req: &HttpRequest, name: &str) -> Result<Option<Millis>, HttpResponse> {
+    let Some(text) = caller::query_param(req, name) else { return Ok(None) };
     let reason = format!("{name}: expected milliseconds since 1970");
-    let at = text.parse().map_err(|_| refused(400, "invalid", &reason))?;
+    let at = text.parse().map_err(|_| error_response(400, "invalid", &reason))?;
     Ok(Some(Millis(at)))
 }
--- a/daemons/control/src/api/caller.rs
+++ b/daemons/control/src/api/caller.rs
@@ -10,10 +10,10 @@
 use crate::shared::Shared;
 
 /// The longest `Change-Id` and the longest reason, in bytes.
-const MAX_TEXT: usize = 256;
+const MAX_HEADER_BYTES: usize = 256;
 
 /// Tells why a change is made; it goes into the audit trail.
-const REASON: &str = "sill-reason";
+const REASON_HEADER: &str = "sill-reason";
 
 /// Returns whose token came, if it is the root's or owns any subtree.
 ///
@@ -22,7 +22,7 @@
 /// Returns the answer to a token that is missing or owns nothing. These are counted and not
 /// written to the audit trail: anyone could fill the log with them.
 pub fn holder(shared: &Shared, req: &HttpRequest) -> Result<Holder, HttpResponse> {
-    let authorization = text(req, "authorization").unwrap_or_default();
+    let authorization = header_text(req, "authorization").unwrap_or_default();
     if shared.cfg.root_token.is_bearer(authorization) {
         return Ok(Holder::Root);
     }
@@ -41,32 +41,32 @@
 ///
 /// Returns the answer to a header that is too long.
 pub fn origin(holder: Holder, req: &HttpRequest) -> Result<Origin, HttpResponse> {
-    let change_id = match text(req, header::CHANGE_ID) {
-        Some(id) if id.is_empty() || id.len() > MAX_TEXT => {
-            return Err(bad_header(header::CHANGE_ID, "expected 1 to 256 bytes"));
+    let change_id = match header_text(req, header::CHANGE_ID) {
+        Some(id) if id.is_empty() || id.len() > MAX_HEADER_BYTES => {
+            return Err(invalid_header(header::CHANGE_ID, "expected 1 to 256 bytes"));
         }
         Some(id) => Name::from(id),
         None => format!("{:032x}", rand::random::<u128>()).into(),
     };
-    let reason = text(req, REASON).unwrap_or_default();
-    if reason.len() > MAX_TEXT {
-        return Err(bad_header(REASON, "expected at most 256 bytes"));
+    let reason = header_text(req, REASON_HEADER).unwrap_or_default();
+    if reason.len() > MAX_HEADER_BYTES {
+        return Err(invalid_header(REASON_HEADER, "expected at most 256 bytes"));
     }
     Ok(Origin { holder, change_id, reason: reason.to_owned() })
 }
 
 /// Returns the answer to a header of the wrong shape.
-pub fn bad_header(name: &str, reason: &str) -> HttpResponse {
+pub fn invalid_header(name: &str, reason: &str) -> HttpResponse {
     http::json(400, &refusal("invalid", &format!("{name}: {reason}")))
 }
 
 /// Returns a header.
-pub fn text<'a>(req: &'a HttpRequest, name: &str) -> Option<&'a str> {
+pub fn header_text<'a>(req: &'a HttpRequest, name: &str) -> Option<&'a str> {
     req.headers().get(name).and_then(|v| v.to_str().ok())
 }
 
 /// Returns a parameter of the query; one without a value is empty.
-pub fn param<'a>(req: &'a HttpRequest, name: &str) -> Option<&'a str> {
+pub fn query_param<'a>(req: &'a HttpRequest, name: &str) -> Option<&'a str> {
     let mut pairs =
         req.query_string().split('&').map(|pair| pair.split_once('=').unwrap_or((pair, "")));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
--- a/daemons/control/src/api/health.rs
+++ b/daemons/control/src/api/health.rs
@@ -5,7 +5,7 @@
 use sill_wire::control::FleetReply;
 
 use crate::api::caller;
-use crate::api::reply::{App, refused};
+use crate::api::reply::{App, error_response};
 
 pub async fn livez() -> HttpResponse {
     HttpResponse::Ok().body("ok\n")
@@ -15,18 +15,18 @@
 pub async fn readyz(app: App) -> HttpResponse {
     let status = app.log.status();
     if let Some(fault) = status.disk_fault {
-        return refused(503, "storage_full", &fault);
+        return error_response(503, "storage_full", &fault);
     }
     match status.leader {
         Some(_) => HttpResponse::Ok().body("ok\n"),
-        None => refused(503, "no_quorum", "no leader is known"),
+        None => error_response(503, "no_quorum", "no leader is known"),
     }
 }
 
 pub async fn metrics(app: App) -> HttpResponse {
     match app.metrics.text() {
         Ok(text) => HttpResponse::Ok().content_type("text/plain; version=0.0.4").body(text),
-        Err(err) => refused(500, "internal", &err.to_string()),
+        Err(err) => error_response(500, "internal", &err.to_string()),
     }
 }
 
--- a/daemons/control/src/api/reply.rs
+++ b/daemons/control/src/api/reply.rs
@@ -10,13 +10,13 @@
 use crate::shared::Shared;
 
 /// Tells that an answer comes from an instance that found no leader, and may be old.
-pub(super) const STALE: &str = "sill-stale";
+pub(super) const STALE_HEADER: &str = "sill-stale";
 
 /// What all calls work with.
 pub(super) type App = web::types::State<Arc<Shared>>;
 
 /// Refuses a call.
-pub(super) fn refused(status: u16, code: &str, message: &str) -> HttpResponse {
+pub(super) fn error_response(status: u16, code: &str, message: &str) -> HttpResponse {
     http::json(status, &refusal(code, message))
 }
 
--- a/daemons/control/src/api/tree.rs
+++ b/daemons/control/src/api/tree.rs
@@ -10,7 +10,7 @@
 use sill_wire::control::{ChangeReply, Revision, SubtreeReply};
 
 use crate::api::caller;
-use crate::api::reply::{App, STALE, refusal_status, refused};
+use crate::api::reply::{App, STALE_HEADER, error_response, refusal_status};
 use crate::app::command::{ChangeAsk, Holder};
 use crate::app::{Ask, Outcome, judge};
 use crate::running;
@@ -18,13 +18,13 @@
 use crate::submit::{self, NoOutcome};
 
 /// How long a watch waits for a newer revision.
-const WATCH: Millis = Millis(25_000);
+const WATCH_TIMEOUT: Millis = Millis(25_000);
 
 /// How long a change may wait until it is in force; more would be against the promise.
-const IN_FORCE: Millis = Millis(6000);
+const IN_FORCE_TIMEOUT: Millis = Millis(6000);
 
 /// Pause between two looks at what entry instances run.
-const LOOK: Millis = Millis(10);
+const IN_FORCE_CHECK_INTERVAL: Millis = Millis(10);
 
 pub async fn get_root(app: App, req: HttpRequest) -> HttpResponse {
     answer_get(&app, &req, "").await.unwrap_or_else(|refusal| refusal)
@@ -58,34 +58,35 @@
 
 async fn answer_get(app: &App, req: &HttpRequest, path: &str) -> Answer {
     let holder = caller::holder(app, req)?;
-    let is_fresh = on_runtime(app, async |shared| submit::catch_up(&shared).await).await;
-    if let Some(seen) = caller::param(req, "watch") {
+    let is_fresh = run_on_runtime(app, async |shared| submit::catch_up(&shared).await).await;
+    if let Some(seen) = caller::query_param(req, "watch") {
         let current = subtree_revision(app, path);
         let seen = match seen {
             "" => current,
             text => Revision(
-                text.parse().map_err(|_| refused(400, "invalid", "watch: expected a revision"))?,
+                text.parse()
+                    .map_err(|_| error_response(400, "invalid", "watch: expected a revision"))?,
             ),
         };
-        if !newer_than(app, path, seen).await {
+        if !wait_for_newer(app, path, seen).await {
             return Ok(HttpResponse::NoContent().finish());
         }
     }
-    let reply = read(app, &holder, path)?;
+    let reply = read_subtree(app, &holder, path)?;
     let mut res = http::json(200, &reply);
     if !is_fresh {
         res.headers_mut().insert(
-            ntex::http::header::HeaderName::from_static(STALE),
+            ntex::http::header::HeaderName::from_static(STALE_HEADER),
             ntex::http::header::HeaderValue::from_static("true"),
         );
     }
     Ok(res)
 }
 
-fn read(app: &App, holder: &Holder, path: &str) -> Result<SubtreeReply, HttpResponse> {
+fn read_subtree(app: &App, holder: &Holder, path: &str) -> Result<SubtreeReply, HttpResponse> {
     let state = app.log.app().read();
     let Some(subtree) = state.tree().subtrees.get(path) else {
-        return Err(refused(404, "not_found", "no such subtree"));
+        return Err(error_response(404, "not_found", "no such subtree"));
     };
     let is_owner = state.tree().is_owned_by(&holder.operator(), path);
     let document = match is_owner {
@@ -105,7 +106,7 @@
     Revision(state.tree().subtrees.get(path).map_or(0, |subtree| subtree.revision))
 }
 
-async fn newer_than(app: &App, path: &str, seen: Revision) -> bool {
+async fn wait_for_newer(app: &App, path: &str, seen: Revision) -> bool {
     let mut revision = app.log.revision();
     let newer = async {
         while subtree_revision(app, path) <= seen {
@@ -114,7 +115,7 @@
             }
         }
     };
-    tokio::time::timeout(WATCH.into(), newer).await.is_ok()
+    tokio::time::timeout(WATCH_TIMEOUT.into(), newer).await.is_ok()
 }
 
 async fn answer_put(app: &App, req: &HttpRequest, path: &str, body: &Bytes) -> Answer {
@@ -124,7 +125,7 @@
         let document = sill_tree::read_json(&name, &body)?;
         Ok(DocumentText::from(&document))
     };
-    let document = app.read_aside(read).await;
+    let document = app.run_document_read(read).await;
     let document =
         document.map_err(|findings: Findings| http::json(400, &judge::invalid(findings)))?;
     answer_change(app, req, path, Some(document)).await
@@ -137,60 +138,61 @@
     document: Option<DocumentText>,
 ) -> Answer {
     let holder = caller::holder(app, req)?;
-    let base = base(req)?;
+    let base = if_match(req)?;
     let origin = caller::origin(holder, req)?;
     let ask = Ask::Change(ChangeAsk { origin, path: path.into(), base, document, edition: None });
-    let outcome = on_runtime(app, async move |shared| submit::submit(&shared, &ask).await).await;
+    let outcome =
+        run_on_runtime(app, async move |shared| submit::submit(&shared, &ask).await).await;
     match outcome {
         Ok(Outcome::Changed(mut reply)) => {
-            app.metrics.accepted.inc();
+            app.metrics.changes_accepted.inc();
             event!(Info, "change_accepted", path = path, revision = reply.revision.0);
-            if caller::param(req, "wait") == Some("in_force") {
-                reply.in_force = in_force(app, &reply).await;
+            if caller::query_param(req, "wait") == Some("in_force") {
+                reply.in_force = wait_in_force(app, &reply).await;
             }
             Ok(http::json(200, &reply))
         }
         Ok(Outcome::Refused(refusal)) => {
-            app.metrics.refused.inc();
+            app.metrics.changes_refused.inc();
             event!(Info, "change_refused", path = path, code = refusal.code);
             Ok(http::json(refusal_status(&refusal), &refusal))
         }
-        Ok(_) => Err(refused(500, "internal", "an outcome of another kind")),
-        Err(failure) => Err(no_outcome(app, failure)),
+        Ok(_) => Err(error_response(500, "internal", "an outcome of another kind")),
+        Err(failure) => Err(no_outcome_response(app, failure)),
     }
 }
 
 /// Reads `If-Match`. What can't be read must not count as absent: the operator meant to change
 /// one certain revision, and would overwrite whatever came since.
-fn base(req: &HttpRequest) -> Result<Option<Revision>, HttpResponse> {
+fn if_match(req: &HttpRequest) -> Result<Option<Revision>, HttpResponse> {
     if !req.headers().contains_key("if-match") {
         return Ok(None);
     }
-    let text = caller::text(req, "if-match").unwrap_or_default().trim().trim_matches('"');
+    let text = caller::header_text(req, "if-match").unwrap_or_default().trim().trim_matches('"');
     let revision =
-        text.parse().map_err(|_| caller::bad_header("If-Match", "expected a revision"))?;
+        text.parse().map_err(|_| caller::invalid_header("If-Match", "expected a revision"))?;
     Ok(Some(Revision(revision)))
 }
 
-async fn in_force(app: &App, reply: &ChangeReply) -> bool {
-    let end = app.clock.now() + IN_FORCE;
-    on_runtime(app, async |shared| running::calls::ask_all(&shared).await).await;
+async fn wait_in_force(app: &App, reply: &ChangeReply) -> bool {
+    let end = app.clock.now() + IN_FORCE_TIMEOUT;
+    run_on_runtime(app, async |shared| running::calls::ask_all(&shared).await).await;
     while app.clock.now() < end {
         if app.running.all_run(app.clock.now(), reply.revision) {
             return true;
         }
-        tokio::time::sleep(LOOK.into()).await;
+        tokio::time::sleep(IN_FORCE_CHECK_INTERVAL.into()).await;
     }
     false
 }
 
 /// Answers an ask that has no outcome.
-pub(super) fn no_outcome(app: &App, failure: NoOutcome) -> HttpResponse {
+pub(super) fn no_outcome_response(app: &App, failure: NoOutcome) -> HttpResponse {
     let fault = app.log.status().disk_fault;
     let message = match failure {
         NoOutcome::NotWritten if fault.is_some() => {
             let fault = fault.unwrap_or_default();
-            return refused(507, "storage_full", &format!("nothing was changed: {fault}"));
+            return error_response(507, "storage_full", &format!("nothing was changed: {fault}"));
         }
         NoOutcome::NotWritten => "no quorum of control instances; nothing was changed",
         NoOutcome::Unknown => {
@@ -198,23 +200,23 @@
              with the same Change-Id"
         }
     };
-    refused(503, "no_quorum", message)
+    error_response(503, "no_quorum", message)
 }
 
 /// Runs something on the runtime of the peer calls.
-pub(super) async fn on_runtime<F, Fut, T>(app: &App, task: F) -> T
+pub(super) async fn run_on_runtime<F, Fut, T>(app: &App, task: F) -> T
 where
     F: FnOnce(Arc<Shared>) -> Fut,
     Fut: Future<Output = T> + Send + 'static,
     T: Send + 'static,
 {
-    app.on_runtime(task(Arc::clone(app))).await
+    app.run_on_runtime(task(Arc::clone(app))).await
 }
 
 /// Names a subject by a part of a path.
-pub(super) fn subject(text: &str) -> Result<Name, HttpResponse> {
+pub(super) fn parse_subject(text: &str) -> Result<Name, HttpResponse> {
     match Name::is_well_formed(text) {
         true => Ok(text.into()),
-        false => Err(refused(400, "invalid", "not a well-formed name")),
+        false => Err(error_response(400, "invalid", "not a well-formed name")),
     }
 }
--- a/daemons/control/src/cfg.rs
+++ b/daemons/control/src/cfg.rs
@@ -56,7 +56,7 @@
     /// How the others are found, where the voters are not named.
     pub seeds: Option<Seeds>,
     /// Time spans of the replicated log.
-    pub spans: sill_quorum::Cfg,
+    pub quorum: sill_quorum::Cfg,
     /// How often endpoints make themselves heard here.
     pub endpoint_heartbeat: Millis,
     /// The data folder.
@@ -95,24 +95,24 @@
 
 /// A voter flag of the wrong shape.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BadVoter;
+pub struct InvalidVoter;
 
-impl Display for BadVoter {
+impl Display for InvalidVoter {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str("expected NAME@DOMAIN@IP:PORT")
     }
 }
 
-impl Error for BadVoter {}
+impl Error for InvalidVoter {}
 
 impl FromStr for Voter {
-    type Err = BadVoter;
+    type Err = InvalidVoter;
 
-    fn from_str(text: &str) -> Result<Self, BadVoter> {
+    fn from_str(text: &str) -> Result<Self, InvalidVoter> {
         let mut parts = text.splitn(3, '@');
-        let name = parts.next().filter(|n| Name::is_well_formed(n)).ok_or(BadVoter)?;
-        let domain = parts.next().filter(|n| Name::is_well_formed(n)).ok_or(BadVoter)?;
-        let address = parts.next().and_then(|a| a.parse().ok()).ok_or(BadVoter)?;
+        let name = parts.next().filter(|n| Name::is_well_formed(n)).ok_or(InvalidVoter)?;
+        let domain = parts.next().filter(|n| Name::is_well_formed(n)).ok_or(InvalidVoter)?;
+        let address = parts.next().and_then(|a| a.parse().ok()).ok_or(InvalidVoter)?;
         Ok(Self { name: name.into(), domain: domain.into(), address })
     }
 }
@@ -131,7 +131,7 @@
         let voters: Vec<Voter> = values.many("voter");
         let peers: Vec<SocketAddr> = values.many("seed");
         let may_found = values.switch("found");
-        let wanted = values.required("voters");
+        let voter_count = values.required("voters");
         let data: Option<PathBuf> = values.required("data");
         let cluster_key = values.secret("cluster-key-file");
         let root_token = values.secret("root-token-file");
@@ -140,24 +140,24 @@
             values.finding("voter", "expected at least one voter, or else at least one seed");
         }
         values.finish()?;
-        let checked = "present once the check succeeded";
+        let reason = "present once the check succeeded";
         Ok(Self {
-            name: name.expect(checked),
-            domain: domain.expect(checked),
-            listen: listen.expect(checked),
+            name: name.expect(reason),
+            domain: domain.expect(reason),
+            listen: listen.expect(reason),
             listen_metrics: None,
-            listen_peer: listen_peer.expect(checked),
+            listen_peer: listen_peer.expect(reason),
             voters,
             seeds: (!peers.is_empty()).then(|| Seeds {
                 peers,
                 may_found,
-                voters: wanted.expect(checked),
+                voters: voter_count.expect(reason),
             }),
-            spans: sill_quorum::Cfg::default(),
+            quorum: sill_quorum::Cfg::default(),
             endpoint_heartbeat: ENDPOINT_HEARTBEAT,
-            data: data.expect(checked),
-            cluster_key: cluster_key.expect(checked),
-            root_token: root_token.expect(checked),
+            data: data.expect(reason),
+            cluster_key: cluster_key.expect(reason),
+            root_token: root_token.expect(reason),
             join_token,
         })
     }
--- a/daemons/control/src/cli.rs
+++ b/daemons/control/src/cli.rs
@@ -23,8 +23,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let control = Control::start(cfg)?;
     runtime.block_on(async {
-        let late = stops.next().await;
-        event!(Info, "control_stops", late_ms = late);
+        let delay = stops.next().await;
+        event!(Info, "control_stops", late_ms = delay);
         control.stop().await;
         Ok(())
     })
--- a/daemons/control/src/daemon.rs
+++ b/daemons/control/src/daemon.rs
@@ -25,26 +25,26 @@
 use crate::log::peers::Peers;
 use crate::metrics::Metrics;
 use crate::rpc::{
-    Ack, Hello, QuorumSend, ReadIndex, ReadIndexReply, RunningAsk, RunningSync, Submit,
+    Ack, EntryStatusRequest, EntryStatusSync, Hello, QuorumSend, ReadIndex, ReadIndexReply, Submit,
 };
 use crate::running::{self, Running};
-use crate::served::{self, Served};
+use crate::settings_pieces::{self, SettingsPieces};
 use crate::shared::Shared;
 use crate::{api, feed, submit};
 
 /// The largest settings document, in bytes; the library's own limit is 256 kB, which the accounts of
 /// a large team pass.
-const MAX_BODY: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 
 /// How long a stop waits for calls that need the log; a watch is not waited for, its caller goes on
 /// elsewhere.
-const STOP: Millis = Millis(5000);
+const STOP_TIMEOUT: Millis = Millis(5000);
 
 /// How long the library waits for what is left then.
-const FLUSH: ntex::time::Seconds = ntex::time::Seconds(1);
+const SHUTDOWN_TIMEOUT: ntex::time::Seconds = ntex::time::Seconds(1);
 
 /// How often a stop looks whether any is left.
-const LOOK: Millis = Millis(20);
+const STOP_CHECK_INTERVAL: Millis = Millis(20);
 
 /// What a program adds to a control instance.
 #[derive(Clone)]
@@ -106,15 +106,15 @@
         let address = listener.local_addr()?;
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build()?;
-        let shared = Arc::new(share(cfg, open_disk, runtime.handle().clone(), address)?);
+        let shared = Arc::new(build_shared(cfg, open_disk, runtime.handle().clone(), address)?);
         let peers = {
             let _guard = runtime.enter();
-            answers(&shared).start(peer_listener)?
+            peer_server(&shared).start(peer_listener)?
         };
         runtime.spawn(hello::run(shared.clone()));
         runtime.spawn(running::calls::pass_on(shared.clone()));
         runtime.spawn(link::calls::run(shared.clone()));
-        runtime.spawn(served::run(shared.clone()));
+        runtime.spawn(settings_pieces::run(shared.clone()));
         if let Some(platform) = extension.platform {
             runtime.spawn(duty::run(shared.clone(), platform, extension.duty));
         }
@@ -122,7 +122,7 @@
         if let Some(address) = shared.cfg.listen_metrics {
             runtime.spawn(serve_metrics(shared.metrics.clone(), http::bind(address)?));
         }
-        let server = serve(shared.clone(), listener, extension.routes)?;
+        let server = serve_api(shared.clone(), listener, extension.routes)?;
         let peer_address = peers.address();
         event!(
             Info,
@@ -147,9 +147,9 @@
         self.server.pause().await;
         // The library's own graceful stop waits for nobody on a server that was ever without connections.
         // A change in flight would be made, and its call break off before the operator is told.
-        let end = self.shared.clock.now() + STOP;
-        while self.shared.waiting.load(Ordering::Relaxed) > 0 && self.shared.clock.now() < end {
-            tokio::time::sleep(LOOK.into()).await;
+        let end = self.shared.clock.now() + STOP_TIMEOUT;
+        while self.shared.in_flight.load(Ordering::Relaxed) > 0 && self.shared.clock.now() < end {
+            tokio::time::sleep(STOP_CHECK_INTERVAL.into()).await;
         }
         // Not before: a leader hears through it that others have a change.
         self.peers.stop();
@@ -160,7 +160,7 @@
     }
 }
 
-fn share(
+fn build_shared(
     cfg: ControlCfg,
     open_disk: OpenDisk,
     runtime: Handle,
@@ -176,7 +176,7 @@
         address,
     };
     let directory = Directory::new(own, cfg.cluster_key.clone(), runtime.clone(), peers.clone());
-    let directory = if cfg.seeds.is_none() { directory.fixed() } else { directory };
+    let directory = if cfg.seeds.is_none() { directory.into_fixed() } else { directory };
     directory.set_seeds(cfg.seeds.iter().flat_map(|seeds| seeds.peers.clone()).collect());
     for Voter { name, domain, address } in cfg.voters.clone() {
         directory.add(ControlInfo { name, domain, peer: address, address });
@@ -185,11 +185,11 @@
     driver.open()?;
     let log = driver.start()?;
     let running = Running::default();
-    let change_turn = tokio::sync::Mutex::new(());
-    let reading = Arc::default();
+    let change_lock = tokio::sync::Mutex::new(());
+    let document_lock = Arc::default();
     let link = Link::new(&cfg);
-    let waiting = AtomicUsize::new(0);
-    let served = Served::new(log.clone(), metrics.clone());
+    let in_flight = AtomicUsize::new(0);
+    let settings_pieces = SettingsPieces::new(log.clone(), metrics.clone());
     Ok(Shared {
         cfg,
         clock,
@@ -197,16 +197,16 @@
         running,
         directory,
         link,
-        served,
+        settings_pieces,
         metrics,
-        change_turn,
-        reading,
+        change_lock,
+        document_lock,
         runtime,
-        waiting,
+        in_flight,
     })
 }
 
-fn answers(shared: &Arc<Shared>) -> PeerServerBuilder {
+fn peer_server(shared: &Arc<Shared>) -> PeerServerBuilder {
     let mut peers = PeerServerBuilder::new(shared.cfg.cluster_key.clone());
     let own = shared.clone();
     peers.answer(move |poll| feed::poll(own.clone(), poll));
@@ -237,23 +237,23 @@
     });
     let own = shared.clone();
     peers.answer(move |poll| link::calls::poll(own.clone(), poll));
-    let served = shared.served.clone();
+    let settings_pieces = shared.settings_pieces.clone();
     peers.answer(move |ask| {
-        let served = served.clone();
-        async move { Ok(served.answer(ask).await) }
+        let settings_pieces = settings_pieces.clone();
+        async move { Ok(settings_pieces.answer(ask).await) }
     });
     let own = shared.clone();
     peers.answer(move |sync| {
-        let reply = own.link.synced(own.clock.now(), sync);
+        let reply = own.link.merge_sync(own.clock.now(), sync);
         async move { Ok(reply) }
     });
     let own = shared.clone();
-    peers.answer(move |_: RunningAsk| {
-        let known = own.running.known(own.clock.now());
-        async move { Ok(known) }
+    peers.answer(move |_: EntryStatusRequest| {
+        let status = own.running.known(own.clock.now());
+        async move { Ok(status) }
     });
     let own = shared.clone();
-    peers.answer(move |sync: RunningSync| {
+    peers.answer(move |sync: EntryStatusSync| {
         own.running.told(own.clock.now(), &sync);
         async { Ok(Ack {}) }
     });
@@ -274,23 +274,23 @@
     serve_pages(listener, page).await;
 }
 
-fn serve(
+fn serve_api(
     shared: Arc<Shared>,
     listener: std::net::TcpListener,
-    further: fn(&mut ServiceConfig),
+    extra_routes: fn(&mut ServiceConfig),
 ) -> Result<ntex::server::Server> {
     let (tx, rx) = std::sync::mpsc::channel();
     http::spawn_system("control", move || async move {
         let server = HttpServer::new(async move || {
             App::new()
                 .state(shared.clone())
-                .state(PayloadConfig::new(MAX_BODY))
+                .state(PayloadConfig::new(MAX_BODY_BYTES))
                 .configure(api::routes)
-                .configure(further)
+                .configure(extra_routes)
         })
         .workers(1)
         .disable_signals()
-        .shutdown_timeout(FLUSH)
+        .shutdown_timeout(SHUTDOWN_TIMEOUT)
         .listen(listener)?
         .run();
         let _ = tx.send(server.clone());
--- a/daemons/control/src/directory.rs
+++ b/daemons/control/src/directory.rs
@@ -14,10 +14,10 @@
 use crate::log::peers::Peers;
 
 /// How long a call to another control instance may take.
-pub const QUICK: Millis = Millis(1000);
+pub const CALL_TIMEOUT: Millis = Millis(1000);
 
 /// How long a call may take that waits for a commit there.
-const PATIENT: Millis = Millis(3000);
+const COMMIT_CALL_TIMEOUT: Millis = Millis(3000);
 
 /// Another control instance.
 #[derive(Debug)]
@@ -25,10 +25,10 @@
     /// Where it is.
     pub place: ControlInfo,
     /// For calls that are answered at once.
-    pub quick: PeerClient,
+    pub client: PeerClient,
     /// For calls that wait for a commit.
-    pub patient: PeerClient,
-    heard: Mutex<Option<Presence>>,
+    pub commit_client: PeerClient,
+    presence: Mutex<Option<Presence>>,
 }
 
 /// All control instances but the own one.
@@ -53,7 +53,7 @@
     }
 
     /// Keeps those that are known, and takes in no others.
-    pub fn fixed(self) -> Self {
+    pub fn into_fixed(self) -> Self {
         Self { is_fixed: true, ..self }
     }
 
@@ -74,11 +74,11 @@
 
     /// Makes a client for an address whose instance is not known yet.
     pub fn client(&self, address: SocketAddr) -> PeerClient {
-        PeerClient::new(address, &self.key, QUICK)
+        PeerClient::new(address, &self.key, CALL_TIMEOUT)
     }
 
     /// Takes in where a control instance says it is, unless that is known for good.
-    pub fn learn(&self, place: ControlInfo) {
+    pub fn add_discovered(&self, place: ControlInfo) {
         if !self.is_fixed {
             self.add(place);
         }
@@ -89,31 +89,31 @@
         if place.name == self.own.name {
             return;
         }
-        let known = self.peers.read().get(&place.name).cloned();
-        if known.as_ref().is_some_and(|known| known.place == place) {
+        let existing = self.peers.read().get(&place.name).cloned();
+        if existing.as_ref().is_some_and(|peer| peer.place == place) {
             return;
         }
-        if known.as_ref().is_none_or(|known| known.place.peer != place.peer) {
+        if existing.as_ref().is_none_or(|peer| peer.place.peer != place.peer) {
             event!(Info, "control_found", name = place.name, peer = place.peer);
             let (name, address) = (place.name.clone(), place.peer);
             self.log_peers.add(&self.runtime, name, address, &self.key);
         }
-        let heard = known.and_then(|known| known.heard.lock().clone());
+        let presence = existing.and_then(|peer| peer.presence.lock().clone());
         let peer = ControlPeer {
-            quick: PeerClient::new(place.peer, &self.key, QUICK),
-            patient: PeerClient::new(place.peer, &self.key, PATIENT),
-            heard: Mutex::new(heard),
+            client: PeerClient::new(place.peer, &self.key, CALL_TIMEOUT),
+            commit_client: PeerClient::new(place.peer, &self.key, COMMIT_CALL_TIMEOUT),
+            presence: Mutex::new(presence),
             place,
         };
         self.peers.write().insert(peer.place.name.clone(), Arc::new(peer));
     }
 
     /// Takes in that a control instance made itself heard.
-    pub fn heard(&self, now: Millis, place: ControlInfo, id: ReplicaId) {
+    pub fn record_presence(&self, now: Millis, place: ControlInfo, id: ReplicaId) {
         let name = place.name.clone();
-        self.learn(place);
+        self.add_discovered(place);
         if let Some(peer) = self.get(&name) {
-            *peer.heard.lock() =
+            *peer.presence.lock() =
                 Some(Presence { id, domain: peer.place.domain.clone(), last_seen: now });
         }
     }
@@ -143,6 +143,6 @@
     /// Returns when each other made itself heard last.
     pub fn presences(&self) -> Vec<Presence> {
         let peers = self.peers.read();
-        peers.values().filter_map(|peer| peer.heard.lock().clone()).collect()
+        peers.values().filter_map(|peer| peer.presence.lock().clone()).collect()
     }
 }
--- a/daemons/control/src/duty.rs
+++ b/daemons/control/src/duty.rs
@@ -15,7 +15,7 @@
 
 use crate::app::command::UsageStatement;
 use crate::app::{Ask, Outcome};
-use crate::served::SERVED;
+use crate::settings_pieces::SERVING_SUBTREE;
 use crate::shared::Shared;
 use crate::submit;
 
@@ -270,7 +270,8 @@
 
     fn ranges(&self) -> Vec<(Name, u32, CapacityRange)> {
         let app = self.shared.log.app().read();
-        let document: Option<&Document> = app.tree().subtrees.get(SERVED).map(|s| &*s.document);
+        let document: Option<&Document> =
+            app.tree().subtrees.get(SERVING_SUBTREE).map(|s| &*s.document);
         let services = document.into_iter().flat_map(|document| &document.services);
         let pools = services.filter_map(|(name, service)| match service {
             Service::Pool(pool) => Some((name, pool)),
--- a/daemons/control/src/editions.rs
+++ b/daemons/control/src/editions.rs
@@ -12,7 +12,7 @@
 use crate::submit;
 
 /// How long a change looks for a leader. Outside systems give up after a second and ask another.
-const PATIENCE: Millis = Millis(900);
+const SUBMIT_TIMEOUT: Millis = Millis(900);
 
 /// Why an edition was not taken in, or may not have been.
 #[derive(Debug, Clone, PartialEq)]
@@ -45,18 +45,18 @@
         document: Some(document),
         edition: Some(edition),
     });
-    let began = shared.clock.now();
-    let result = submit::submit_within(shared, &ask, PATIENCE).await;
-    let took = shared.clock.now() - began;
+    let started = shared.clock.now();
+    let result = submit::submit_within(shared, &ask, SUBMIT_TIMEOUT).await;
+    let elapsed = shared.clock.now() - started;
     match result {
         Ok(Outcome::Changed(reply)) => {
-            shared.metrics.accepted.inc();
+            shared.metrics.changes_accepted.inc();
             let revision = reply.revision.0;
-            event!(Info, "edition_accepted", number = number, revision = revision, ms = took);
+            event!(Info, "edition_accepted", number = number, revision = revision, ms = elapsed);
             Ok(reply.revision)
         }
         Ok(Outcome::Refused(refusal)) => {
-            shared.metrics.refused.inc();
+            shared.metrics.changes_refused.inc();
             event!(Info, "edition_refused", number = number, code = refusal.code);
             Err(ReplaceFailure::Refused(refusal))
         }
@@ -66,7 +66,7 @@
                 "edition_undecided",
                 number = number,
                 why = format!("{other:?}"),
-                ms = took
+                ms = elapsed
             );
             Err(ReplaceFailure::Unknown)
         }
@@ -75,6 +75,6 @@
 
 /// Reads the edition in force; none where it can't be sure that there is no newer one.
 pub async fn read(shared: &Arc<Shared>, path: &str) -> Option<Option<Edition>> {
-    let is_sure = submit::catch_up_within(shared, PATIENCE).await;
-    is_sure.then(|| shared.log.app().read().edition(path).cloned())
+    let is_current = submit::catch_up_within(shared, SUBMIT_TIMEOUT).await;
+    is_current.then(|| shared.log.app().read().edition(path).cloned())
 }
--- a/daemons/control/src/lib.rs
+++ b/daemons/control/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod metrics;
 pub mod rpc;
 pub mod running;
-pub mod served;
+pub mod settings_pieces;
 pub mod shared;
 pub mod submit;
 
--- a/daemons/control/src/link.rs
+++ b/daemons/control/src/link.rs
@@ -20,20 +20,20 @@
 /// What a control instance knows of endpoints and of entry instances that serve routes.
 #[derive(Debug)]
 pub struct Link {
-    life: Incarnation,
+    incarnation: Incarnation,
     name: Name,
     registry: Mutex<Registry>,
-    ledger: Mutex<ReportStore>,
+    report_store: Mutex<ReportStore>,
     time: Mutex<TrueTime>,
     loads: Mutex<EndpointLoads>,
-    totals: Mutex<Option<TotalsHeard>>,
-    adder: Mutex<TotalsAggregator>,
+    totals: Mutex<Option<ReceivedTotals>>,
+    aggregator: Mutex<TotalsAggregator>,
     changes: watch::Sender<u64>,
-    urgent: tokio::sync::Notify,
+    urgent_sync: tokio::sync::Notify,
 }
 
 #[derive(Debug, Clone)]
-struct TotalsHeard {
+struct ReceivedTotals {
     totals: Totals,
     at: Millis,
 }
@@ -41,18 +41,18 @@
 impl Link {
     /// Makes a link that knows nothing.
     pub fn new(cfg: &ControlCfg) -> Self {
-        let life = Incarnation(Millis::wall().0);
+        let incarnation = Incarnation(Millis::wall().0);
         Self {
-            life,
+            incarnation,
             name: cfg.name.clone(),
-            registry: Mutex::new(Registry::new(life, cfg.endpoint_heartbeat)),
-            ledger: Mutex::default(),
+            registry: Mutex::new(Registry::new(incarnation, cfg.endpoint_heartbeat)),
+            report_store: Mutex::default(),
             time: Mutex::default(),
             loads: Mutex::default(),
             totals: Mutex::default(),
-            adder: Mutex::default(),
+            aggregator: Mutex::default(),
             changes: watch::Sender::new(0),
-            urgent: tokio::sync::Notify::new(),
+            urgent_sync: tokio::sync::Notify::new(),
         }
     }
 
@@ -60,8 +60,8 @@
     ///
     /// # Errors
     ///
-    /// Fails where it contradicts what the endpoint said before in the same life.
-    pub fn heartbeat(&self, now: Millis, fact: EndpointFact) -> Result<(), Findings> {
+    /// Fails where it contradicts what the endpoint said before in the same incarnation.
+    pub fn record_heartbeat(&self, now: Millis, fact: EndpointFact) -> Result<(), Findings> {
         if self.registry.lock().is_contradictory(&fact) {
             let reason = "another service or failure domain than before in the same life";
             return Err(Findings::one("service", reason));
@@ -82,22 +82,22 @@
                 born = born.0,
                 leaves_ms = leaves_in.map(|left| left.to_string()).unwrap_or_default(),
             );
-            self.changed();
+            self.publish_urgently();
         }
         Ok(())
     }
 
     /// Takes in that an endpoint says it ends.
-    pub fn ended(&self, now: Millis, endpoint: &Name, born: Option<Incarnation>) {
+    pub fn record_end(&self, now: Millis, endpoint: &Name, born: Option<Incarnation>) {
         if self.registry.lock().record_end(now, endpoint, born) {
             event!(Info, "endpoint_heard", endpoint = endpoint, state = "Gone");
-            self.changed();
+            self.publish_urgently();
         }
     }
 
-    fn changed(&self) {
+    fn publish_urgently(&self) {
         self.publish();
-        self.urgent.notify_one();
+        self.urgent_sync.notify_one();
     }
 
     /// Wakes the polls of entry instances.
@@ -107,31 +107,31 @@
     }
 
     /// Takes in what another control instance passes on.
-    pub fn synced(&self, now: Millis, sync: ControlSync) -> ControlSyncReply {
+    pub fn merge_sync(&self, now: Millis, sync: ControlSync) -> ControlSyncReply {
         self.time.lock().record(now, &sync.from.name, sync.wall);
         let mut is_changed = false;
         for fact in sync.endpoints {
-            is_changed |= self.told(now, fact, &sync.from.name);
+            is_changed |= self.merge_fact(now, fact, &sync.from.name);
         }
         for report in sync.reports {
-            self.ledger.lock().record(now, report, false);
+            self.report_store.lock().record(now, report, false);
         }
         if let Some(totals) = sync.totals {
             let at = now - totals.age;
-            *self.totals.lock() = Some(TotalsHeard { totals, at });
+            *self.totals.lock() = Some(ReceivedTotals { totals, at });
         }
         if is_changed {
             self.publish();
         }
-        ControlSyncReply { incarnation: self.life }
+        ControlSyncReply { incarnation: self.incarnation }
     }
 
     /// Takes in what another control instance tells of an endpoint. Returns whether it is news.
-    fn told(&self, now: Millis, fact: EndpointFact, from: &Name) -> bool {
+    fn merge_fact(&self, now: Millis, fact: EndpointFact, from: &Name) -> bool {
         let (endpoint, state, sequence) = (fact.endpoint.clone(), fact.state, fact.sequence);
         let age = fact.age;
-        let is_news = self.registry.lock().merge(now, fact);
-        if is_news {
+        let is_newer = self.registry.lock().merge(now, fact);
+        if is_newer {
             event!(
                 Info,
                 "endpoint_told",
@@ -142,7 +142,7 @@
                 age_ms = age
             );
         }
-        is_news
+        is_newer
     }
 
     /// Returns true time of day.
@@ -159,48 +159,48 @@
 
     /// Returns the newest reports of entry instances that are alive.
     pub fn reports(&self, now: Millis) -> Vec<EntryReport> {
-        self.ledger.lock().live(now).into_iter().cloned().collect()
+        self.report_store.lock().live(now).into_iter().cloned().collect()
     }
 
     /// Sums the usage of a window over all entry instances.
     pub fn usage(&self, window: u64) -> Option<std::collections::BTreeMap<Name, u64>> {
-        self.ledger.lock().total(window)
+        self.report_store.lock().total(window)
     }
 
     /// Returns whether all entry instances have reported since a point in time.
     pub fn is_usage_complete(&self, now: Millis, since: Millis) -> bool {
-        self.ledger.lock().is_complete(now, since)
+        self.report_store.lock().is_complete(now, since)
     }
 
     /// Takes in the report of an entry instance.
-    fn reported(&self, now: Millis, mut report: EntryReport) {
+    fn record_report(&self, now: Millis, mut report: EntryReport) {
         let loads = std::mem::take(&mut report.loads);
         self.loads.lock().record(now, loads);
         self.time.lock().record(now, &report.entry, report.wall);
-        self.ledger.lock().record(now, report, true);
+        self.report_store.lock().record(now, report, true);
     }
 
     /// Begins to add up the demand, as the leader.
-    fn begin_to_lead(&self, now: Millis) {
+    fn begin_aggregation(&self, now: Millis) {
         let last = self.totals(now);
         event!(
             Info,
             "adding_begun",
-            reports = self.ledger.lock().live(now).len(),
+            reports = self.report_store.lock().live(now).len(),
             entries = last.as_ref().map_or(0, |last| last.entries),
             age_ms = last.as_ref().map(|last| last.age.to_string()).unwrap_or_default()
         );
-        self.adder.lock().begin(now, last.as_ref());
+        self.aggregator.lock().begin(now, last.as_ref());
     }
 
     /// Adds up the demand, and counts in metrics whose it is.
-    fn add_up(&self, now: Millis, metrics: &Metrics) -> Option<Totals> {
-        let mut adder = self.adder.lock();
-        let before = adder.entry_counts();
-        let totals = adder.aggregate(now, &self.ledger.lock())?;
-        let counted = adder.entry_counts();
-        if counted != before {
-            let EntryCounts { reporting, silent, unknown } = counted;
+    fn aggregate_totals(&self, now: Millis, metrics: &Metrics) -> Option<Totals> {
+        let mut aggregator = self.aggregator.lock();
+        let before = aggregator.entry_counts();
+        let totals = aggregator.aggregate(now, &self.report_store.lock())?;
+        let after = aggregator.entry_counts();
+        if after != before {
+            let EntryCounts { reporting, silent, unknown } = after;
             for (state, count) in [("heard", reporting), ("silent", silent), ("unknown", unknown)] {
                 metrics.entries.with_label_values(&[state]).set(i64::from(count));
             }
@@ -217,23 +217,23 @@
     }
 
     fn totals(&self, now: Millis) -> Option<Totals> {
-        let heard = self.totals.lock().clone()?;
-        Some(Totals { age: now - heard.at, ..heard.totals })
+        let received = self.totals.lock().clone()?;
+        Some(Totals { age: now - received.at, ..received.totals })
     }
 
-    fn news(&self, now: Millis, cursor: Cursor) -> News {
+    fn updates_since(&self, now: Millis, cursor: Cursor) -> Updates {
         let (newest, endpoints) = {
             let registry = self.registry.lock();
             (registry.cursor(), registry.newer_than(now, cursor))
         };
-        let seen = if cursor.incarnation == self.life { cursor.load } else { 0 };
+        let seen = if cursor.incarnation == self.incarnation { cursor.load } else { 0 };
         let (load, loads) = self.loads.lock().newer_than(now, seen);
-        News { cursor: Cursor { load, ..newest }, endpoints, loads }
+        Updates { cursor: Cursor { load, ..newest }, endpoints, loads }
     }
 }
 
 /// What an entry instance has not been told of endpoints.
-struct News {
+struct Updates {
     cursor: Cursor,
     endpoints: Vec<EndpointFact>,
     loads: Vec<EndpointLoad>,
--- a/daemons/control/src/log/driver.rs
+++ b/daemons/control/src/log/driver.rs
@@ -86,7 +86,7 @@
         let (input, inputs) = mpsc::channel();
         Self {
             clock,
-            cfg: Cfg { trailing_entries: TRAILING, ..cfg.spans.clone() },
+            cfg: Cfg { trailing_entries: TRAILING, ..cfg.quorum.clone() },
             folder: cfg.data.clone(),
             open_disk,
             name: cfg.name.clone(),
--- a/daemons/control/src/log/hello.rs
+++ b/daemons/control/src/log/hello.rs
@@ -45,7 +45,7 @@
             let replies = ask_all(&shared, &mut strangers).await;
             if status.is_new {
                 found(&shared, &replies);
-                let lives = replies.iter().filter_map(|reply| reply.life);
+                let lives = replies.iter().filter_map(|reply| reply.incarnation);
                 if let Some(life) = lives.max() {
                     shared.log.older_life(life);
                 }
@@ -76,7 +76,7 @@
     }
     strangers.retain(|address, _| !known.contains(address));
     let peers = directory.peers();
-    let clients = peers.iter().map(|peer| &peer.quick).chain(strangers.values());
+    let clients = peers.iter().map(|peer| &peer.client).chain(strangers.values());
     let calls = clients.map(|client| ask(shared, client, &hello));
     let replies = futures_util::future::join_all(calls).await;
     replies.into_iter().flatten().collect()
@@ -85,8 +85,8 @@
 async fn ask(shared: &Shared, client: &PeerClient, hello: &Hello) -> Option<HelloReply> {
     let reply = tokio::time::timeout(PATIENCE.into(), client.call(hello)).await.ok()?.ok()?;
     let directory = &shared.directory;
-    reply.known.iter().for_each(|place| directory.learn(place.clone()));
-    directory.heard(shared.clock.now(), reply.place.clone(), reply.id.clone());
+    reply.peers.iter().for_each(|place| directory.add_discovered(place.clone()));
+    directory.record_presence(shared.clock.now(), reply.place.clone(), reply.id.clone());
     Some(reply)
 }
 
@@ -149,7 +149,7 @@
 pub fn answer(shared: &Shared, hello: Hello) -> HelloReply {
     let Hello { id, as_voter, place } = hello;
     let status = shared.log.status();
-    shared.directory.heard(shared.clock.now(), place, id.clone());
+    shared.directory.record_presence(shared.clock.now(), place, id.clone());
     let is_wanted = as_voter && wants_voter(shared, &status, &id);
     let members = status.voters.iter().chain(&status.learners);
     let lives = members.filter(|member| member.name == id.name).map(|member| member.incarnation);
@@ -160,9 +160,9 @@
     HelloReply {
         id: shared.id(),
         is_new: status.is_new,
-        life,
+        incarnation: life,
         place: shared.directory.own().clone(),
-        known: shared.directory.places(),
+        peers: shared.directory.places(),
     }
 }
 
--- a/daemons/control/src/metrics.rs
+++ b/daemons/control/src/metrics.rs
@@ -24,9 +24,9 @@
     /// Entry instances whose demand the leader adds up, by whether they are heard of.
     pub entries: IntGaugeVec,
     /// Changes that were accepted here.
-    pub accepted: IntCounter,
+    pub changes_accepted: IntCounter,
     /// Changes that were refused here.
-    pub refused: IntCounter,
+    pub changes_refused: IntCounter,
     /// Calls with a token that owns nothing; they are not in the audit trail.
     pub unknown_tokens: IntCounter,
     /// Claims that were asked for here.
@@ -74,8 +74,8 @@
             revision: gauge("sill_control_revision", "newest revision of the tree")?,
             claims: gauge("sill_control_claims", "claims held")?,
             disk_fault: gauge("sill_control_disk_fault", "1 while the disk can't be written")?,
-            accepted: counter("sill_control_changes_accepted_total", "changes accepted")?,
-            refused: counter("sill_control_changes_refused_total", "changes refused")?,
+            changes_accepted: counter("sill_control_changes_accepted_total", "changes accepted")?,
+            changes_refused: counter("sill_control_changes_refused_total", "changes refused")?,
             unknown_tokens: counter("sill_control_unknown_tokens_total", "unknown tokens")?,
             claim_asks: counter("sill_control_claim_asks_total", "claims asked for")?,
             polls: counter("sill_control_polls_total", "feed polls of entry instances")?,
--- a/daemons/control/src/rpc.rs
+++ b/daemons/control/src/rpc.rs
@@ -40,12 +40,13 @@
     /// Whether it has never taken part in a log.
     pub is_new: bool,
     /// The newest life of the caller that takes part, as far as it knows.
-    #[serde(default)]
-    pub life: Option<u64>,
+    #[serde(default, rename = "life")]
+    pub incarnation: Option<u64>,
     /// Where it is reached.
     pub place: ControlInfo,
     /// The other control instances that it knows.
-    pub known: Vec<ControlInfo>,
+    #[serde(rename = "known")]
+    pub peers: Vec<ControlInfo>,
 }
 
 /// Hands an ask to the leader.
@@ -83,9 +84,9 @@
 
 /// Tells which entry instances polled the caller, and what they run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct RunningSync {
+pub struct EntryStatusSync {
     /// The entry instances.
-    pub entries: Vec<RunningEntry>,
+    pub entries: Vec<EntryRevision>,
     /// The endpoints that they reported.
     #[serde(default)]
     pub endpoints: Vec<DomainEndpoints>,
@@ -93,11 +94,11 @@
 
 /// Asks which entry instances the called instance has heard of, and what they run.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct RunningAsk {}
+pub struct EntryStatusRequest {}
 
 /// What an entry instance runs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RunningEntry {
+pub struct EntryRevision {
     /// Its name.
     pub entry: Name,
     /// Its failure domain.
@@ -132,13 +133,13 @@
     const METHOD: &'static str = "control_read_index";
 }
 
-impl Call for RunningAsk {
-    type Reply = RunningSync;
+impl Call for EntryStatusRequest {
+    type Reply = EntryStatusSync;
 
     const METHOD: &'static str = "control_running_ask";
 }
 
-impl Call for RunningSync {
+impl Call for EntryStatusSync {
     type Reply = Ack;
 
     const METHOD: &'static str = "control_running";
--- a/daemons/control/src/running.rs
+++ b/daemons/control/src/running.rs
@@ -5,7 +5,7 @@
 use sill_wire::control::{EndpointStatus, EntryStatus, Revision};
 use sill_wire::feed::{DomainEndpoints, FeedPoll};
 
-use crate::rpc::{RunningEntry, RunningSync};
+use crate::rpc::{EntryRevision, EntryStatusSync};
 
 pub mod calls;
 
@@ -99,7 +99,7 @@
     }
 
     /// Takes in what another control instance heard.
-    pub fn told(&self, now: Millis, sync: &RunningSync) {
+    pub fn told(&self, now: Millis, sync: &EntryStatusSync) {
         for domain in &sync.endpoints {
             self.reported(now, domain, false);
         }
@@ -138,14 +138,14 @@
     }
 
     /// Returns all that was heard of here, whether or not the others were told.
-    pub fn known(&self, now: Millis) -> RunningSync {
+    pub fn known(&self, now: Millis) -> EntryStatusSync {
         let heard = self.heard.lock();
         let own = heard.iter().filter(|(_, known)| known.is_own && now - known.at < LIVE);
         let entries = own.map(|(name, known)| running_entry(now, name, known)).collect();
-        RunningSync { entries, endpoints: Vec::new() }
+        EntryStatusSync { entries, endpoints: Vec::new() }
     }
 
-    fn own(&self, now: Millis, everything: bool) -> Vec<RunningEntry> {
+    fn own(&self, now: Millis, everything: bool) -> Vec<EntryRevision> {
         let mut heard = self.heard.lock();
         let told = heard.iter_mut().filter(|(_, known)| {
             known.is_own && (known.is_new || everything && now - known.at < LIVE)
@@ -158,8 +158,8 @@
     }
 }
 
-fn running_entry(now: Millis, name: &Name, known: &Heard) -> RunningEntry {
-    RunningEntry {
+fn running_entry(now: Millis, name: &Name, known: &Heard) -> EntryRevision {
+    EntryRevision {
         entry: name.clone(),
         domain: known.domain.clone(),
         revision: known.revision,
--- a/daemons/control/src/running/calls.rs
+++ b/daemons/control/src/running/calls.rs
@@ -4,7 +4,7 @@
 
 use sill_base::Millis;
 
-use crate::rpc::{RunningAsk, RunningSync};
+use crate::rpc::{EntryStatusRequest, EntryStatusSync};
 use crate::shared::Shared;
 
 /// How often news are passed on to the other control instances.
@@ -20,7 +20,7 @@
 /// instance, or that stands still, does not run it yet.
 pub async fn ask_all(shared: &Shared) {
     let peers = shared.directory.peers();
-    let calls = peers.iter().map(|peer| peer.quick.call(&RunningAsk {}));
+    let calls = peers.iter().map(|peer| peer.client.call(&EntryStatusRequest {}));
     for told in futures_util::future::join_all(calls).await.into_iter().flatten() {
         shared.running.told(shared.clock.now(), &told);
     }
@@ -41,9 +41,9 @@
         if entries.is_empty() && endpoints.is_empty() {
             continue;
         }
-        let sync = RunningSync { entries, endpoints };
+        let sync = EntryStatusSync { entries, endpoints };
         let peers = shared.directory.peers();
-        let calls = peers.iter().map(|peer| peer.quick.call(&sync));
+        let calls = peers.iter().map(|peer| peer.client.call(&sync));
         futures_util::future::join_all(calls).await;
     }
 }
--- a/daemons/control/src/served.rs
+++ b/daemons/control/src/settings_pieces.rs
@@ -16,32 +16,32 @@
 use crate::shared::Shared;
 
 /// The subtree that holds the routes.
-pub const SERVED: &str = "serving";
+pub const SERVING_SUBTREE: &str = "serving";
 
 /// Bytes of pieces in one answer. On the slowest links, of 10 Mbit/s, they take 26 ms: a reader sees
 /// that it gets on, and what comes next is not held up for long.
-const ANSWER: usize = 32 << 10;
+const MAX_REPLY_BYTES: usize = 32 << 10;
 
 /// Answers that are made at once. A wave of restarted readers asks for everything at the same time;
 /// heartbeats and votes of this instance must get their turn in between.
-const ANSWERS_AT_ONCE: usize = 4;
+const MAX_CONCURRENT_REPLIES: usize = 4;
 
 /// Revisions whose pieces are kept. A reader that is in the middle of one goes on while the next are cut.
-const KEPT: usize = 3;
+const RETAINED_REVISIONS: usize = 3;
 
 /// The newest revisions of the served settings, in pieces.
 #[derive(Debug)]
-pub struct Served {
+pub struct SettingsPieces {
     log: LogHandle,
     metrics: Arc<Metrics>,
-    cuts: Mutex<VecDeque<Cut>>,
+    revisions: Mutex<VecDeque<CutRevision>>,
     newest: watch::Sender<Option<Arc<Manifest>>>,
-    answers: Semaphore,
+    reply_permits: Semaphore,
 }
 
 /// One revision in pieces.
 #[derive(Debug)]
-struct Cut {
+struct CutRevision {
     manifest: Arc<Manifest>,
     pieces: Map<PieceId, CompressedText>,
 }
@@ -53,24 +53,24 @@
     revisions.mark_changed();
     while revisions.changed().await.is_ok() {
         let own = shared.clone();
-        let cutting = move || own.served.cut_newest(own.link.true_time(own.clock.now()));
+        let cut = move || own.settings_pieces.cut_newest(own.link.true_time(own.clock.now()));
         // On a thread of its own: heartbeats and votes are not to wait for large settings.
-        if let Err(err) = tokio::task::spawn_blocking(cutting).await {
+        if let Err(err) = tokio::task::spawn_blocking(cut).await {
             event!(Error, "settings_not_cut", error = err);
         }
     }
 }
 
-impl Served {
+impl SettingsPieces {
     /// Makes one that has cut nothing.
     pub fn new(log: LogHandle, metrics: Arc<Metrics>) -> Arc<Self> {
-        let answers = Semaphore::new(ANSWERS_AT_ONCE);
+        let reply_permits = Semaphore::new(MAX_CONCURRENT_REPLIES);
         Arc::new(Self {
             log,
             metrics,
-            cuts: Mutex::default(),
+            revisions: Mutex::default(),
             newest: watch::Sender::new(None),
-            answers,
+            reply_permits,
         })
     }
 
@@ -81,15 +81,15 @@
 
     /// Cuts the newest revision of the served settings that is applied here, unless it is cut already.
     fn cut_newest(&self, true_time: Millis) {
-        let began = Instant::now();
-        let known = self.newest.borrow().as_ref().map(|manifest| manifest.revision);
+        let started = Instant::now();
+        let cut_revision = self.newest.borrow().as_ref().map(|manifest| manifest.revision);
         let newest = {
             let app = self.log.app().read();
-            let subtree = app.tree().subtrees.get(SERVED);
+            let subtree = app.tree().subtrees.get(SERVING_SUBTREE);
             subtree.map(|subtree| (Revision(subtree.revision), subtree.document.clone()))
         };
         let Some((revision, document)) =
-            newest.filter(|(newest, _)| known.is_none_or(|known| *newest > known))
+            newest.filter(|(newest, _)| cut_revision.is_none_or(|cut| *newest > cut))
         else {
             return;
         };
@@ -101,20 +101,20 @@
             revision = revision.0,
             pieces = manifest.pieces.len(),
             bytes = cut.pieces.values().map(CompressedText::len).sum::<usize>(),
-            ms = Millis::from(began.elapsed())
+            ms = Millis::from(started.elapsed())
         );
-        self.keep(cut);
+        self.retain(cut);
         self.newest.send_replace(Some(manifest));
     }
 
     /// Answers with the pieces that are at hand.
-    pub async fn answer(&self, ask: PiecesRequest) -> PiecesReply {
-        let _permit = self.answers.acquire().await;
+    pub async fn answer(&self, request: PiecesRequest) -> PiecesReply {
+        let _permit = self.reply_permits.acquire().await;
         let (mut pieces, mut bytes) = (Vec::new(), 0);
-        for id in ask.pieces {
+        for id in request.pieces {
             let Some(text) = self.piece(&id) else { continue };
             bytes += text.len();
-            if bytes > ANSWER && !pieces.is_empty() {
+            if bytes > MAX_REPLY_BYTES && !pieces.is_empty() {
                 break;
             }
             pieces.push(Piece { id, text });
@@ -127,28 +127,28 @@
 
     /// Returns a piece that one of the kept revisions holds.
     fn piece(&self, id: &PieceId) -> Option<CompressedText> {
-        self.cuts.lock().iter().rev().find_map(|cut| cut.pieces.get(id).cloned())
+        self.revisions.lock().iter().rev().find_map(|cut| cut.pieces.get(id).cloned())
     }
 
-    fn keep(&self, cut: Cut) {
-        let mut cuts = self.cuts.lock();
-        cuts.push_back(cut);
-        if cuts.len() > KEPT {
-            cuts.pop_front();
+    fn retain(&self, cut: CutRevision) {
+        let mut revisions = self.revisions.lock();
+        revisions.push_back(cut);
+        if revisions.len() > RETAINED_REVISIONS {
+            revisions.pop_front();
         }
     }
 
     /// Cuts a revision; pieces of the kept ones are not packed again.
-    fn cut(&self, revision: Revision, document: &Document, cut_at: Millis) -> Cut {
+    fn cut(&self, revision: Revision, document: &Document, cut_at: Millis) -> CutRevision {
         let mut pieces = Map::default();
         let mut ids = Vec::new();
         for part in pieces::cut(document) {
             let text = DocumentText::of(&part);
             let id = PieceId::of(text.as_str());
-            let packed = self.piece(&id).unwrap_or_else(|| CompressedText::new(text.as_str()));
-            pieces.insert(id.clone(), packed);
+            let compressed = self.piece(&id).unwrap_or_else(|| CompressedText::new(text.as_str()));
+            pieces.insert(id.clone(), compressed);
             ids.push(id);
         }
-        Cut { manifest: Arc::new(Manifest { revision, cut_at, pieces: ids }), pieces }
+        CutRevision { manifest: Arc::new(Manifest { revision, cut_at, pieces: ids }), pieces }
     }
 }
--- a/daemons/control/src/shared.rs
+++ b/daemons/control/src/shared.rs
@@ -13,7 +13,7 @@
 use crate::log::LogHandle;
 use crate::metrics::Metrics;
 use crate::running::Running;
-use crate::served::Served;
+use crate::settings_pieces::SettingsPieces;
 
 /// What the parts of a control instance share.
 #[derive(Debug)]
@@ -31,30 +31,30 @@
     /// What is known of endpoints, and of entry instances that serve routes.
     pub link: Link,
     /// The served settings in pieces.
-    pub served: Arc<Served>,
+    pub settings_pieces: Arc<SettingsPieces>,
     /// Its metrics.
     pub metrics: Arc<Metrics>,
     /// Held while a change is checked and committed here.
-    pub change_turn: tokio::sync::Mutex<()>,
+    pub change_lock: tokio::sync::Mutex<()>,
     /// Where its tasks run.
     pub runtime: Handle,
     /// Held while a document of an operator is read; large ones take much memory.
-    pub reading: Arc<tokio::sync::Mutex<()>>,
+    pub document_lock: Arc<tokio::sync::Mutex<()>>,
     /// Operators' calls that wait for the log.
-    pub waiting: AtomicUsize,
+    pub in_flight: AtomicUsize,
 }
 
 /// Counts a call as waiting until it is dropped, also by a caller that left.
-struct Waiting<'a>(&'a AtomicUsize);
+struct InFlightGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Waiting<'a> {
-    fn count(waiting: &'a AtomicUsize) -> Self {
-        waiting.fetch_add(1, Ordering::Relaxed);
-        Self(waiting)
+impl<'a> InFlightGuard<'a> {
+    fn new(in_flight: &'a AtomicUsize) -> Self {
+        in_flight.fetch_add(1, Ordering::Relaxed);
+        Self(in_flight)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -73,19 +73,19 @@
     /// # Panics
     ///
     /// Panics when the reading does.
-    pub async fn read_aside<F, T>(&self, read: F) -> T
+    pub async fn run_document_read<F, T>(&self, read: F) -> T
     where
         F: FnOnce() -> T + Send + 'static,
         T: Send + 'static,
     {
-        let _waiting = Waiting::count(&self.waiting);
-        let turn = self.reading.clone().lock_owned().await;
-        let reading = self.runtime.spawn_blocking(move || {
+        let _guard = InFlightGuard::new(&self.in_flight);
+        let lock = self.document_lock.clone().lock_owned().await;
+        let task = self.runtime.spawn_blocking(move || {
             // Held to the end also where the caller has left: it sends the same again.
-            let _turn = turn;
+            let _lock = lock;
             read()
         });
-        reading.await.expect("reading neither panics nor is cancelled while the server runs")
+        task.await.expect("reading neither panics nor is cancelled while the server runs")
     }
 
     /// Runs something on the runtime of the peer calls; their clients work only there. A planned stop
@@ -94,13 +94,13 @@
     /// # Panics
     ///
     /// Panics when the task does.
-    pub async fn on_runtime<Fut, T>(&self, task: Fut) -> T
+    pub async fn run_on_runtime<Fut, T>(&self, task: Fut) -> T
     where
         Fut: Future<Output = T> + Send + 'static,
         T: Send + 'static,
     {
-        let _waiting = Waiting::count(&self.waiting);
-        let running = self.runtime.spawn(task);
-        running.await.expect("the task neither panics nor is cancelled while the server runs")
+        let _guard = InFlightGuard::new(&self.in_flight);
+        let handle = self.runtime.spawn(task);
+        handle.await.expect("the task neither panics nor is cancelled while the server runs")
     }
 }
--- a/daemons/control/src/submit.rs
+++ b/daemons/control/src/submit.rs
@@ -79,7 +79,7 @@
     let Some(peer) = status.leader.and_then(|name| shared.directory.get(&name)) else {
         return SubmitReply::NotLeader;
     };
-    match peer.patient.call(&Submit { ask: ask.clone() }).await {
+    match peer.commit_client.call(&Submit { ask: ask.clone() }).await {
         Ok(reply) => reply,
         Err(err) => {
             event!(Debug, "leader_unreachable", leader = peer.place.name, error = err);
@@ -93,7 +93,7 @@
     // One change after the other: of changes that are checked at the same time only the first one
     // counts, and the others would have to be checked and written again.
     let _turn = match ask {
-        Ask::Change(_) => Some(shared.change_turn.lock().await),
+        Ask::Change(_) => Some(shared.change_lock.lock().await),
         Ask::Drain(_) | Ask::Claims { .. } | Ask::Usage(_) => None,
     };
     for _ in 0..RECHECKS {
@@ -150,7 +150,7 @@
         }
         let leader = status.leader.and_then(|name| shared.directory.get(&name));
         if let Some(peer) = leader
-            && let Ok(reply) = peer.quick.call(&ReadIndex {}).await
+            && let Ok(reply) = peer.client.call(&ReadIndex {}).await
             && let Some(index) = reply.index
             && applied(shared, index, end).await
         {
--- a/daemons/control/tests/cluster.rs
+++ b/daemons/control/tests/cluster.rs
@@ -60,7 +60,7 @@
         });
         ControlCfg {
             seeds: None,
-            spans: Default::default(),
+            quorum: Default::default(),
             endpoint_heartbeat: Millis(1000),
             name: format!("c{i}").into(),
             domain: "a".into(),
--- a/daemons/control/tests/losses.rs
+++ b/daemons/control/tests/losses.rs
@@ -65,7 +65,7 @@
         let peers = self.peers[..SEEDS].to_vec();
         ControlCfg {
             seeds: Some(Seeds { peers, may_found, voters: self.voters }),
-            spans: sill_quorum::Cfg::low_latency(),
+            quorum: sill_quorum::Cfg::low_latency(),
             endpoint_heartbeat: Millis(1000),
             name: format!("c{i}").into(),
             domain: format!("d{i}").into(),
--- a/daemons/control/tests/served.rs
+++ b/daemons/control/tests/settings_pieces.rs
@@ -72,7 +72,7 @@
     fn cfg(&self) -> ControlCfg {
         ControlCfg {
             seeds: None,
-            spans: Default::default(),
+            quorum: Default::default(),
             endpoint_heartbeat: Millis(1000),
             name: "c".into(),
             domain: "a".into(),
--- a/daemons/entry/benches/settings.rs
+++ b/daemons/entry/benches/settings.rs
@@ -88,7 +88,7 @@
         listen_peer,
         voters: vec![voter],
         seeds: None,
-        spans: Default::default(),
+        quorum: Default::default(),
         endpoint_heartbeat: sill_base::Millis(1000),
         data: PathBuf::from(folder),
         cluster_key: Secret::new(KEY),
