--- a/daemons/control/src/api/announce.rs
+++ b/daemons/control/src/api/announce.rs
@@ -11,7 +11,7 @@
 
 use crate::api::caller;
 use crate::api::reply::{App, error_response};
-use crate::app::judge;
+use crate::app::decision;
 
 pub async fn post(app: App, req: HttpRequest, body: Bytes) -> HttpResponse {
     let authorization = caller::header_text(&req, "authorization").unwrap_or_default();
@@ -25,7 +25,7 @@
     let result = fact.and_then(|fact| app.link.record_heartbeat(app.clock.now(), fact));
     if let Err(findings) = result {
         event!(Warn, "announcement_refused", reason = findings);
-        return http::json(400, &judge::invalid(findings));
+        return http::json(400, &decision::invalid(findings));
     }
     // The list is empty: endpoints keep the control addresses they were configured with, since the
     // own addresses of control instances may not be reachable from them.
--- a/daemons/control/src/daemon.rs
+++ b/daemons/control/src/daemon.rs
@@ -18,6 +18,7 @@
 use crate::cfg::{ControlCfg, Voter};
 use crate::directory::Directory;
 use crate::duty::{self, DutyCfg, Platform};
+use crate::entry_status::{self, EntryStatusTable};
 use crate::link::{self, Link};
 use crate::log::disk::{OpenDisk, real_disk};
 use crate::log::driver::Driver;
@@ -27,7 +28,6 @@
 use crate::rpc::{
     Ack, EntryStatusRequest, EntryStatusSync, Hello, QuorumSend, ReadIndex, ReadIndexReply, Submit,
 };
-use crate::running::{self, Running};
 use crate::settings_pieces::{self, SettingsPieces};
 use crate::shared::Shared;
 use crate::{api, feed, submit};
@@ -112,7 +112,7 @@
             peer_server(&shared).start(peer_listener)?
         };
         runtime.spawn(hello::run(shared.clone()));
-        runtime.spawn(running::calls::pass_on(shared.clone()));
+        runtime.spawn(entry_status::calls::push_to_peers(shared.clone()));
         runtime.spawn(link::calls::run(shared.clone()));
         runtime.spawn(settings_pieces::run(shared.clone()));
         if let Some(platform) = extension.platform {
@@ -185,7 +185,7 @@
     let mut driver = Driver::new(&cfg, open_disk, clock, peers, metrics.clone());
     driver.open()?;
     let log = driver.start()?;
-    let running = Running::default();
+    let running = EntryStatusTable::default();
     let change_lock = tokio::sync::Mutex::new(());
     let document_lock = Arc::default();
     let link = Link::new(&cfg);
@@ -229,7 +229,7 @@
     let own = shared.clone();
     peers.answer(move |Submit { ask }| {
         let own = own.clone();
-        async move { Ok(submit::lead(&own, &ask).await) }
+        async move { Ok(submit::submit_as_leader(&own, &ask).await) }
     });
     let own = shared.clone();
     peers.answer(move |_: ReadIndex| {
@@ -250,12 +250,12 @@
     });
     let own = shared.clone();
     peers.answer(move |_: EntryStatusRequest| {
-        let status = own.running.known(own.clock.now());
+        let status = own.running.own_entries(own.clock.now());
         async move { Ok(status) }
     });
     let own = shared.clone();
     peers.answer(move |sync: EntryStatusSync| {
-        own.running.told(own.clock.now(), &sync);
+        own.running.merge(own.clock.now(), &sync);
         async { Ok(Ack {}) }
     });
     peers
--- a/daemons/control/src/submit.rs
+++ b/daemons/control/src/submit.rs
@@ -1,4 +1,4 @@
-//! Gets an ask to the leader and brings back what came of it.
+//! Forwards asks to the leader, and confirms that local reads are current.
 
 use std::sync::Arc;
 
@@ -6,45 +6,45 @@
 use sill_quorum::RoleName;
 use sill_wire::claim::{ClaimAsk, ClaimBatch, ClaimReply, ClaimVerdict};
 
-use crate::app::judge::Judged;
+use crate::app::decision::Decision;
 use crate::app::{Ask, Outcome};
-use crate::log::{CommandText, Submitted};
+use crate::log::{CommandText, SubmitResult};
 use crate::rpc::{ReadIndex, Submit, SubmitReply};
 use crate::shared::Shared;
 
-/// How long an operator's ask looks for a leader that commits it.
-const PATIENCE: Millis = Millis(6000);
+/// How long an operator's ask is retried until a leader commits it.
+const SUBMIT_TIMEOUT: Millis = Millis(6000);
 
-/// How long claims look for a leader while one is known. A request waits for them.
-const CLAIM_PATIENCE: Millis = Millis(1500);
+/// How long claims are retried while a leader is known. A caller's request waits for them.
+const CLAIM_TIMEOUT: Millis = Millis(1500);
 
-/// Pause before the next try.
-const PAUSE: Millis = Millis(50);
+/// Pause between two attempts.
+const RETRY_PAUSE: Millis = Millis(50);
 
-/// How often a change is checked again because another one came between.
-const RECHECKS: usize = 20;
+/// How often a change is checked again because another one was committed after its check.
+const MAX_RECHECKS: usize = 20;
 
 /// Why an ask has no outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoOutcome {
     /// No leader was found; nothing was written.
     NotWritten,
-    /// It was written, but whether it will be committed is unknown.
+    /// It may have been written; whether it will be committed is unknown.
     Unknown,
 }
 
-/// Gets an operator's ask committed, by whoever leads.
+/// Submits an operator's ask to the current leader, here or on another instance.
 ///
-/// It has a `Change-Id`, so that trying again after an unknown outcome makes no second change.
+/// Its `Change-Id` makes a retry after an unknown outcome idempotent.
 ///
 /// # Errors
 ///
 /// Fails when no leader commits it in time.
 pub async fn submit(shared: &Arc<Shared>, ask: &Ask) -> Result<Outcome, NoOutcome> {
-    submit_within(shared, ask, PATIENCE).await
+    submit_within(shared, ask, SUBMIT_TIMEOUT).await
 }
 
-/// Does the same within a time of the caller's.
+/// Like [`submit`], with a given timeout.
 ///
 /// # Errors
 ///
@@ -52,9 +52,9 @@
 pub async fn submit_within(
     shared: &Arc<Shared>,
     ask: &Ask,
-    patience: Millis,
+    timeout: Millis,
 ) -> Result<Outcome, NoOutcome> {
-    let end = shared.clock.now() + patience;
+    let end = shared.clock.now() + timeout;
     let mut failure = NoOutcome::NotWritten;
     while shared.clock.now() < end {
         match attempt(shared, ask).await {
@@ -62,11 +62,11 @@
             SubmitReply::NotLeader => {}
             SubmitReply::Unknown => failure = NoOutcome::Unknown,
         }
-        let has_fault = shared.log.status().disk_fault.is_some();
-        if has_fault && shared.directory.is_alone() {
+        let has_disk_fault = shared.log.status().disk_fault.is_some();
+        if has_disk_fault && shared.directory.is_alone() {
             break;
         }
-        tokio::time::sleep(PAUSE.into()).await;
+        tokio::time::sleep(RETRY_PAUSE.into()).await;
     }
     Err(failure)
 }
@@ -74,7 +74,7 @@
 async fn attempt(shared: &Arc<Shared>, ask: &Ask) -> SubmitReply {
     let status = shared.log.status();
     if status.role == RoleName::Leader {
-        return lead(shared, ask).await;
+        return submit_as_leader(shared, ask).await;
     }
     let Some(peer) = status.leader.and_then(|name| shared.directory.get(&name)) else {
         return SubmitReply::NotLeader;
@@ -88,63 +88,63 @@
     }
 }
 
-/// Checks an ask and writes it, as the leader.
-pub async fn lead(shared: &Arc<Shared>, ask: &Ask) -> SubmitReply {
-    // One change after the other: of changes that are checked at the same time only the first one
-    // counts, and the others would have to be checked and written again.
+/// Checks an ask and writes it to the log; only the leader can.
+pub async fn submit_as_leader(shared: &Arc<Shared>, ask: &Ask) -> SubmitReply {
+    // Changes run one at a time: of those checked at the same time only the first one would be
+    // applied, and the others would have to be checked and written again.
     let _turn = match ask {
         Ask::Change(_) => Some(shared.change_lock.lock().await),
         Ask::Drain(_) | Ask::Claims { .. } | Ask::Usage(_) => None,
     };
-    for _ in 0..RECHECKS {
-        let command = match judge(shared, ask).await {
-            Ready::Known(outcome) => return SubmitReply::Done { outcome },
-            Ready::Write(command) => command,
+    for _ in 0..MAX_RECHECKS {
+        let command = match prepare(shared, ask).await {
+            PreparedAsk::Answer(outcome) => return SubmitReply::Done { outcome },
+            PreparedAsk::Write(command) => command,
         };
         match shared.log.submit(command).await {
-            Submitted::Applied(Outcome::Recheck) => {}
-            Submitted::Applied(outcome) => return SubmitReply::Done { outcome },
-            Submitted::NotLeader => return SubmitReply::NotLeader,
-            Submitted::Unknown => return SubmitReply::Unknown,
+            SubmitResult::Applied(Outcome::Recheck) => {}
+            SubmitResult::Applied(outcome) => return SubmitReply::Done { outcome },
+            SubmitResult::NotLeader => return SubmitReply::NotLeader,
+            SubmitResult::Unknown => return SubmitReply::Unknown,
         }
     }
     SubmitReply::NotLeader
 }
 
-/// An ask that was checked.
-enum Ready {
-    Known(Outcome),
+/// The result of checking an ask, with the command already serialised.
+enum PreparedAsk {
+    Answer(Outcome),
     Write(CommandText),
 }
 
-async fn judge(shared: &Arc<Shared>, ask: &Ask) -> Ready {
-    let judge =
-        |shared: &Shared, ask: &Ask| match shared.log.app().read().judge(Millis::wall(), ask) {
-            Judged::Known(outcome) => Ready::Known(outcome),
-            Judged::Write(command) => Ready::Write((&command).into()),
+async fn prepare(shared: &Arc<Shared>, ask: &Ask) -> PreparedAsk {
+    let decide =
+        |shared: &Shared, ask: &Ask| match shared.log.app().read().decide(Millis::wall(), ask) {
+            Decision::Answer(outcome) => PreparedAsk::Answer(outcome),
+            Decision::Write(command) => PreparedAsk::Write((&command).into()),
         };
     if !matches!(ask, Ask::Change(_)) {
-        return judge(shared, ask);
+        return decide(shared, ask);
     }
-    // A large document takes long to check and to pack. Heartbeats and votes of other instances come
-    // through the same runtime, and would have to wait.
+    // A large document takes long to check and to serialise. Heartbeats and votes of other
+    // instances arrive through the same runtime, and would be delayed.
     let (own, ask) = (shared.clone(), ask.clone());
-    let judging = tokio::task::spawn_blocking(move || judge(&own, &ask));
-    judging.await.expect("checking doesn't panic")
+    let decision = tokio::task::spawn_blocking(move || decide(&own, &ask));
+    decision.await.expect("checking an ask neither panics nor is cancelled")
 }
 
-/// Waits until this instance's state holds everything that was answered before the call, and
-/// returns whether it does. Without a leader it may not, and what is read may be old.
+/// Waits until this instance has applied everything that was acknowledged before the call, and
+/// returns whether it has. Without a leader it returns false, and local reads may be stale.
 pub async fn catch_up(shared: &Arc<Shared>) -> bool {
-    catch_up_within(shared, PATIENCE).await
+    catch_up_within(shared, SUBMIT_TIMEOUT).await
 }
 
-/// Does the same within a time of the caller's.
-pub async fn catch_up_within(shared: &Arc<Shared>, patience: Millis) -> bool {
-    let end = shared.clock.now() + patience;
+/// Like [`catch_up`], with a given timeout.
+pub async fn catch_up_within(shared: &Arc<Shared>, timeout: Millis) -> bool {
+    let end = shared.clock.now() + timeout;
     while shared.clock.now() < end {
         let status = shared.log.status();
-        // What is read after this is at least as new as what was newest now.
+        // A read after this check is at least as new as the newest state at the check.
         if shared.clock.now() < status.reads_until {
             return true;
         }
@@ -152,47 +152,48 @@
         if let Some(peer) = leader
             && let Ok(reply) = peer.client.call(&ReadIndex {}).await
             && let Some(index) = reply.index
-            && applied(shared, index, end).await
+            && wait_until_applied(shared, index, end).await
         {
             return true;
         }
         if shared.log.status().disk_fault.is_some() {
             return false;
         }
-        tokio::time::sleep(PAUSE.into()).await;
+        tokio::time::sleep(RETRY_PAUSE.into()).await;
     }
     false
 }
 
-/// Returns the entry that holds everything answered so far, if this instance holds the lease.
+/// Returns the index up to which everything acknowledged so far is applied, if this instance holds
+/// the leader's lease.
 pub fn read_index(shared: &Shared) -> Option<u64> {
     let index = shared.log.app().read().index();
-    // The lease must still run after the state was looked at. A process that was stopped between
-    // the two would otherwise answer with a state that a later leader has already changed.
+    // The lease must still be valid after the index was read. A process suspended between the two
+    // steps would otherwise answer with a state that a later leader has already changed.
     (shared.clock.now() < shared.log.status().reads_until).then_some(index)
 }
 
-async fn applied(shared: &Shared, index: u64, end: Millis) -> bool {
+async fn wait_until_applied(shared: &Shared, index: u64, end: Millis) -> bool {
     let mut applied = shared.log.applied();
-    let left = end - shared.clock.now();
+    let remaining = end - shared.clock.now();
     let reached = applied.wait_for(|applied| *applied >= index);
-    tokio::time::timeout(left.into(), reached).await.is_ok_and(|reached| reached.is_ok())
+    tokio::time::timeout(remaining.into(), reached).await.is_ok_and(|reached| reached.is_ok())
 }
 
-/// Answers claims. They are refused at once when no leader is known.
+/// Answers a batch of claims. They are refused at once while no leader is known.
 pub async fn claim(shared: Arc<Shared>, batch: ClaimBatch) -> ClaimReply {
     shared.metrics.claim_asks.inc_by(batch.asks.len() as u64);
-    let end = shared.clock.now() + CLAIM_PATIENCE;
+    let end = shared.clock.now() + CLAIM_TIMEOUT;
     let unavailable = batch.asks.iter().map(|_: &ClaimAsk| ClaimVerdict::Unavailable);
     let unavailable: Vec<ClaimVerdict> = unavailable.collect();
     let ask = Ask::Claims { asks: batch.asks };
     while shared.clock.now() < end && shared.log.status().leader.is_some() {
-        let reply = tokio::time::timeout(CLAIM_PATIENCE.into(), attempt(&shared, &ask)).await;
+        let reply = tokio::time::timeout(CLAIM_TIMEOUT.into(), attempt(&shared, &ask)).await;
         match reply {
             Ok(SubmitReply::Done { outcome: Outcome::Verdicts { verdicts } }) => {
                 return ClaimReply { verdicts };
             }
-            Ok(SubmitReply::NotLeader) => tokio::time::sleep(PAUSE.into()).await,
+            Ok(SubmitReply::NotLeader) => tokio::time::sleep(RETRY_PAUSE.into()).await,
             _ => break,
         }
     }
--- a/daemons/entry/src/lib.rs
+++ b/daemons/entry/src/lib.rs
@@ -1,13 +1,12 @@
-//! The entry instance: takes callers' requests and sees each through to its one answer.
+//! The entry instance: accepts callers' requests and gives each exactly one answer.
 
 pub mod announce;
 pub mod api;
-pub mod ask;
 pub mod body;
 pub mod cfg;
 pub mod claims;
 pub mod cli;
-pub mod closing;
+pub mod close_on_stop;
 pub mod copy;
 pub mod daemon;
 pub mod errors;
@@ -19,9 +18,10 @@
 pub mod members;
 pub mod metrics;
 pub mod parents;
-pub mod peer;
+pub mod peer_server;
 pub mod peers;
 pub mod record;
+pub mod request;
 pub mod routing;
 pub mod serve;
 pub mod settings;
--- a/daemons/entry/src/routing.rs
+++ b/daemons/entry/src/routing.rs
@@ -1,4 +1,5 @@
-//! Routers of the entry instance, a shard for each model or service under its own lock.
+//! Routers of the entry instance. Models and services are distributed over shards by name, each
+//! with its own lock.
 
 use std::hash::{Hash, Hasher};
 use std::io;
@@ -18,69 +19,71 @@
 
 const SHARDS: usize = 8;
 
-/// Routers by target.
+/// The router shards, selected by target.
 #[derive(Debug)]
 pub struct Routing {
     shards: Vec<Mutex<RecordedRouter>>,
-    trusted_until: AtomicU64,
+    valid_until: AtomicU64,
 }
 
 impl Routing {
-    /// Makes routers that know no endpoint.
+    /// Creates routers without endpoints.
     ///
     /// # Errors
     ///
-    /// Fails when a record is asked for and can't be written.
+    /// Fails if recording is configured and a trace file can't be created.
     pub fn new(cfg: &EntryCfg) -> io::Result<Self> {
         let router = |shard| {
-            let file = cfg.record.as_deref().map(|file| record_of(file, shard));
+            let file = cfg.record.as_deref().map(|file| shard_file(file, shard));
             let router = RouterCfg { domain: cfg.domain.clone(), seed: seed(cfg, shard) };
             RecordedRouter::new(router, file.as_deref()).map(Mutex::new)
         };
         Ok(Self {
             shards: (0..SHARDS).map(router).collect::<io::Result<_>>()?,
-            trusted_until: AtomicU64::new(u64::MAX),
+            valid_until: AtomicU64::new(u64::MAX),
         })
     }
 
-    /// Lets requests be sent until then. Membership moves it on; a process that was frozen finds it
-    /// in the past, and sends nothing before it has heard which endpoints are leaving.
-    pub fn trust(&self, until: Millis) {
-        self.trusted_until.store(until.0, Ordering::Relaxed);
+    /// Sets the time until which requests may be routed. Membership extends it regularly. A process
+    /// that was frozen finds it in the past, and routes nothing until it has received which
+    /// endpoints are leaving.
+    pub fn set_valid_until(&self, until: Millis) {
+        self.valid_until.store(until.0, Ordering::Relaxed);
     }
 
-    /// Chooses an endpoint and counts the request as sent there, under one lock, so that two
+    /// Chooses an endpoint and counts the request as sent there, under one lock so that two
     /// requests can't both take the last slot.
-    pub fn choose(&self, now: Millis, ask: &RouteRequest) -> Choice {
-        if now.0 > self.trusted_until.load(Ordering::Relaxed) {
+    pub fn choose(&self, now: Millis, request: &RouteRequest) -> Choice {
+        if now.0 > self.valid_until.load(Ordering::Relaxed) {
             let retry_after = Millis::from_secs(1);
             let refusal = Refusal { reason: RefusalReason::NoEndpoint, retry_after };
-            event!(Warn, "route_refused", request = ask.request, reason = "membership_too_old");
+            event!(Warn, "route_refused", request = request.request, reason = "membership_too_old");
             return Choice::Refuse(refusal);
         }
-        let mut router = self.shard(&ask.target).lock();
-        let choice = router.choose(now, ask);
+        let mut router = self.shard(&request.target).lock();
+        let choice = router.choose(now, request);
         match &choice {
             Choice::Endpoint(chosen) => {
-                let sent = Event::Sent { endpoint: chosen.endpoint.clone(), ask: ask.clone() };
+                let sent = Event::Sent { endpoint: chosen.endpoint.clone(), ask: request.clone() };
                 router.step(now, sent);
             }
             Choice::Refuse(refusal) => {
-                let view = router.view(now, ask);
+                let view = router.view(now, request);
                 drop(router);
-                log_refusal(ask, refusal, &view);
+                log_refusal(request, refusal, &view);
             }
         }
         choice
     }
 
-    /// Passes on what concerns one target.
-    pub fn hear_about(&self, now: Millis, target: &Target, event: Event) {
+    /// Applies an event to the shard of one target.
+    pub fn apply_for_target(&self, now: Millis, target: &Target, event: Event) {
         self.shard(target).lock().step(now, event);
     }
 
-    /// Passes on what concerns an endpoint with all that it serves.
-    pub fn hear(&self, now: Millis, event: Event) {
+    /// Applies an endpoint's event: an announcement to the shards of the targets that it serves,
+    /// any other event to all shards.
+    pub fn apply(&self, now: Millis, event: Event) {
         let Event::Announced { announcement, .. } = &event else {
             for shard in &self.shards {
                 shard.lock().step(now, event.clone());
@@ -88,7 +91,7 @@
             return;
         };
         let mut shards: Vec<usize> =
-            announcement.serves.iter().map(|s| index(&target(s))).collect();
+            announcement.serves.iter().map(|s| shard_index(&target(s))).collect();
         shards.sort_unstable();
         shards.dedup();
         for shard in shards {
@@ -97,18 +100,18 @@
     }
 
     fn shard(&self, target: &Target) -> &Mutex<RecordedRouter> {
-        &self.shards[index(target)]
+        &self.shards[shard_index(target)]
     }
 }
 
-fn log_refusal(ask: &RouteRequest, refusal: &Refusal, view: &PoolView) {
+fn log_refusal(request: &RouteRequest, refusal: &Refusal, view: &PoolView) {
     event!(
         Info,
         "route_refused",
-        request = ask.request,
+        request = request.request,
         reason = format!("{:?}", refusal.reason),
-        priority = format!("{:?}", ask.priority),
-        excluded = ask.exclude.len(),
+        priority = format!("{:?}", request.priority),
+        excluded = request.exclude.len(),
         ready = view.ready,
         full = view.full,
         suspect = view.suspect,
@@ -121,14 +124,16 @@
     );
 }
 
-/// Each shard is a core of its own and has its own trace: `FILE.0`, `FILE.1` and so on.
-fn record_of(file: &Path, shard: usize) -> PathBuf {
+/// Returns the trace file of a shard: `FILE.0`, `FILE.1` and so on, since each shard is a state
+/// machine of its own.
+fn shard_file(file: &Path, shard: usize) -> PathBuf {
     let mut name = file.as_os_str().to_owned();
     name.push(format!(".{shard}"));
     name.into()
 }
 
-/// Differs between entry instances, so that their jittered answers don't fall together.
+/// Seed of a shard's jitter. Differs between entry instances, so that the retries that they ask for
+/// do not coincide.
 fn seed(cfg: &EntryCfg, shard: usize) -> u64 {
     let mut hasher = FxHasher::default();
     cfg.name.hash(&mut hasher);
@@ -143,7 +148,7 @@
     }
 }
 
-fn index(target: &Target) -> usize {
+fn shard_index(target: &Target) -> usize {
     let mut hasher = FxHasher::default();
     let name: &Name = match target {
         Target::Model(name) | Target::Service(name) => name,
--- a/daemons/entry/src/serve/chunk.rs
+++ b/daemons/entry/src/serve/chunk.rs
@@ -1,17 +1,17 @@
-//! The JSON of answers: streamed pieces, whole answers, and what endpoints' pieces say.
+//! The JSON of answers: builds chunks and complete answers, and reads endpoints' chunks.
 
 use ntex::util::Bytes;
 use serde_json::{Value, json};
 use sill_flight::Transcript;
 use sill_wire::handoff::AnswerPart;
 
-/// The closing event of a stream.
+/// The event that ends a stream in the OpenAI API.
 pub const DONE: &[u8] = b"data: [DONE]\n\n";
 
-/// What the closing pieces of an endpoint's stream say.
+/// Content of a chunk that carries no token.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Closing {
-    /// Why the answer ended.
+pub enum ClosingChunk {
+    /// The finish reason.
     Finish(String),
     /// Token counts.
     Usage {
@@ -20,96 +20,97 @@
         /// Tokens of the answer.
         completion: u32,
     },
-    /// The endpoint failed in the middle of its answer.
+    /// The endpoint reported an error in the middle of its answer.
     Error,
-    /// Nothing that has to be known.
+    /// Anything else, such as the role chunk; ignored.
     Other,
 }
 
-/// Reads a piece that carries no token.
-pub fn closing(data: &str) -> Closing {
+/// Parses the data of a chunk that carries no token.
+pub fn parse_closing(data: &str) -> ClosingChunk {
     let Ok(data) = serde_json::from_str::<Value>(data) else {
-        return Closing::Other;
+        return ClosingChunk::Other;
     };
     if data.get("error").is_some() {
-        return Closing::Error;
+        return ClosingChunk::Error;
     }
     if let Some(finish) = data.pointer("/choices/0/finish_reason").and_then(Value::as_str) {
-        return Closing::Finish(finish.to_owned());
+        return ClosingChunk::Finish(finish.to_owned());
     }
     let count = |name: &str| data.pointer(name).and_then(Value::as_u64).map(|n| n as u32);
     match (count("/usage/prompt_tokens"), count("/usage/completion_tokens")) {
-        (Some(prompt), Some(completion)) => Closing::Usage { prompt, completion },
-        _ => Closing::Other,
+        (Some(prompt), Some(completion)) => ClosingChunk::Usage { prompt, completion },
+        _ => ClosingChunk::Other,
     }
 }
 
-/// Reads id, time and text of a piece with a token, by a parser.
+/// Parses the data of a chunk with a token, when the fast path over its bytes does not apply.
 pub fn parse(data: &str) -> Option<Value> {
     serde_json::from_str(data).ok()
 }
 
-/// Returns the text of a parsed piece as in JSON between the quotes.
-pub fn escaped(data: &Value) -> String {
+/// Returns the text of a parsed chunk, escaped as in JSON but without the quotes.
+pub fn escaped_text(data: &Value) -> String {
     let chat = data.pointer("/choices/0/delta/content").and_then(Value::as_str);
     let text = chat.or_else(|| data.pointer("/choices/0/text").and_then(Value::as_str));
     let quoted = Value::from(text.unwrap_or_default()).to_string();
     quoted[1..quoted.len() - 1].to_owned()
 }
 
-/// Notes the id and time that the caller sees.
-pub fn note_head(transcript: &mut Transcript, data: &Value) {
+/// Stores the completion id and time that the caller sees, from the first chunk that has them.
+pub fn set_head(transcript: &mut Transcript, data: &Value) {
     if transcript.id.is_none() {
         transcript.id = data.get("id").and_then(Value::as_str).map(str::to_owned);
         transcript.created = data.get("created").and_then(Value::as_u64).unwrap_or_default();
     }
 }
 
-/// Makes a later attempt's piece look like the first attempt's, so that the caller sees one answer.
-pub fn rewritten(transcript: &Transcript, index: u32, mut data: Value) -> Bytes {
+/// Gives a later attempt's chunk the id and time of the first attempt, so that the caller sees one
+/// answer.
+pub fn rewrite_chunk(transcript: &Transcript, index: u32, mut data: Value) -> Bytes {
     data["id"] = json!(transcript.id);
     data["created"] = json!(transcript.created);
     format!("id: {index}\ndata: {data}\n\n").into()
 }
 
-/// How answers of one path look.
+/// The API format of an answer, which depends on the path that was called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shape {
+pub enum AnswerFormat {
     /// Chat completions.
     Chat,
-    /// Plain completions.
+    /// Text completions.
     Completion,
 }
 
-/// What every piece of an answer repeats.
+/// Fields that are the same in every chunk of an answer.
 #[derive(Debug, Clone, Copy)]
-pub struct Frame<'a> {
-    /// How it looks.
-    pub shape: Shape,
-    /// The model.
+pub struct ChunkTemplate<'a> {
+    /// Chat or text completion.
+    pub format: AnswerFormat,
+    /// The model's name as the caller sent it.
     pub model: &'a str,
-    /// The completion's id.
+    /// The completion's id that the caller sees.
     pub id: &'a str,
-    /// The completion's time.
+    /// Creation time of the completion, in Unix seconds.
     pub created: u64,
 }
 
-impl Shape {
-    /// Returns the shape of a path's answers.
+impl AnswerFormat {
+    /// Returns the format of the answers of a path.
     pub fn of(path: &str) -> Self {
         if path.ends_with("/chat/completions") { Self::Chat } else { Self::Completion }
     }
 }
 
-impl Frame<'_> {
-    /// Makes the event of a token from its text as in JSON between the quotes.
-    pub fn token(&self, index: u32, escaped: &str) -> Bytes {
+impl ChunkTemplate<'_> {
+    /// Builds the event of a token from its text, escaped as in JSON but without the quotes.
+    pub fn token_event(&self, index: u32, escaped: &str) -> Bytes {
         let Self { model, id, created, .. } = self;
-        let (text, object) = match self.shape {
-            Shape::Chat => ("\"delta\":{\"content\":\"", "chat.completion.chunk"),
-            Shape::Completion => ("\"text\":\"", "text_completion"),
+        let (text, object) = match self.format {
+            AnswerFormat::Chat => ("\"delta\":{\"content\":\"", "chat.completion.chunk"),
+            AnswerFormat::Completion => ("\"text\":\"", "text_completion"),
         };
-        let close = if self.shape == Shape::Chat { "\"}" } else { "\"" };
+        let close = if self.format == AnswerFormat::Chat { "\"}" } else { "\"" };
         format!(
             "id: {index}\ndata: {{\"choices\":[{{{text}{escaped}{close},\"finish_reason\":null,\
              \"index\":0}}],\"created\":{created},\"id\":{},\"model\":{},\"object\":\"{object}\"}}\n\n",
@@ -119,49 +120,51 @@
         .into()
     }
 
-    /// Makes the closing events of a stream.
-    pub fn closing(&self, part: &AnswerPart, tokens: u32, include_usage: bool) -> Bytes {
+    /// Builds the events that close a stream: finish reason, usage if asked for, and `[DONE]`.
+    pub fn closing_events(&self, part: &AnswerPart, tokens: u32, include_usage: bool) -> Bytes {
         let finish = part.finish.as_deref().unwrap_or("stop");
-        let mut piece = self.piece();
-        piece["choices"] = match self.shape {
-            Shape::Chat => json!([{ "index": 0, "delta": {}, "finish_reason": finish }]),
-            Shape::Completion => json!([{ "index": 0, "text": "", "finish_reason": finish }]),
+        let mut chunk = self.base_object();
+        chunk["choices"] = match self.format {
+            AnswerFormat::Chat => json!([{ "index": 0, "delta": {}, "finish_reason": finish }]),
+            AnswerFormat::Completion => {
+                json!([{ "index": 0, "text": "", "finish_reason": finish }])
+            }
         };
-        let mut out = format!("data: {piece}\n\n");
+        let mut out = format!("data: {chunk}\n\n");
         if include_usage {
-            piece["choices"] = json!([]);
-            piece["usage"] = usage(part.prompt_tokens, tokens);
-            out.push_str(&format!("data: {piece}\n\n"));
+            chunk["choices"] = json!([]);
+            chunk["usage"] = usage(part.prompt_tokens, tokens);
+            out.push_str(&format!("data: {chunk}\n\n"));
         }
         out.push_str("data: [DONE]\n\n");
         out.into()
     }
 
-    fn piece(&self) -> Value {
-        let object = match self.shape {
-            Shape::Chat => "chat.completion.chunk",
-            Shape::Completion => "text_completion",
+    fn base_object(&self) -> Value {
+        let object = match self.format {
+            AnswerFormat::Chat => "chat.completion.chunk",
+            AnswerFormat::Completion => "text_completion",
         };
         json!({ "id": self.id, "object": object, "created": self.created, "model": self.model })
     }
 
-    /// Makes a whole answer.
-    pub fn whole(&self, part: &AnswerPart, text: &str, tokens: u32) -> Value {
+    /// Builds the answer to a request that did not ask for a stream.
+    pub fn full_answer(&self, part: &AnswerPart, text: &str, tokens: u32) -> Value {
         let finish = part.finish.as_deref().unwrap_or("stop");
-        let mut whole = self.piece();
-        match self.shape {
-            Shape::Chat => {
-                whole["object"] = json!("chat.completion");
+        let mut answer = self.base_object();
+        match self.format {
+            AnswerFormat::Chat => {
+                answer["object"] = json!("chat.completion");
                 let message = json!({ "role": "assistant", "content": text });
-                whole["choices"] =
+                answer["choices"] =
                     json!([{ "index": 0, "message": message, "finish_reason": finish }]);
             }
-            Shape::Completion => {
-                whole["choices"] = json!([{ "index": 0, "text": text, "finish_reason": finish }]);
+            AnswerFormat::Completion => {
+                answer["choices"] = json!([{ "index": 0, "text": text, "finish_reason": finish }]);
             }
         }
-        whole["usage"] = usage(part.prompt_tokens, tokens);
-        whole
+        answer["usage"] = usage(part.prompt_tokens, tokens);
+        answer
     }
 }
 
--- a/daemons/gateway/tests/limits.rs
+++ b/daemons/gateway/tests/limits.rs
@@ -13,7 +13,7 @@
 use sill_wire::link::{AccountTotal, Cursor, LinkReply, Totals};
 
 const RATE: f64 = 1000.0;
-/// More than the part of the limit that an instance presumes to have.
+/// More than the part of the limit that an instance assumes to be its share.
 const LARGE: f64 = 500.0;
 const LONG: Millis = Millis(60_000);
 
@@ -42,7 +42,7 @@
         usage_window: Millis(5000),
         stop: StopCfg { notice: Millis(100), limit: Millis(5000) },
     };
-    Arc::new(State::new(cfg).expect("it is made"))
+    Arc::new(State::new(cfg).expect("the state can be created"))
 }
 
 fn settings() -> Arc<RouteTable> {
@@ -52,7 +52,7 @@
     Arc::new(RouteTable::of(1, &Document { accounts, ..Document::default() }))
 }
 
-/// Tells that all entry instances have used all that the account is owed.
+/// Returns totals by which all entry instances have used up the account's limit.
 fn used_up() -> LinkReply {
     let admitted = RATE * 9.0;
     let used = AccountTotal { account: account(), admitted, ..AccountTotal::default() };
@@ -73,56 +73,60 @@
     }
 }
 
-/// An instance that has just started admits out of a full bucket what all others have used up already.
+/// An instance that has just started would admit from a full bucket what all others have used up
+/// already.
 #[tokio::test]
-async fn a_call_waits_until_it_is_known_what_others_admitted() {
+async fn a_call_waits_for_the_first_totals() {
     let state = state();
-    state.put_in_force(settings());
+    state.apply_settings(settings());
     let waiting = tokio::spawn({
         let state = state.clone();
         async move { state.first_totals(&account(), LARGE, LONG, LONG).await }
     });
     tokio::time::sleep(Duration::from_millis(50)).await;
-    assert!(!waiting.is_finished(), "nobody has told any totals");
-    state.learn(nowhere(), &used_up());
-    waiting.await.expect("it doesn't panic");
+    assert!(!waiting.is_finished(), "the call did not wait for totals");
+    state.apply_reply(nowhere(), &used_up());
+    waiting.await.expect("the waiting call doesn't panic");
     state.admit(&account(), 100.0).expect_err("the account is over its limit");
 }
 
-/// After a restart of all instances totals come a second later; small calls would all be late for them.
+/// After a restart of all instances totals arrive a second later; small calls would all be delayed
+/// until then.
 #[tokio::test]
-async fn a_call_that_the_presumed_share_covers_does_not_wait() {
+async fn a_call_within_the_assumed_share_does_not_wait() {
     let state = state();
-    state.put_in_force(settings());
+    state.apply_settings(settings());
     state.first_totals(&account(), 10.0, Millis::MAX, Millis::MAX).await;
-    state.admit(&account(), 10.0).expect("its part of the burst is there");
+    state.admit(&account(), 10.0).expect("the assumed share of the burst is available");
 }
 
-/// Totals come before the first settings do: forgotten, all accounts would count as unused until the next ones.
+/// Totals arrive before the first settings. If they were dropped, all accounts would count as
+/// unused until the next totals.
 #[tokio::test]
-async fn totals_that_come_before_the_settings_count() {
+async fn totals_received_before_the_settings_count() {
     let state = state();
-    state.learn(nowhere(), &used_up());
-    state.put_in_force(settings());
+    state.apply_reply(nowhere(), &used_up());
+    state.apply_settings(settings());
     state.first_totals(&account(), LARGE, LONG, LONG).await;
     state.admit(&account(), 100.0).expect_err("the account is over its limit");
 }
 
-/// After a restart of all instances no report names an account whose calls all wait: it would count as unused.
+/// After a restart of all instances no report names an account whose calls all wait, so it would
+/// count as unused.
 #[tokio::test]
-async fn an_account_that_nobody_reported_after_a_restart_counts_as_used() {
+async fn an_unreported_account_counts_as_used_after_a_restart() {
     let state = state();
     let totals = Totals { age: Millis::ZERO, entries: 8, unreported_s: 8.0, accounts: Vec::new() };
-    state.learn(nowhere(), &LinkReply { totals: Some(totals), ..used_up() });
-    state.put_in_force(settings());
-    state.admit(&account(), LARGE).expect_err("it may have used all that it is owed");
+    state.apply_reply(nowhere(), &LinkReply { totals: Some(totals), ..used_up() });
+    state.apply_settings(settings());
+    state.admit(&account(), LARGE).expect_err("the account may have used up its limit");
 }
 
-/// While no control instance leads, nobody tells totals, and callers would wait for them in vain.
+/// Without a leading control instance no totals are sent, and callers would wait for them in vain.
 #[tokio::test]
-async fn calls_are_admitted_by_the_share_while_nobody_tells_totals() {
+async fn calls_are_admitted_by_the_share_while_no_totals_arrive() {
     let state = state();
-    state.put_in_force(settings());
+    state.apply_settings(settings());
     state.first_totals(&account(), LARGE, LONG, Millis::ZERO).await;
-    state.admit(&account(), 10.0).expect("its part of the burst is there");
+    state.admit(&account(), 10.0).expect("the assumed share of the burst is available");
 }
