--- a/daemons/control/src/api/health.rs
+++ b/daemons/control/src/api/health.rs
@@ -40,8 +40,8 @@
         leader: status.leader,
         term: status.term,
         revision: app.log.app().read().revision(),
-        entries: app.running.entries(app.clock.now()),
-        endpoints: app.running.endpoints(app.clock.now()),
+        entries: app.entry_status.entries(app.clock.now()),
+        endpoints: app.entry_status.endpoints(app.clock.now()),
     };
     http::json(200, &reply)
 }
--- a/daemons/control/src/api/tree.rs
+++ b/daemons/control/src/api/tree.rs
@@ -179,7 +179,7 @@
     let end = app.clock.now() + IN_FORCE_TIMEOUT;
     run_on_runtime(app, async |shared| entry_status::calls::pull_from_peers(&shared).await).await;
     while app.clock.now() < end {
-        if app.running.all_run(app.clock.now(), reply.revision) {
+        if app.entry_status.all_run(app.clock.now(), reply.revision) {
             return true;
         }
         tokio::time::sleep(IN_FORCE_CHECK_INTERVAL.into()).await;
--- a/daemons/control/src/daemon.rs
+++ b/daemons/control/src/daemon.rs
@@ -185,7 +185,7 @@
     let mut driver = Driver::new(&cfg, open_disk, clock, peers, metrics.clone());
     driver.open()?;
     let log = driver.start()?;
-    let running = EntryStatusTable::default();
+    let entry_status = EntryStatusTable::default();
     let change_lock = tokio::sync::Mutex::new(());
     let document_lock = Arc::default();
     let link = Link::new(&cfg);
@@ -195,7 +195,7 @@
         cfg,
         clock,
         log,
-        running,
+        entry_status,
         directory,
         link,
         settings_pieces,
@@ -239,9 +239,9 @@
     let own = shared.clone();
     peers.answer(move |poll| link::calls::poll(own.clone(), poll));
     let settings_pieces = shared.settings_pieces.clone();
-    peers.answer(move |ask| {
+    peers.answer(move |request| {
         let settings_pieces = settings_pieces.clone();
-        async move { Ok(settings_pieces.answer(ask).await) }
+        async move { Ok(settings_pieces.answer(request).await) }
     });
     let own = shared.clone();
     peers.answer(move |sync| {
@@ -250,12 +250,12 @@
     });
     let own = shared.clone();
     peers.answer(move |_: EntryStatusRequest| {
-        let status = own.running.own_entries(own.clock.now());
+        let status = own.entry_status.own_entries(own.clock.now());
         async move { Ok(status) }
     });
     let own = shared.clone();
     peers.answer(move |sync: EntryStatusSync| {
-        own.running.merge(own.clock.now(), &sync);
+        own.entry_status.merge(own.clock.now(), &sync);
         async { Ok(Ack {}) }
     });
     peers
--- a/daemons/control/src/directory.rs
+++ b/daemons/control/src/directory.rs
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct ControlPeer {
     /// Its name, failure domain and addresses.
-    pub place: ControlInfo,
+    pub info: ControlInfo,
     /// Client for calls that are answered at once.
     pub client: PeerClient,
     /// Client for calls that wait for a commit.
@@ -34,7 +34,7 @@
 /// All control instances except this one.
 #[derive(Debug)]
 pub struct Directory {
-    own: ControlInfo,
+    own_info: ControlInfo,
     key: Secret,
     runtime: Handle,
     log_peers: Peers,
@@ -47,9 +47,9 @@
 
 impl Directory {
     /// Creates an empty directory that accepts discovered instances.
-    pub fn new(own: ControlInfo, key: Secret, runtime: Handle, log_peers: Peers) -> Self {
+    pub fn new(own_info: ControlInfo, key: Secret, runtime: Handle, log_peers: Peers) -> Self {
         let (peers, seeds) = (RwLock::default(), RwLock::default());
-        Self { own, key, runtime, log_peers, peers, seeds, is_fixed: false }
+        Self { own_info, key, runtime, log_peers, peers, seeds, is_fixed: false }
     }
 
     /// Makes the directory ignore discovered instances; those passed to [`Self::add`] still count.
@@ -68,8 +68,8 @@
     }
 
     /// Returns the name, failure domain and addresses of this instance.
-    pub fn own(&self) -> &ControlInfo {
-        &self.own
+    pub fn own_info(&self) -> &ControlInfo {
+        &self.own_info
     }
 
     /// Creates a client for an address whose instance has not been identified yet.
@@ -79,43 +79,43 @@
 
     /// Adds a control instance or updates its addresses as announced, unless the directory is
     /// fixed.
-    pub fn add_discovered(&self, place: ControlInfo) {
+    pub fn add_discovered(&self, info: ControlInfo) {
         if !self.is_fixed {
-            self.add(place);
+            self.add(info);
         }
     }
 
     /// Adds a control instance or updates its addresses. The own one is ignored.
-    pub fn add(&self, place: ControlInfo) {
-        if place.name == self.own.name {
+    pub fn add(&self, info: ControlInfo) {
+        if info.name == self.own_info.name {
             return;
         }
-        let existing = self.peers.read().get(&place.name).cloned();
-        if existing.as_ref().is_some_and(|peer| peer.place == place) {
+        let existing = self.peers.read().get(&info.name).cloned();
+        if existing.as_ref().is_some_and(|peer| peer.info == info) {
             return;
         }
-        if existing.as_ref().is_none_or(|peer| peer.place.peer != place.peer) {
-            event!(Info, "control_found", name = place.name, peer = place.peer);
-            let (name, address) = (place.name.clone(), place.peer);
+        if existing.as_ref().is_none_or(|peer| peer.info.peer != info.peer) {
+            event!(Info, "control_found", name = info.name, peer = info.peer);
+            let (name, address) = (info.name.clone(), info.peer);
             self.log_peers.add(&self.runtime, name, address, &self.key);
         }
         let presence = existing.and_then(|peer| peer.presence.lock().clone());
         let peer = ControlPeer {
-            client: PeerClient::new(place.peer, &self.key, CALL_TIMEOUT),
-            commit_client: PeerClient::new(place.peer, &self.key, COMMIT_CALL_TIMEOUT),
+            client: PeerClient::new(info.peer, &self.key, CALL_TIMEOUT),
+            commit_client: PeerClient::new(info.peer, &self.key, COMMIT_CALL_TIMEOUT),
             presence: Mutex::new(presence),
-            place,
+            info,
         };
-        self.peers.write().insert(peer.place.name.clone(), Arc::new(peer));
+        self.peers.write().insert(peer.info.name.clone(), Arc::new(peer));
     }
 
     /// Records that a control instance sent a message at a point in time.
-    pub fn record_presence(&self, now: Millis, place: ControlInfo, id: ReplicaId) {
-        let name = place.name.clone();
-        self.add_discovered(place);
+    pub fn record_presence(&self, now: Millis, info: ControlInfo, id: ReplicaId) {
+        let name = info.name.clone();
+        self.add_discovered(info);
         if let Some(peer) = self.get(&name) {
             *peer.presence.lock() =
-                Some(Presence { id, domain: peer.place.domain.clone(), last_seen: now });
+                Some(Presence { id, domain: peer.info.domain.clone(), last_seen: now });
         }
     }
 
@@ -130,10 +130,10 @@
     }
 
     /// Returns names, failure domains and addresses of all control instances, this one included.
-    pub fn places(&self) -> Vec<ControlInfo> {
+    pub fn infos(&self) -> Vec<ControlInfo> {
         let others = self.peers.read();
-        let others = others.values().map(|peer| peer.place.clone());
-        others.chain([self.own.clone()]).collect()
+        let others = others.values().map(|peer| peer.info.clone());
+        others.chain([self.own_info.clone()]).collect()
     }
 
     /// Returns whether the directory has no other control instance.
--- a/daemons/control/src/entry_status/calls.rs
+++ b/daemons/control/src/entry_status/calls.rs
@@ -23,7 +23,7 @@
     let peers = shared.directory.peers();
     let calls = peers.iter().map(|peer| peer.client.call(&EntryStatusRequest {}));
     for sync in futures_util::future::join_all(calls).await.into_iter().flatten() {
-        shared.running.merge(shared.clock.now(), &sync);
+        shared.entry_status.merge(shared.clock.now(), &sync);
     }
 }
 
@@ -38,8 +38,8 @@
         if is_refresh {
             refresh_at = now + REFRESH_INTERVAL;
         }
-        let entries = shared.running.take_updates(now, is_refresh);
-        let endpoints = shared.running.take_new_reports(now);
+        let entries = shared.entry_status.take_updates(now, is_refresh);
+        let endpoints = shared.entry_status.take_new_reports(now);
         if entries.is_empty() && endpoints.is_empty() {
             continue;
         }
--- a/daemons/control/src/feed.rs
+++ b/daemons/control/src/feed.rs
@@ -18,7 +18,7 @@
 /// Never fails; peer calls require the type.
 pub async fn poll(shared: Arc<Shared>, poll: FeedPoll) -> Result<FeedReply, PeerError> {
     shared.metrics.polls.inc();
-    shared.running.record_poll(shared.clock.now(), &poll);
+    shared.entry_status.record_poll(shared.clock.now(), &poll);
     let mut revision = shared.log.revision();
     let is_newer = revision.wait_for(|revision| *revision > poll.have);
     let is_newer = tokio::time::timeout(poll.wait.into(), is_newer).await.is_ok();
--- a/daemons/control/src/link/calls.rs
+++ b/daemons/control/src/link/calls.rs
@@ -69,7 +69,7 @@
         cursor,
         endpoints,
         loads,
-        controls: shared.directory.places(),
+        controls: shared.directory.infos(),
         totals: link.totals(now),
         true_time: link.true_time(now),
         has_leader: status.leader.is_some(),
@@ -121,13 +121,13 @@
     let direct = link.registry.lock().take_direct(now);
     let is_urgent = direct.iter().any(|fact| fact.state != EndpointState::Ready);
     for peer in shared.directory.peers() {
-        let state = states.entry(peer.place.name.clone()).or_default();
+        let state = states.entry(peer.info.name.clone()).or_default();
         state.pending.extend(direct.iter().cloned());
         state.is_urgent |= is_urgent;
         if let Some(call) = state.call.take_if(|call| call.is_finished()) {
             state.record_reply(shared, call.await.ok().flatten());
         }
-        let to_leader = leader == Some(&peer.place.name);
+        let to_leader = leader == Some(&peer.info.name);
         let interval =
             if to_leader || totals.is_some() { LEADER_SYNC_INTERVAL } else { REFRESH_INTERVAL };
         let is_due = state.is_urgent || now - state.last_sync >= interval;
@@ -137,7 +137,7 @@
         let reports =
             if to_leader { link.report_store.lock().take_unforwarded(now) } else { Vec::new() };
         let sync = ControlSync {
-            from: shared.directory.own().clone(),
+            from: shared.directory.own_info().clone(),
             incarnation: link.incarnation,
             wall: Millis::wall(),
             endpoints: std::mem::take(&mut state.pending),
@@ -170,7 +170,7 @@
 async fn send_sync(peer: Arc<ControlPeer>, sync: ControlSync) -> Option<ControlSyncReply> {
     let reply = peer.client.call(&sync).await;
     if let Err(err) = &reply {
-        event!(Debug, "control_unreachable", name = peer.place.name, error = err);
+        event!(Debug, "control_unreachable", name = peer.info.name, error = err);
     }
     reply.ok()
 }
--- a/daemons/control/src/log/hello.rs
+++ b/daemons/control/src/log/hello.rs
@@ -72,8 +72,8 @@
     let directory = &shared.directory;
     let is_named = shared.cfg.voters.iter().any(|voter| voter.name == shared.cfg.name);
     let as_voter = is_named || shared.cfg.seeds.is_some();
-    let hello = Hello { id: shared.id(), as_voter, place: directory.own().clone() };
-    let known: Vec<SocketAddr> = directory.places().iter().map(|place| place.peer).collect();
+    let hello = Hello { id: shared.id(), as_voter, info: directory.own_info().clone() };
+    let known: Vec<SocketAddr> = directory.infos().iter().map(|info| info.peer).collect();
     for seed in directory.seeds().into_iter().filter(|seed| !known.contains(seed)) {
         seed_clients.entry(seed).or_insert_with(|| directory.client(seed));
     }
@@ -88,8 +88,8 @@
 async fn call(shared: &Shared, client: &PeerClient, hello: &Hello) -> Option<HelloReply> {
     let reply = tokio::time::timeout(CALL_TIMEOUT.into(), client.call(hello)).await.ok()?.ok()?;
     let directory = &shared.directory;
-    reply.peers.iter().for_each(|place| directory.add_discovered(place.clone()));
-    directory.record_presence(shared.clock.now(), reply.place.clone(), reply.id.clone());
+    reply.peers.iter().for_each(|info| directory.add_discovered(info.clone()));
+    directory.record_presence(shared.clock.now(), reply.info.clone(), reply.id.clone());
     Some(reply)
 }
 
@@ -103,8 +103,8 @@
     let (is_first, founders, others): (bool, usize, Vec<ReplicaId>) = match &shared.cfg.seeds {
         Some(seeds) if !seeds.may_found => return,
         Some(Seeds { peers, .. }) => {
-            let own = shared.directory.own().peer;
-            let new = new.filter(|reply| peers.contains(&reply.place.peer));
+            let own = shared.directory.own_info().peer;
+            let new = new.filter(|reply| peers.contains(&reply.info.peer));
             let others = new.map(|reply| reply.id.clone()).collect();
             (peers.iter().min() == Some(&own), peers.len(), others)
         }
@@ -152,9 +152,9 @@
 
 /// Answers the announcement of a control instance, and lets it join the log.
 pub fn answer(shared: &Shared, hello: Hello) -> HelloReply {
-    let Hello { id, as_voter, place } = hello;
+    let Hello { id, as_voter, info } = hello;
     let status = shared.log.status();
-    shared.directory.record_presence(shared.clock.now(), place, id.clone());
+    shared.directory.record_presence(shared.clock.now(), info, id.clone());
     let may_vote = as_voter && may_become_voter_here(shared, &status, &id);
     let members = status.voters.iter().chain(&status.learners);
     let incarnations =
@@ -167,8 +167,8 @@
         id: shared.id(),
         is_new: status.is_new,
         incarnation: life,
-        place: shared.directory.own().clone(),
-        peers: shared.directory.places(),
+        info: shared.directory.own_info().clone(),
+        peers: shared.directory.infos(),
     }
 }
 
--- a/daemons/control/src/rpc.rs
+++ b/daemons/control/src/rpc.rs
@@ -29,7 +29,8 @@
     /// Whether the caller asks to become a voter.
     pub as_voter: bool,
     /// The caller's name, failure domain and addresses.
-    pub place: ControlInfo,
+    #[serde(rename = "place")]
+    pub info: ControlInfo,
 }
 
 /// Identifies the instance that received a [`Hello`], and the peers it has found.
@@ -43,7 +44,8 @@
     #[serde(default, rename = "life")]
     pub incarnation: Option<u64>,
     /// The name, failure domain and addresses of the called instance.
-    pub place: ControlInfo,
+    #[serde(rename = "place")]
+    pub info: ControlInfo,
     /// All control instances in the directory of the called instance, itself included.
     #[serde(rename = "known")]
     pub peers: Vec<ControlInfo>,
--- a/daemons/control/src/shared.rs
+++ b/daemons/control/src/shared.rs
@@ -25,7 +25,7 @@
     /// The replicated log.
     pub log: LogHandle,
     /// The settings revisions that entry instances run.
-    pub running: EntryStatusTable,
+    pub entry_status: EntryStatusTable,
     /// The other control instances.
     pub directory: Directory,
     /// The state of endpoints, and of entry instances that serve routes.
--- a/daemons/control/src/submit.rs
+++ b/daemons/control/src/submit.rs
@@ -82,7 +82,7 @@
     match peer.commit_client.call(&Submit { ask: ask.clone() }).await {
         Ok(reply) => reply,
         Err(err) => {
-            event!(Debug, "leader_unreachable", leader = peer.place.name, error = err);
+            event!(Debug, "leader_unreachable", leader = peer.info.name, error = err);
             SubmitReply::Unknown
         }
     }
--- a/daemons/control/tests/losses.rs
+++ b/daemons/control/tests/losses.rs
@@ -113,10 +113,10 @@
     /// Announces an empty instance to an instance.
     fn hello(&self, to: usize) -> HelloReply {
         let address = self.peers[to];
-        let place =
+        let info =
             ControlInfo { name: "empty".into(), domain: "d0".into(), peer: address, address };
         let id = ReplicaId { name: "empty".into(), incarnation: 1 };
-        let hello = Hello { id, as_voter: false, place };
+        let hello = Hello { id, as_voter: false, info };
         let client = PeerClient::new(address, &Secret::new("key"), WAIT_TIMEOUT);
         self.runtime.block_on(client.call(&hello)).expect("a reply")
     }
