--- a/daemons/control/src/cfg.rs
+++ b/daemons/control/src/cfg.rs
@@ -72,7 +72,7 @@
     /// Peer addresses of some control instances; the same on all of them at the first start.
     pub peers: Vec<SocketAddr>,
     /// Whether the seeds may bootstrap a new log, as at the first start of the whole system.
-    pub may_found: bool,
+    pub may_bootstrap: bool,
     /// Target number of voters. Further control instances stand by as learners: with three voters
     /// and one standby, a network partition into halves leaves a quorum on one side, which four
     /// voters would not.
@@ -127,7 +127,7 @@
         let listen_peer = values.required("listen-peer");
         let voters: Vec<Voter> = values.many("voter");
         let peers: Vec<SocketAddr> = values.many("seed");
-        let may_found = values.switch("found");
+        let may_bootstrap = values.switch("found");
         let voter_count = values.required("voters");
         let data: Option<PathBuf> = values.required("data");
         let cluster_key = values.secret("cluster-key-file");
@@ -147,7 +147,7 @@
             voters,
             seeds: (!peers.is_empty()).then(|| Seeds {
                 peers,
-                may_found,
+                may_bootstrap,
                 voters: voter_count.expect(reason),
             }),
             quorum: sill_quorum::Cfg::default(),
--- a/daemons/control/src/log/hello.rs
+++ b/daemons/control/src/log/hello.rs
@@ -101,7 +101,7 @@
 fn bootstrap_if_first(shared: &Shared, replies: &[HelloReply]) {
     let new = replies.iter().filter(|reply| reply.is_new);
     let (is_first, founders, others): (bool, usize, Vec<ReplicaId>) = match &shared.cfg.seeds {
-        Some(seeds) if !seeds.may_found => return,
+        Some(seeds) if !seeds.may_bootstrap => return,
         Some(Seeds { peers, .. }) => {
             let own = shared.directory.own_info().peer;
             let new = new.filter(|reply| peers.contains(&reply.info.peer));
--- a/daemons/control/tests/losses.rs
+++ b/daemons/control/tests/losses.rs
@@ -42,29 +42,29 @@
     }
 
     /// Starts one instance on each disk.
-    fn run(&mut self, disks: &[FaultyDisk], may_found: bool) {
+    fn run(&mut self, disks: &[FaultyDisk], may_bootstrap: bool) {
         for (i, disk) in disks.iter().enumerate() {
-            self.run_one(i, disk, may_found);
+            self.run_one(i, disk, may_bootstrap);
         }
     }
 
-    fn run_one(&mut self, i: usize, disk: &FaultyDisk, may_found: bool) {
+    fn run_one(&mut self, i: usize, disk: &FaultyDisk, may_bootstrap: bool) {
         let disk = disk.clone();
-        self.run_on(i, may_found, move || Box::new(disk.clone()));
+        self.run_on(i, may_bootstrap, move || Box::new(disk.clone()));
     }
 
-    fn run_on<F>(&mut self, i: usize, may_found: bool, open: F)
+    fn run_on<F>(&mut self, i: usize, may_bootstrap: bool, open: F)
     where
         F: Fn() -> AnyDisk + Send + 'static,
     {
-        let control = Control::start_on(self.cfg(i, may_found), Box::new(move |_| Ok(open())));
+        let control = Control::start_on(self.cfg(i, may_bootstrap), Box::new(move |_| Ok(open())));
         self.controls.push(control.expect("the control instance starts"));
     }
 
-    fn cfg(&self, i: usize, may_found: bool) -> ControlCfg {
+    fn cfg(&self, i: usize, may_bootstrap: bool) -> ControlCfg {
         let peers = self.peers[..SEEDS].to_vec();
         ControlCfg {
-            seeds: Some(Seeds { peers, may_found, voters: self.voters }),
+            seeds: Some(Seeds { peers, may_bootstrap, voters: self.voters }),
             quorum: sill_quorum::Cfg::low_latency(),
             endpoint_heartbeat: Millis(1000),
             name: format!("c{i}").into(),
