--- a/daemons/control/src/settings_pieces.rs
+++ b/daemons/control/src/settings_pieces.rs
@@ -146,7 +146,7 @@
     fn cut(&self, revision: Revision, document: &Document, cut_at: Millis) -> CutRevision {
         let mut pieces = Map::default();
         let mut ids = Vec::new();
-        for part in pieces::cut(document) {
+        for part in pieces::split(document) {
             let text = DocumentText::of(&part);
             let id = PieceId::of(text.as_str());
             let compressed = self.piece(&id).unwrap_or_else(|| CompressedText::new(text.as_str()));
