--- a/daemons/control/src/log/hello.rs
+++ b/daemons/control/src/log/hello.rs
@@ -45,7 +45,7 @@
             let replies = call_all(&shared, &mut seed_clients).await;
             if status.is_new {
                 bootstrap_if_first(&shared, &replies);
-                let incarnations = replies.iter().filter_map(|reply| reply.life);
+                let incarnations = replies.iter().filter_map(|reply| reply.incarnation);
                 if let Some(active) = incarnations.max() {
                     shared.log.report_active_incarnation(active);
                 }
@@ -72,14 +72,14 @@
     let directory = &shared.directory;
     let is_named = shared.cfg.voters.iter().any(|voter| voter.name == shared.cfg.name);
     let as_voter = is_named || shared.cfg.seeds.is_some();
-    let hello = Hello { id: shared.id(), as_voter, place: directory.own().clone() };
-    let known: Vec<SocketAddr> = directory.places().iter().map(|place| place.peer).collect();
+    let hello = Hello { id: shared.id(), as_voter, info: directory.own_info().clone() };
+    let known: Vec<SocketAddr> = directory.infos().iter().map(|info| info.peer).collect();
     for seed in directory.seeds().into_iter().filter(|seed| !known.contains(seed)) {
         seed_clients.entry(seed).or_insert_with(|| directory.client(seed));
     }
     seed_clients.retain(|address, _| !known.contains(address));
     let peers = directory.peers();
-    let clients = peers.iter().map(|peer| &peer.quick).chain(seed_clients.values());
+    let clients = peers.iter().map(|peer| &peer.client).chain(seed_clients.values());
     let calls = clients.map(|client| call(shared, client, &hello));
     let replies = futures_util::future::join_all(calls).await;
     replies.into_iter().flatten().collect()
@@ -88,8 +88,8 @@
 async fn call(shared: &Shared, client: &PeerClient, hello: &Hello) -> Option<HelloReply> {
     let reply = tokio::time::timeout(CALL_TIMEOUT.into(), client.call(hello)).await.ok()?.ok()?;
     let directory = &shared.directory;
-    reply.known.iter().for_each(|place| directory.learn(place.clone()));
-    directory.heard(shared.clock.now(), reply.place.clone(), reply.id.clone());
+    reply.peers.iter().for_each(|info| directory.add_discovered(info.clone()));
+    directory.record_presence(shared.clock.now(), reply.info.clone(), reply.id.clone());
     Some(reply)
 }
 
@@ -101,10 +101,10 @@
 fn bootstrap_if_first(shared: &Shared, replies: &[HelloReply]) {
     let new = replies.iter().filter(|reply| reply.is_new);
     let (is_first, founders, others): (bool, usize, Vec<ReplicaId>) = match &shared.cfg.seeds {
-        Some(seeds) if !seeds.may_found => return,
+        Some(seeds) if !seeds.may_bootstrap => return,
         Some(Seeds { peers, .. }) => {
-            let own = shared.directory.own().peer;
-            let new = new.filter(|reply| peers.contains(&reply.place.peer));
+            let own = shared.directory.own_info().peer;
+            let new = new.filter(|reply| peers.contains(&reply.info.peer));
             let others = new.map(|reply| reply.id.clone()).collect();
             (peers.iter().min() == Some(&own), peers.len(), others)
         }
@@ -152,9 +152,9 @@
 
 /// Answers the announcement of a control instance, and lets it join the log.
 pub fn answer(shared: &Shared, hello: Hello) -> HelloReply {
-    let Hello { id, as_voter, place } = hello;
+    let Hello { id, as_voter, info } = hello;
     let status = shared.log.status();
-    shared.directory.heard(shared.clock.now(), place, id.clone());
+    shared.directory.record_presence(shared.clock.now(), info, id.clone());
     let may_vote = as_voter && may_become_voter_here(shared, &status, &id);
     let members = status.voters.iter().chain(&status.learners);
     let incarnations =
@@ -166,9 +166,9 @@
     HelloReply {
         id: shared.id(),
         is_new: status.is_new,
-        life,
-        place: shared.directory.own().clone(),
-        known: shared.directory.places(),
+        incarnation: life,
+        info: shared.directory.own_info().clone(),
+        peers: shared.directory.infos(),
     }
 }
 
--- a/daemons/control/src/submit.rs
+++ b/daemons/control/src/submit.rs
@@ -79,10 +79,10 @@
     let Some(peer) = status.leader.and_then(|name| shared.directory.get(&name)) else {
         return SubmitReply::NotLeader;
     };
-    match peer.patient.call(&Submit { ask: ask.clone() }).await {
+    match peer.commit_client.call(&Submit { ask: ask.clone() }).await {
         Ok(reply) => reply,
         Err(err) => {
-            event!(Debug, "leader_unreachable", leader = peer.place.name, error = err);
+            event!(Debug, "leader_unreachable", leader = peer.info.name, error = err);
             SubmitReply::Unknown
         }
     }
@@ -93,7 +93,7 @@
     // Changes run one at a time: of those checked at the same time only the first one would be
     // applied, and the others would have to be checked and written again.
     let _turn = match ask {
-        Ask::Change(_) => Some(shared.change_turn.lock().await),
+        Ask::Change(_) => Some(shared.change_lock.lock().await),
         Ask::Drain(_) | Ask::Claims { .. } | Ask::Usage(_) => None,
     };
     for _ in 0..MAX_RECHECKS {
@@ -150,7 +150,7 @@
         }
         let leader = status.leader.and_then(|name| shared.directory.get(&name));
         if let Some(peer) = leader
-            && let Ok(reply) = peer.quick.call(&ReadIndex {}).await
+            && let Ok(reply) = peer.client.call(&ReadIndex {}).await
             && let Some(index) = reply.index
             && wait_until_applied(shared, index, end).await
         {
