--- a/bench/soak/src/link.rs
+++ b/bench/soak/src/link.rs
@@ -80,13 +80,13 @@
     }
     let Ok(outbound) = TcpStream::connect(target).await else { return reset(&inbound) };
     let mut resets = fault.clone();
-    let both = async {
-        let there = copy(&inbound, &outbound, Direction::ToTarget, fault.clone());
-        let back = copy(&outbound, &inbound, Direction::ToCaller, fault.clone());
-        tokio::join!(there, back)
+    let relay = async {
+        let to_target = copy(&inbound, &outbound, Direction::ToTarget, fault.clone());
+        let to_caller = copy(&outbound, &inbound, Direction::ToCaller, fault.clone());
+        tokio::join!(to_target, to_caller)
     };
     tokio::select! {
-        _ = both => {},
+        _ = relay => {},
         Ok(_) = resets.wait_for(|fault| *fault == Some(LinkFault::Reset)) => {
             reset(&inbound);
             reset(&outbound);
--- a/daemons/control/src/daemon.rs
+++ b/daemons/control/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a control instance and holds them together.
+//! Starts and stops a control instance: its log, background tasks and servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,43 +26,43 @@
 use crate::log::peers::Peers;
 use crate::metrics::Metrics;
 use crate::rpc::{
-    Ack, Hello, QuorumSend, ReadIndex, ReadIndexReply, RunningAsk, RunningSync, Submit,
+    Ack, EntryStatusRequest, EntryStatusSync, Hello, QuorumSend, ReadIndex, ReadIndexReply, Submit,
 };
-use crate::served::{self, Served};
+use crate::settings_pieces::{self, SettingsPieces};
 use crate::shared::Shared;
 use crate::{api, feed, submit};
 
-/// The largest settings document, in bytes; the library's own limit is 256 kB, which the accounts of
-/// a large team pass.
-const MAX_BODY: usize = 8 << 20;
+/// Limit for the body of a request. The library's default of 256 kB is exceeded by the accounts of
+/// a large team.
+const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// How long a stop waits for calls that need the log; a watch is not waited for, its caller goes on
-/// elsewhere.
-const STOP: Millis = Millis(5000);
+/// Longest time a stop waits for calls that need the log. Watches are not waited for; their callers
+/// continue at another instance.
+const STOP_TIMEOUT: Millis = Millis(5000);
 
-/// How long the library waits for what is left then.
-const FLUSH: ntex::time::Seconds = ntex::time::Seconds(1);
+/// Time the library waits for remaining connections after that.
+const SHUTDOWN_TIMEOUT: ntex::time::Seconds = ntex::time::Seconds(1);
 
-/// How often a stop looks whether any is left.
-const LOOK: Millis = Millis(20);
+/// Interval between checks whether calls are still in flight during a stop.
+const STOP_CHECK_INTERVAL: Millis = Millis(20);
 
-/// What a program adds to a control instance.
+/// Extensions that a program adds to a control instance.
 #[derive(Clone)]
 pub struct Extension {
-    /// Further routes of its HTTP server.
+    /// Adds routes to the HTTP server.
     pub routes: fn(&mut ServiceConfig),
-    /// The platform that the leader reports to and orders from.
+    /// The platform to which the leader reports usage and from which it orders endpoints, if any.
     pub platform: Option<Arc<dyn Platform>>,
-    /// What it reports and orders, and how often.
+    /// Configures the reports and orders, and their intervals.
     pub duty: DutyCfg,
 }
 
 /// A running control instance.
 #[derive(Debug)]
 pub struct Control {
-    /// Where operators reach it.
+    /// Address of the HTTP API for operators and endpoints.
     pub address: SocketAddr,
-    /// Where our own processes reach it.
+    /// Address for calls of peers and entry instances.
     pub peer_address: SocketAddr,
     server: ntex::server::Server,
     peers: PeerServer,
@@ -77,44 +77,44 @@
 }
 
 impl Control {
-    /// Reads the data folder and starts to serve.
+    /// Opens the data folder, recovers the log and starts to serve.
     ///
     /// # Errors
     ///
-    /// Fails when the folder or an address can't be used.
+    /// Fails if the folder or an address can't be used.
     pub fn start(cfg: ControlCfg) -> Result<Self> {
         Self::start_on(cfg, real_disk())
     }
 
-    /// Starts on a disk of the caller's.
+    /// Starts on a disk that the caller provides.
     ///
     /// # Errors
     ///
-    /// Fails when the disk or an address can't be used.
+    /// Fails if the disk or an address can't be used.
     pub fn start_on(cfg: ControlCfg, open_disk: OpenDisk) -> Result<Self> {
         Self::start_with(cfg, open_disk, Extension::default())
     }
 
-    /// Starts with what a program adds.
+    /// Starts with the extensions of a program.
     ///
     /// # Errors
     ///
-    /// Fails when the disk or an address can't be used.
+    /// Fails if the disk or an address can't be used.
     pub fn start_with(cfg: ControlCfg, open_disk: OpenDisk, extension: Extension) -> Result<Self> {
         let listener = http::bind(cfg.listen)?;
         let peer_listener = http::bind(cfg.listen_peer)?;
         let address = listener.local_addr()?;
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build()?;
-        let shared = Arc::new(share(cfg, open_disk, runtime.handle().clone(), address)?);
+        let shared = Arc::new(build_shared(cfg, open_disk, runtime.handle().clone(), address)?);
         let peers = {
             let _guard = runtime.enter();
-            answers(&shared).start(peer_listener)?
+            peer_server(&shared).start(peer_listener)?
         };
         runtime.spawn(hello::run(shared.clone()));
         runtime.spawn(entry_status::calls::push_to_peers(shared.clone()));
         runtime.spawn(link::calls::run(shared.clone()));
-        runtime.spawn(served::run(shared.clone()));
+        runtime.spawn(settings_pieces::run(shared.clone()));
         if let Some(platform) = extension.platform {
             runtime.spawn(duty::run(shared.clone(), platform, extension.duty));
         }
@@ -122,7 +122,7 @@
         if let Some(address) = shared.cfg.listen_metrics {
             runtime.spawn(serve_metrics(shared.metrics.clone(), http::bind(address)?));
         }
-        let server = serve(shared.clone(), listener, extension.routes)?;
+        let server = serve_api(shared.clone(), listener, extension.routes)?;
         let peer_address = peers.address();
         event!(
             Info,
@@ -136,31 +136,32 @@
         Ok(Self { address, peer_address, server, peers, shared, runtime })
     }
 
-    /// Takes in other seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         event!(Info, "seeds_changed", seeds = seeds.len());
         self.shared.directory.set_seeds(seeds);
     }
 
-    /// Stops it; what was acknowledged lies synced on disk.
+    /// Stops the instance. Everything acknowledged is synced on disk.
     pub async fn stop(self) {
         self.server.pause().await;
-        // The library's own graceful stop waits for nobody on a server that was ever without connections.
-        // A change in flight would be made, and its call break off before the operator is told.
-        let end = self.shared.clock.now() + STOP;
-        while self.shared.waiting.load(Ordering::Relaxed) > 0 && self.shared.clock.now() < end {
-            tokio::time::sleep(LOOK.into()).await;
+        // The library's graceful stop waits for no call if the server ever had no connections. A
+        // change in flight would then be made, but its connection closed before the operator gets
+        // the reply.
+        let end = self.shared.clock.now() + STOP_TIMEOUT;
+        while self.shared.in_flight.load(Ordering::Relaxed) > 0 && self.shared.clock.now() < end {
+            tokio::time::sleep(STOP_CHECK_INTERVAL.into()).await;
         }
-        // Not before: a leader hears through it that others have a change.
+        // Not earlier: through this server the leader learns that other replicas have a change.
         self.peers.stop();
         self.server.stop(true).await;
         self.shared.log.stop();
-        // Dropping it would block, which a caller inside another runtime may not do.
+        // Dropping the runtime would block, which panics if the caller is inside another runtime.
         self.runtime.shutdown_background();
     }
 }
 
-fn share(
+fn build_shared(
     cfg: ControlCfg,
     open_disk: OpenDisk,
     runtime: Handle,
@@ -176,7 +177,7 @@
         address,
     };
     let directory = Directory::new(own, cfg.cluster_key.clone(), runtime.clone(), peers.clone());
-    let directory = if cfg.seeds.is_none() { directory.fixed() } else { directory };
+    let directory = if cfg.seeds.is_none() { directory.into_fixed() } else { directory };
     directory.set_seeds(cfg.seeds.iter().flat_map(|seeds| seeds.peers.clone()).collect());
     for Voter { name, domain, address } in cfg.voters.clone() {
         directory.add(ControlInfo { name, domain, peer: address, address });
@@ -184,29 +185,29 @@
     let mut driver = Driver::new(&cfg, open_disk, clock, peers, metrics.clone());
     driver.open()?;
     let log = driver.start()?;
-    let running = EntryStatusTable::default();
-    let change_turn = tokio::sync::Mutex::new(());
-    let reading = Arc::default();
+    let entry_status = EntryStatusTable::default();
+    let change_lock = tokio::sync::Mutex::new(());
+    let document_lock = Arc::default();
     let link = Link::new(&cfg);
-    let waiting = AtomicUsize::new(0);
-    let served = Served::new(log.clone(), metrics.clone());
+    let in_flight = AtomicUsize::new(0);
+    let settings_pieces = SettingsPieces::new(log.clone(), metrics.clone());
     Ok(Shared {
         cfg,
         clock,
         log,
-        running,
+        entry_status,
         directory,
         link,
-        served,
+        settings_pieces,
         metrics,
-        change_turn,
-        reading,
+        change_lock,
+        document_lock,
         runtime,
-        waiting,
+        in_flight,
     })
 }
 
-fn answers(shared: &Arc<Shared>) -> PeerServerBuilder {
+fn peer_server(shared: &Arc<Shared>) -> PeerServerBuilder {
     let mut peers = PeerServerBuilder::new(shared.cfg.cluster_key.clone());
     let own = shared.clone();
     peers.answer(move |poll| feed::poll(own.clone(), poll));
@@ -237,30 +238,30 @@
     });
     let own = shared.clone();
     peers.answer(move |poll| link::calls::poll(own.clone(), poll));
-    let served = shared.served.clone();
-    peers.answer(move |ask| {
-        let served = served.clone();
-        async move { Ok(served.answer(ask).await) }
+    let settings_pieces = shared.settings_pieces.clone();
+    peers.answer(move |request| {
+        let settings_pieces = settings_pieces.clone();
+        async move { Ok(settings_pieces.answer(request).await) }
     });
     let own = shared.clone();
     peers.answer(move |sync| {
-        let reply = own.link.synced(own.clock.now(), sync);
+        let reply = own.link.merge_sync(own.clock.now(), sync);
         async move { Ok(reply) }
     });
     let own = shared.clone();
-    peers.answer(move |_: RunningAsk| {
-        let known = own.running.own_entries(own.clock.now());
-        async move { Ok(known) }
+    peers.answer(move |_: EntryStatusRequest| {
+        let status = own.entry_status.own_entries(own.clock.now());
+        async move { Ok(status) }
     });
     let own = shared.clone();
-    peers.answer(move |sync: RunningSync| {
-        own.running.merge(own.clock.now(), &sync);
+    peers.answer(move |sync: EntryStatusSync| {
+        own.entry_status.merge(own.clock.now(), &sync);
         async { Ok(Ack {}) }
     });
     peers
 }
 
-/// Serves metrics alone, where they are read by others than operators.
+/// Serves only the metrics, on an address for readers other than operators.
 async fn serve_metrics(metrics: Arc<Metrics>, listener: std::net::TcpListener) {
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
@@ -274,23 +275,23 @@
     serve_pages(listener, page).await;
 }
 
-fn serve(
+fn serve_api(
     shared: Arc<Shared>,
     listener: std::net::TcpListener,
-    further: fn(&mut ServiceConfig),
+    extra_routes: fn(&mut ServiceConfig),
 ) -> Result<ntex::server::Server> {
     let (tx, rx) = std::sync::mpsc::channel();
     http::spawn_system("control", move || async move {
         let server = HttpServer::new(async move || {
             App::new()
                 .state(shared.clone())
-                .state(PayloadConfig::new(MAX_BODY))
+                .state(PayloadConfig::new(MAX_BODY_BYTES))
                 .configure(api::routes)
-                .configure(further)
+                .configure(extra_routes)
         })
         .workers(1)
         .disable_signals()
-        .shutdown_timeout(FLUSH)
+        .shutdown_timeout(SHUTDOWN_TIMEOUT)
         .listen(listener)?
         .run();
         let _ = tx.send(server.clone());
--- a/daemons/control/src/entry_status.rs
+++ b/daemons/control/src/entry_status.rs
@@ -5,7 +5,7 @@
 use sill_wire::control::{EndpointStatus, EntryStatus, Revision};
 use sill_wire::feed::{DomainEndpoints, FeedPoll};
 
-use crate::rpc::{RunningEntry, RunningSync};
+use crate::rpc::{EntryRevision, EntryStatusSync};
 
 pub mod calls;
 
@@ -105,7 +105,7 @@
     }
 
     /// Merges the reports that another control instance received, unless newer ones are here.
-    pub fn merge(&self, now: Millis, sync: &RunningSync) {
+    pub fn merge(&self, now: Millis, sync: &EntryStatusSync) {
         for domain in &sync.endpoints {
             self.record_endpoints(now, domain, false);
         }
@@ -144,15 +144,15 @@
     }
 
     /// Returns the live entry instances that reported here, whether or not they were already sent.
-    pub fn own_entries(&self, now: Millis) -> RunningSync {
+    pub fn own_entries(&self, now: Millis) -> EntryStatusSync {
         let records = self.records.lock();
         let own =
             records.iter().filter(|(_, record)| record.is_own && now - record.at < LIVE_TIMEOUT);
         let entries = own.map(|(name, record)| running_entry(now, name, record)).collect();
-        RunningSync { entries, endpoints: Vec::new() }
+        EntryStatusSync { entries, endpoints: Vec::new() }
     }
 
-    fn take_updates(&self, now: Millis, is_refresh: bool) -> Vec<RunningEntry> {
+    fn take_updates(&self, now: Millis, is_refresh: bool) -> Vec<EntryRevision> {
         let mut records = self.records.lock();
         let updates = records.iter_mut().filter(|(_, record)| {
             record.is_own && (record.is_unsent || is_refresh && now - record.at < LIVE_TIMEOUT)
@@ -165,8 +165,8 @@
     }
 }
 
-fn running_entry(now: Millis, name: &Name, record: &EntryRecord) -> RunningEntry {
-    RunningEntry {
+fn running_entry(now: Millis, name: &Name, record: &EntryRecord) -> EntryRevision {
+    EntryRevision {
         entry: name.clone(),
         domain: record.domain.clone(),
         revision: record.revision,
--- a/daemons/control/src/link.rs
+++ b/daemons/control/src/link.rs
@@ -1,5 +1,6 @@
-//! Entry instances that serve routes: what they are told of endpoints and settings, what they tell
-//! of their work; and how control instances share both.
+//! State that control instances exchange with entry instances that serve routes: endpoint facts and
+//! settings are sent to them, usage and load reports are received from them. Control instances
+//! replicate both among each other.
 
 use parking_lot::Mutex;
 use sill_base::{Findings, Millis, Name, event};
@@ -17,51 +18,52 @@
 
 pub mod calls;
 
-/// What a control instance knows of endpoints and of entry instances that serve routes.
+/// The state a control instance holds about endpoints and about entry instances that serve routes.
 #[derive(Debug)]
 pub struct Link {
-    life: Incarnation,
+    incarnation: Incarnation,
     name: Name,
     registry: Mutex<Registry>,
-    ledger: Mutex<ReportStore>,
+    report_store: Mutex<ReportStore>,
     time: Mutex<TrueTime>,
     loads: Mutex<EndpointLoads>,
-    totals: Mutex<Option<TotalsHeard>>,
-    adder: Mutex<TotalsAggregator>,
+    totals: Mutex<Option<ReceivedTotals>>,
+    aggregator: Mutex<TotalsAggregator>,
     changes: watch::Sender<u64>,
-    urgent: tokio::sync::Notify,
+    urgent_sync: tokio::sync::Notify,
 }
 
 #[derive(Debug, Clone)]
-struct TotalsHeard {
+struct ReceivedTotals {
     totals: Totals,
     at: Millis,
 }
 
 impl Link {
-    /// Makes a link that knows nothing.
+    /// Creates a link without endpoints or reports. Its incarnation is the current wall time.
     pub fn new(cfg: &ControlCfg) -> Self {
-        let life = Incarnation(Millis::wall().0);
+        let incarnation = Incarnation(Millis::wall().0);
         Self {
-            life,
+            incarnation,
             name: cfg.name.clone(),
-            registry: Mutex::new(Registry::new(life, cfg.endpoint_heartbeat)),
-            ledger: Mutex::default(),
+            registry: Mutex::new(Registry::new(incarnation, cfg.endpoint_heartbeat)),
+            report_store: Mutex::default(),
             time: Mutex::default(),
             loads: Mutex::default(),
             totals: Mutex::default(),
-            adder: Mutex::default(),
+            aggregator: Mutex::default(),
             changes: watch::Sender::new(0),
-            urgent: tokio::sync::Notify::new(),
+            urgent_sync: tokio::sync::Notify::new(),
         }
     }
 
-    /// Takes in a heartbeat of an endpoint.
+    /// Records a heartbeat of an endpoint, and wakes waiting polls if it changed anything.
     ///
     /// # Errors
     ///
-    /// Fails where it contradicts what the endpoint said before in the same life.
-    pub fn heartbeat(&self, now: Millis, fact: EndpointFact) -> Result<(), Findings> {
+    /// Fails if the service or failure domain differs from an earlier heartbeat of the same
+    /// incarnation.
+    pub fn record_heartbeat(&self, now: Millis, fact: EndpointFact) -> Result<(), Findings> {
         if self.registry.lock().is_contradictory(&fact) {
             let reason = "another service or failure domain than before in the same life";
             return Err(Findings::one("service", reason));
@@ -82,56 +84,58 @@
                 born = born.0,
                 leaves_ms = leaves_in.map(|left| left.to_string()).unwrap_or_default(),
             );
-            self.changed();
+            self.publish_urgently();
         }
         Ok(())
     }
 
-    /// Takes in that an endpoint says it ends.
-    pub fn ended(&self, now: Millis, endpoint: &Name, born: Option<Incarnation>) {
+    /// Records that an endpoint reported its own end.
+    pub fn record_end(&self, now: Millis, endpoint: &Name, born: Option<Incarnation>) {
         if self.registry.lock().record_end(now, endpoint, born) {
             event!(Info, "endpoint_heard", endpoint = endpoint, state = "Gone");
-            self.changed();
+            self.publish_urgently();
         }
     }
 
-    fn changed(&self) {
+    /// Wakes the polls of entry instances and starts a sync to the other control instances.
+    fn publish_urgently(&self) {
         self.publish();
-        self.urgent.notify_one();
+        self.urgent_sync.notify_one();
     }
 
-    /// Wakes the polls of entry instances.
+    /// Wakes the waiting polls of entry instances.
     fn publish(&self) {
         let change = self.registry.lock().cursor().change;
         self.changes.send_replace(change);
     }
 
-    /// Takes in what another control instance passes on.
-    pub fn synced(&self, now: Millis, sync: ControlSync) -> ControlSyncReply {
+    /// Merges the endpoint facts, reports and totals that another control instance sent.
+    pub fn merge_sync(&self, now: Millis, sync: ControlSync) -> ControlSyncReply {
         self.time.lock().record(now, &sync.from.name, sync.wall);
         let mut is_changed = false;
         for fact in sync.endpoints {
-            is_changed |= self.told(now, fact, &sync.from.name);
+            is_changed |= self.merge_fact(now, fact, &sync.from.name);
         }
         for report in sync.reports {
-            self.ledger.lock().record(now, report, false);
+            self.report_store.lock().record(now, report, false);
         }
         if let Some(totals) = sync.totals {
             let at = now - totals.age;
-            *self.totals.lock() = Some(TotalsHeard { totals, at });
+            *self.totals.lock() = Some(ReceivedTotals { totals, at });
         }
         if is_changed {
             self.publish();
         }
-        ControlSyncReply { incarnation: self.life }
+        ControlSyncReply { incarnation: self.incarnation }
     }
 
-    /// Takes in what another control instance tells of an endpoint. Returns whether it is news.
-    fn told(&self, now: Millis, fact: EndpointFact, from: &Name) -> bool {
+    /// Merges an endpoint fact from another control instance. Returns whether it changed the
+    /// registry.
+    fn merge_fact(&self, now: Millis, fact: EndpointFact, from: &Name) -> bool {
         let (endpoint, state, sequence) = (fact.endpoint.clone(), fact.state, fact.sequence);
         let age = fact.age;
-        let is_news = self.registry.lock().merge(now, fact);
-        if is_news {
+        let is_newer = self.registry.lock().merge(now, fact);
+        if is_newer {
             event!(
                 Info,
                 "endpoint_told",
@@ -142,65 +146,66 @@
                 age_ms = age
             );
         }
-        is_news
+        is_newer
     }
 
-    /// Returns true time of day.
+    /// Returns the time of day, estimated from the wall clocks of this and other instances. Without
+    /// an estimate it is the own wall clock.
     pub fn true_time(&self, now: Millis) -> Millis {
         let mut time = self.time.lock();
         time.record(now, &self.name, Millis::wall());
         time.time_of_day(now).unwrap_or_else(Millis::wall)
     }
 
-    /// Returns all endpoints that are known.
+    /// Returns the current facts of all registered endpoints.
     pub fn endpoints(&self, now: Millis) -> Vec<EndpointFact> {
         self.registry.lock().all(now)
     }
 
-    /// Returns the newest reports of entry instances that are alive.
+    /// Returns the newest report of each live entry instance.
     pub fn reports(&self, now: Millis) -> Vec<EntryReport> {
-        self.ledger.lock().live(now).into_iter().cloned().collect()
+        self.report_store.lock().live(now).into_iter().cloned().collect()
     }
 
     /// Sums the usage of a window over all entry instances.
     pub fn usage(&self, window: u64) -> Option<std::collections::BTreeMap<Name, u64>> {
-        self.ledger.lock().total(window)
+        self.report_store.lock().total(window)
     }
 
     /// Returns whether all entry instances have reported since a point in time.
     pub fn is_usage_complete(&self, now: Millis, since: Millis) -> bool {
-        self.ledger.lock().is_complete(now, since)
+        self.report_store.lock().is_complete(now, since)
     }
 
-    /// Takes in the report of an entry instance.
-    fn reported(&self, now: Millis, mut report: EntryReport) {
+    /// Records the report that came with a poll of an entry instance.
+    fn record_report(&self, now: Millis, mut report: EntryReport) {
         let loads = std::mem::take(&mut report.loads);
         self.loads.lock().record(now, loads);
         self.time.lock().record(now, &report.entry, report.wall);
-        self.ledger.lock().record(now, report, true);
+        self.report_store.lock().record(now, report, true);
     }
 
-    /// Begins to add up the demand, as the leader.
-    fn begin_to_lead(&self, now: Millis) {
+    /// Starts to aggregate demand as the new leader, from the last totals received.
+    fn begin_aggregation(&self, now: Millis) {
         let last = self.totals(now);
         event!(
             Info,
             "adding_begun",
-            reports = self.ledger.lock().live(now).len(),
+            reports = self.report_store.lock().live(now).len(),
             entries = last.as_ref().map_or(0, |last| last.entries),
             age_ms = last.as_ref().map(|last| last.age.to_string()).unwrap_or_default()
         );
-        self.adder.lock().begin(now, last.as_ref());
+        self.aggregator.lock().begin(now, last.as_ref());
     }
 
-    /// Adds up the demand, and counts in metrics whose it is.
-    fn add_up(&self, now: Millis, metrics: &Metrics) -> Option<Totals> {
-        let mut adder = self.adder.lock();
-        let before = adder.entry_counts();
-        let totals = adder.aggregate(now, &self.ledger.lock())?;
-        let counted = adder.entry_counts();
-        if counted != before {
-            let EntryCounts { reporting, silent, unknown } = counted;
+    /// Aggregates demand, and updates the metric of reporting, silent and unknown entry instances.
+    fn aggregate_totals(&self, now: Millis, metrics: &Metrics) -> Option<Totals> {
+        let mut aggregator = self.aggregator.lock();
+        let before = aggregator.entry_counts();
+        let totals = aggregator.aggregate(now, &self.report_store.lock())?;
+        let after = aggregator.entry_counts();
+        if after != before {
+            let EntryCounts { reporting, silent, unknown } = after;
             for (state, count) in [("heard", reporting), ("silent", silent), ("unknown", unknown)] {
                 metrics.entries.with_label_values(&[state]).set(i64::from(count));
             }
@@ -216,24 +221,26 @@
         Some(totals)
     }
 
+    /// Returns the newest totals with their current age.
     fn totals(&self, now: Millis) -> Option<Totals> {
-        let heard = self.totals.lock().clone()?;
-        Some(Totals { age: now - heard.at, ..heard.totals })
+        let received = self.totals.lock().clone()?;
+        Some(Totals { age: now - received.at, ..received.totals })
     }
 
-    fn news(&self, now: Millis, cursor: Cursor) -> News {
+    /// Returns the endpoint facts and loads that are newer than a cursor.
+    fn updates_since(&self, now: Millis, cursor: Cursor) -> Updates {
         let (newest, endpoints) = {
             let registry = self.registry.lock();
             (registry.cursor(), registry.newer_than(now, cursor))
         };
-        let seen = if cursor.incarnation == self.life { cursor.load } else { 0 };
+        let seen = if cursor.incarnation == self.incarnation { cursor.load } else { 0 };
         let (load, loads) = self.loads.lock().newer_than(now, seen);
-        News { cursor: Cursor { load, ..newest }, endpoints, loads }
+        Updates { cursor: Cursor { load, ..newest }, endpoints, loads }
     }
 }
 
-/// What an entry instance has not been told of endpoints.
-struct News {
+/// Endpoint changes that an entry instance has not received yet.
+struct Updates {
     cursor: Cursor,
     endpoints: Vec<EndpointFact>,
     loads: Vec<EndpointLoad>,
--- a/daemons/control/src/log/driver.rs
+++ b/daemons/control/src/log/driver.rs
@@ -88,7 +88,7 @@
         let (input, inputs) = mpsc::channel();
         Self {
             clock,
-            cfg: Cfg { trailing_entries: TRAILING_ENTRIES, ..cfg.spans.clone() },
+            cfg: Cfg { trailing_entries: TRAILING_ENTRIES, ..cfg.quorum.clone() },
             folder: cfg.data.clone(),
             open_disk,
             name: cfg.name.clone(),
