--- a/transport/net/src/client.rs
+++ b/transport/net/src/client.rs
@@ -1,4 +1,4 @@
-//! Small HTTP+JSON calls to endpoints, control instances and the platform.
+//! An HTTP client for JSON calls to endpoints, control instances and the platform.
 
 use std::time::Duration;
 
@@ -11,40 +11,40 @@
 use serde::de::DeserializeOwned;
 use sill_base::{Millis, Secret};
 
-/// Response bodies larger than this are an error, in bytes.
-const MAX_BODY: usize = 64 << 20;
+/// Maximum size of a response body; a larger one is an error.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// Headers in lower case.
+    /// The headers in the order received; a name may occur more than once.
     pub headers: Vec<Header>,
-    /// The body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// One header of an answer.
+/// One header of a request or response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
-    /// Its name in lower case.
+    /// The name; lower case in a response.
     pub name: String,
-    /// Its value.
+    /// The value; empty if a response's value is not printable ASCII.
     pub value: String,
 }
 
 impl Reply {
-    /// Returns the value of a header.
+    /// Returns the value of the first header with this lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|h| h.name == name).map(|h| h.value.as_str())
     }
 
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// Fails when the body is of another shape.
+    /// Fails if the body is not JSON of the type `T`.
     pub fn json<T>(&self) -> Result<T>
     where
         T: DeserializeOwned,
@@ -52,34 +52,35 @@
         Ok(serde_json::from_slice(&self.body)?)
     }
 
-    /// Returns whether the status code tells success.
+    /// Returns whether the status code is in 200..=299.
     pub fn is_ok(&self) -> bool {
         (200..300).contains(&self.status)
     }
 }
 
-/// Makes a client without a limit on the length of an answer; must be called inside an ntex system.
+/// Creates a client without a time limit on responses, so that they can be streamed; must be called
+/// inside an ntex system.
 ///
 /// # Errors
 ///
-/// Fails when the connector can't be made.
+/// Fails if the connector can't be created.
 pub async fn streaming(connections: usize) -> Result<Client> {
     Client::builder()
         .disable_timeout()
         .disable_redirects()
-        .response_payload_limit(MAX_BODY)
+        .response_payload_limit(MAX_BODY_BYTES)
         .response_payload_timeout(NtexMillis::ZERO)
         .connector::<()>(Connector::new().limit(connections))
         .build(SharedCfg::new("sill-client"))
         .await
-        .map_err(|err| eyre!("client: {err:?}"))
+        .map_err(|err| eyre!("HTTP client: {err:?}"))
 }
 
-/// Sends a JSON body, or none, and reads the whole answer.
+/// Sends a request with a JSON body, or with none, and reads the complete response.
 ///
 /// # Errors
 ///
-/// Fails when the other side can't be reached or the answer is not whole in time.
+/// Fails if the server can't be reached or the response is not complete within `timeout`.
 pub async fn send<T>(
     client: &Client,
     method: Method,
@@ -117,5 +118,5 @@
     let limit = NtexMillis(Duration::from(timeout).as_millis() as u32);
     ntex::time::timeout(limit, exchange)
         .await
-        .map_err(|()| eyre!("{url}: no answer in {timeout} ms"))?
+        .map_err(|()| eyre!("{url}: no complete answer within {timeout} ms"))?
 }
--- a/transport/net/src/h1/client.rs
+++ b/transport/net/src/h1/client.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints, kept open between requests.
+//! A pool of client connections that are kept open between requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,100 +13,101 @@
 use sill_base::{Clock, Map, Millis, event};
 use tokio::net::TcpStream;
 
-use crate::h1::server::prepare;
+use crate::h1::server::set_socket_options;
 
-/// Settings of connections.
+/// Settings of a [`ConnectionPool`].
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionPoolCfg {
-    /// Time that a new connection may take.
+    /// Time-out for opening a connection.
     pub connect_timeout: Millis,
-    /// Time after which a connection that no longer acknowledges is given up.
+    /// Time for which sent data may remain unacknowledged by the peer before the connection fails.
     pub unacknowledged_timeout: Millis,
-    /// Time for which an unused connection is kept where the endpoint names none.
+    /// Time for which an idle connection is kept if the endpoint states no keep-alive time-out.
     pub idle_timeout: Millis,
-    /// Part of the time that an endpoint names which is not used, so that a request does not cross
-    /// its close.
+    /// Subtracted from the keep-alive time-out that an endpoint states, so that a request is not in
+    /// flight while the endpoint closes the connection.
     pub keep_alive_margin: Millis,
 }
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Debug)]
 pub enum SendFailure {
-    /// No byte of it has left.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// It may have been run.
+    /// The request may have been run.
     Unknown(String),
 }
 
-/// Connections by address. Clones share them.
+/// A pool of connections by address. Clones share the connections.
 #[derive(Debug, Clone)]
 pub struct ConnectionPool {
     cfg: ConnectionPoolCfg,
     clock: Clock,
-    idle: Arc<Mutex<Map<SocketAddr, Vec<Idle>>>>,
+    idle: Arc<Mutex<Map<SocketAddr, Vec<IdleConnection>>>>,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    until: Millis,
-    since: Millis,
+    expires_at: Millis,
+    idle_since: Millis,
 }
 
-/// An answer whose body is still to be read, with the connection it comes on.
+/// A response whose body has not been read yet, with its connection.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status, headers and body.
+    /// Status, headers and the unread body.
     pub response: Response<Incoming>,
-    /// Whether the connection was opened for it.
+    /// Whether the connection was opened for this request.
     pub is_new: bool,
-    connection: Option<Lent>,
+    connection: Option<BorrowedConnection>,
 }
 
 #[derive(Debug)]
-struct Lent {
+struct BorrowedConnection {
     sender: SendRequest<Full<Bytes>>,
     address: SocketAddr,
-    keep: Millis,
-    all: ConnectionPool,
+    keep_alive: Millis,
+    pool: ConnectionPool,
 }
 
 impl ConnectionPool {
-    /// Makes an empty set.
+    /// Creates an empty pool.
     pub fn new(cfg: ConnectionPoolCfg, clock: Clock) -> Self {
         Self { cfg, clock, idle: Arc::default() }
     }
 
-    /// Sends a request; `max_idle` is how long its connection may have been unused before.
+    /// Sends a request and returns once the response's head has arrived. Only connections that have
+    /// been idle for at most `max_idle` are reused.
     ///
     /// # Errors
     ///
-    /// Fails when no connection comes about, or the answer's head doesn't come.
+    /// Fails if no connection can be opened or the response's head does not arrive.
     pub async fn send(
         &self,
         address: SocketAddr,
         mut req: Request<Full<Bytes>>,
         max_idle: Millis,
     ) -> Result<Answer, SendFailure> {
-        while let Some(sender) = self.take(address, max_idle) {
+        while let Some(sender) = self.take_idle(address, max_idle) {
             match self.exchange(address, sender, req, false).await {
                 Ok(answer) => return Ok(answer),
-                Err(Failed { unsent: Some(unsent), .. }) => req = *unsent,
-                Err(failed) => return Err(SendFailure::Unknown(failed.reason)),
+                Err(ExchangeFailure { unsent: Some(unsent), .. }) => req = *unsent,
+                Err(failure) => return Err(SendFailure::Unknown(failure.reason)),
             }
         }
         let sender = self.connect(address).await.map_err(SendFailure::NotSent)?;
-        self.exchange(address, sender, req, true).await.map_err(|failed| match failed.unsent {
-            Some(_) => SendFailure::NotSent(failed.reason),
-            None => SendFailure::Unknown(failed.reason),
+        self.exchange(address, sender, req, true).await.map_err(|failure| match failure.unsent {
+            Some(_) => SendFailure::NotSent(failure.reason),
+            None => SendFailure::Unknown(failure.reason),
         })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Fails when the answer doesn't come whole.
+    /// Fails if the response does not arrive completely.
     pub async fn fetch(
         &self,
         address: SocketAddr,
@@ -129,19 +130,19 @@
         mut sender: SendRequest<Full<Bytes>>,
         req: Request<Full<Bytes>>,
         is_new: bool,
-    ) -> Result<Answer, Failed> {
+    ) -> Result<Answer, ExchangeFailure> {
         let response = match sender.try_send_request(req).await {
             Ok(response) => response,
             Err(mut err) => {
                 let unsent = err.take_message().map(Box::new);
-                return Err(Failed { unsent, reason: describe(err.error()) });
+                return Err(ExchangeFailure { unsent, reason: error_text(err.error()) });
             }
         };
-        let connection = keep_for(&response, self.cfg).map(|keep| Lent {
+        let connection = keep_alive(&response, self.cfg).map(|keep_alive| BorrowedConnection {
             sender,
             address,
-            keep,
-            all: self.clone(),
+            keep_alive,
+            pool: self.clone(),
         });
         Ok(Answer { response, is_new, connection })
     }
@@ -152,9 +153,10 @@
         let stream = match connecting.await {
             Ok(Ok(stream)) => stream,
             Ok(Err(err)) => return Err(err.to_string()),
-            Err(_) => return Err("no connection in time".to_owned()),
+            Err(_) => return Err(format!("no connection within {} ms", self.cfg.connect_timeout)),
         };
-        prepare(&stream, self.cfg.unacknowledged_timeout).map_err(|err| err.to_string())?;
+        set_socket_options(&stream, self.cfg.unacknowledged_timeout)
+            .map_err(|err| err.to_string())?;
         let (sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|err| err.to_string())?;
         tokio::spawn(async move {
@@ -165,80 +167,85 @@
         Ok(sender)
     }
 
-    /// Takes the connection that was used last; older ones then reach their end unused.
-    fn take(&self, address: SocketAddr, max_idle: Millis) -> Option<SendRequest<Full<Bytes>>> {
+    /// Takes the most recently used connection, so that surplus connections stay idle and expire.
+    fn take_idle(&self, address: SocketAddr, max_idle: Millis) -> Option<SendRequest<Full<Bytes>>> {
         let now = self.clock.now();
         let mut idle = self.idle.lock();
-        let of_address = idle.get_mut(&address)?;
-        of_address.retain(|idle| now < idle.until && !idle.sender.is_closed());
-        let fit = of_address
+        let connections = idle.get_mut(&address)?;
+        connections.retain(|idle| now < idle.expires_at && !idle.sender.is_closed());
+        let index = connections
             .iter()
-            .rposition(|idle| now - idle.since <= max_idle && idle.sender.is_ready())?;
-        Some(of_address.remove(fit).sender)
+            .rposition(|idle| now - idle.idle_since <= max_idle && idle.sender.is_ready())?;
+        Some(connections.remove(index).sender)
     }
 
-    /// Drops connections whose time is over; returns how many are left.
+    /// Drops idle connections that have expired or were closed; returns how many remain.
     pub fn expire(&self) -> usize {
         let now = self.clock.now();
         let mut idle = self.idle.lock();
-        idle.retain(|_, of_address| {
-            of_address.retain(|idle| now < idle.until && !idle.sender.is_closed());
-            !of_address.is_empty()
+        idle.retain(|_, connections| {
+            connections.retain(|idle| now < idle.expires_at && !idle.sender.is_closed());
+            !connections.is_empty()
         });
         idle.values().map(Vec::len).sum()
     }
 
-    /// Drops the unused connections to an address.
+    /// Drops the idle connections to an address.
     pub fn close_idle(&self, address: SocketAddr) {
         self.idle.lock().remove(&address);
     }
 }
 
 impl Answer {
-    /// Takes the answer apart; the second part goes back once the body was read to its end.
+    /// Splits the answer into the response and its connection, which must be released once the body
+    /// has been read completely. There is none if the connection can't be reused.
     pub fn into_parts(self) -> (Response<Incoming>, Option<ReusableConnection>) {
         (self.response, self.connection.map(ReusableConnection))
     }
 }
 
-/// A connection that can be used again once its answer was read to its end.
+/// A connection that can be reused once the response on it has been read completely.
 ///
-/// Dropped before, it is closed: what is left of the answer belongs to no other request.
+/// If it is dropped instead of released, it is closed: the unread rest of the response must not be
+/// taken for the response to another request.
 #[derive(Debug)]
-pub struct ReusableConnection(Lent);
+pub struct ReusableConnection(BorrowedConnection);
 
 impl ReusableConnection {
-    /// Gives the connection back.
+    /// Returns the connection to its pool.
     pub fn release(self) {
-        let Lent { sender, address, keep, all } = self.0;
-        let since = all.clock.now();
-        let idle = Idle { sender, since, until: since + keep };
-        all.idle.lock().entry(address).or_default().push(idle);
+        let BorrowedConnection { sender, address, keep_alive, pool } = self.0;
+        let idle_since = pool.clock.now();
+        let idle = IdleConnection { sender, idle_since, expires_at: idle_since + keep_alive };
+        pool.idle.lock().entry(address).or_default().push(idle);
     }
 }
 
-struct Failed {
+/// Why a request on one connection has no response.
+struct ExchangeFailure {
+    /// The request, if no byte of it was sent.
     unsent: Option<Box<Request<Full<Bytes>>>>,
     reason: String,
 }
 
-/// Returns how long a connection may be kept unused after an answer, if at all.
-fn keep_for(response: &Response<Incoming>, cfg: ConnectionPoolCfg) -> Option<Millis> {
+/// Returns how long a connection may be kept idle after a response, or `None` if it can't be
+/// reused.
+fn keep_alive(response: &Response<Incoming>, cfg: ConnectionPoolCfg) -> Option<Millis> {
     let text = |name: http::HeaderName| response.headers().get(name).and_then(|v| v.to_str().ok());
     if text(http::header::CONNECTION).is_some_and(|value| value.eq_ignore_ascii_case("close")) {
         return None;
     }
-    let named = response.headers().get("keep-alive").and_then(|value| value.to_str().ok());
-    let timeout = named.and_then(|value| {
+    let header = response.headers().get("keep-alive").and_then(|value| value.to_str().ok());
+    let timeout = header.and_then(|value| {
         let mut fields = value.split(',').map(str::trim);
         let timeout = fields.find_map(|field| field.strip_prefix("timeout="))?;
         timeout.parse().ok().map(Millis::from_secs)
     });
-    let keep = timeout.map_or(cfg.idle_timeout, |timeout| timeout - cfg.keep_alive_margin);
-    (keep > Millis::ZERO).then_some(keep)
+    let keep_alive = timeout.map_or(cfg.idle_timeout, |timeout| timeout - cfg.keep_alive_margin);
+    (keep_alive > Millis::ZERO).then_some(keep_alive)
 }
 
-fn describe(err: &hyper::Error) -> String {
+fn error_text(err: &hyper::Error) -> String {
     use std::error::Error;
     match err.source() {
         Some(source) => format!("{err}: {source}"),
--- a/transport/net/src/h1/mod.rs
+++ b/transport/net/src/h1/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 that is passed through: servers and connections whose bodies are relayed as they come.
+//! Relayed HTTP/1.1: a server and a client whose bodies are streamed as they arrive.
 //!
-//! Both sides are hyper's. ntex's client hands out the body of an answer without a length as whole
-//! when its connection was reset, and its server goes on after a body that ended in an error; a
-//! caller would take a cut answer for a whole one.
+//! Both use hyper. With ntex, the client reports a response body without a length as complete after
+//! its connection was reset, and the server continues after a body that ended in an error; a caller
+//! would take a truncated answer for a complete one.
 
 mod client;
 mod pages;
@@ -15,13 +15,13 @@
 pub use pages::{Page, serve_pages};
 pub use server::{OpenConnections, ServerCfg, ServerPhase, serve};
 
-/// Any error of a body.
+/// An error while a body is read or produced.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A body that is made of parts as they come.
+/// A body of any kind, complete or streamed.
 pub type AnyBody = http_body_util::combinators::UnsyncBoxBody<Bytes, BodyError>;
 
-/// Makes a body that is known as a whole.
+/// Returns a body of which all bytes are known.
 pub fn full_body<B>(bytes: B) -> AnyBody
 where
     B: Into<Bytes>,
@@ -31,16 +31,16 @@
     full.map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Removes the headers that concern only one connection.
+/// Removes the headers that apply to a single connection, including those named by `Connection`.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let listed: Vec<HeaderName> = headers
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in listed {
+    for name in connection_headers {
         headers.remove(name);
     }
     const HOP_BY_HOP: [&str; 7] = [
--- a/transport/net/src/h1/pages.rs
+++ b/transport/net/src/h1/pages.rs
@@ -1,4 +1,4 @@
-//! Small texts for balancers and whoever reads metrics.
+//! A server of small text pages, such as readiness and metrics.
 
 use std::sync::Arc;
 
@@ -10,24 +10,24 @@
 use crate::h1::full_body;
 use crate::h1::server::{ServerCfg, ServerPhase, serve};
 
-/// Bounds of such a server: its callers ask every second or so.
+/// Bounds of a page server. Load balancers and metrics collectors request about once a second.
 const CFG: ServerCfg = ServerCfg {
     max_header_bytes: 8 << 10,
     idle_timeout: Millis(30_000),
     unacknowledged_timeout: Millis(10_000),
 };
 
-/// A page.
+/// A text page and its status code.
 #[derive(Debug, Clone)]
 pub struct Page {
-    /// Its status.
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// Its text.
+    /// The body of the response.
     pub text: Vec<u8>,
 }
 
 impl Page {
-    /// Makes a page.
+    /// Creates a page from a status code and a text.
     pub fn new<T>(status: StatusCode, text: T) -> Self
     where
         T: Into<Vec<u8>>,
@@ -36,13 +36,13 @@
     }
 }
 
-/// Serves the pages that `page` makes of paths, until the task is dropped.
+/// Serves the page that `page` returns for the path of each request, until the future is dropped.
 pub async fn serve_pages<F>(listener: TcpListener, page: F)
 where
     F: Fn(&str) -> Page + Clone + Send + Sync + 'static,
 {
-    let (_never, stop) = watch::channel(ServerPhase::Serving);
-    let answer = move |req: http::Request<hyper::body::Incoming>, _| {
+    let (_phase_tx, phase) = watch::channel(ServerPhase::Serving);
+    let handler = move |req: http::Request<hyper::body::Incoming>, _| {
         let Page { status, text } = page(req.uri().path());
         async move {
             let mut response = Response::new(full_body(text));
@@ -50,5 +50,5 @@
             response
         }
     };
-    serve(listener, CFG, stop, Arc::default(), answer).await;
+    serve(listener, CFG, phase, Arc::default(), handler).await;
 }
--- a/transport/net/src/h1/server.rs
+++ b/transport/net/src/h1/server.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections and hands their requests to a handler.
+//! An HTTP/1.1 server that can be stopped in phases without cutting requests.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -21,111 +21,115 @@
 
 use crate::h1::AnyBody;
 
-/// The smallest buffer that the library takes, in bytes.
-const MIN_BUFFER: usize = 8192;
+/// The smallest read buffer that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8192;
 
-/// Pause after the listener failed, as when descriptors ran out.
+/// Pause after a failure to accept a connection, for example when file descriptors ran out.
 const ACCEPT_PAUSE: Millis = Millis(50);
 
-/// Time for the first request of a connection that comes while the server stops. Callers connect in order
-/// to send at once; between failure domains that takes some milliseconds.
-const FIRST_REQUEST: Millis = Millis(500);
+/// Time to wait for the first request on a connection that was accepted while the server stops.
+/// Callers send right after they connect; between failure domains the request takes some
+/// milliseconds.
+const FIRST_REQUEST_TIMEOUT: Millis = Millis(500);
 
-/// Time for what has already come on a connection that had a request before. The task of a connection may run
-/// before the runtime has seen what came: without the pause, a request that lay in the socket is dropped
-/// unanswered, and its caller can't know that it has not run.
-const ARRIVED: Millis = Millis(50);
+/// Pause before a kept-alive connection is closed, for a request that has already arrived on it.
+/// The connection's task may run before the runtime has noticed the data: without the pause, a
+/// request in the socket buffer is dropped without an answer, and its caller can't know that it has
+/// not run.
+const PENDING_REQUEST_PAUSE: Millis = Millis(50);
 
-/// Bounds of a server.
+/// Bounds on the connections of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerCfg {
-    /// Bytes of a request's headers.
+    /// Maximum size of a request's head, in bytes; at least 8192 is used.
     pub max_header_bytes: usize,
-    /// Time that a connection may stay without a request.
+    /// Time for which a connection may be open without a complete request head.
     pub idle_timeout: Millis,
-    /// Time after which a connection that no longer acknowledges is given up.
+    /// Time for which sent data may remain unacknowledged by the peer before the connection fails.
     pub unacknowledged_timeout: Millis,
 }
 
-/// How far a server has stopped.
+/// The phase of a server, from normal service to its end.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ServerPhase {
-    /// It serves.
+    /// Normal service.
     #[default]
     Serving,
-    /// Connections end after the request that they carry; new ones are still taken, for one request.
+    /// Each connection is closed after its current request. New connections are accepted for one
+    /// request.
     Draining,
-    /// New ones are only taken so that their callers can be told to come back.
+    /// New connections are accepted only so that the handler can tell their callers to retry later.
     Refusing,
     /// The listener is closed.
     Closed,
 }
 
-/// Open connections, by how far the server had stopped when it took them.
+/// Numbers of open connections, by the phase of the server in which they were accepted.
 #[derive(Debug, Default)]
 pub struct OpenConnections {
-    older: Arc<AtomicUsize>,
-    later: Arc<AtomicUsize>,
-    last: Arc<AtomicUsize>,
+    serving: Arc<AtomicUsize>,
+    draining: Arc<AtomicUsize>,
+    refusing: Arc<AtomicUsize>,
 }
 
 impl OpenConnections {
-    /// Returns those that were taken before the server was [`ServerPhase::Draining`].
+    /// Returns how many were accepted before the server was [`ServerPhase::Draining`].
     pub fn accepted_before_drain(&self) -> usize {
-        self.older.load(Ordering::Relaxed)
+        self.serving.load(Ordering::Relaxed)
     }
 
-    /// Returns those that were taken since, until it was [`ServerPhase::Refusing`].
+    /// Returns how many were accepted while the server was [`ServerPhase::Draining`].
     pub fn accepted_during_drain(&self) -> usize {
-        self.later.load(Ordering::Relaxed)
+        self.draining.load(Ordering::Relaxed)
     }
 
-    /// Returns all of them.
+    /// Returns how many connections are open.
     pub fn total(&self) -> usize {
         self.accepted_before_drain()
             + self.accepted_during_drain()
-            + self.last.load(Ordering::Relaxed)
+            + self.refusing.load(Ordering::Relaxed)
     }
 
-    /// Counts a connection that is taken now.
-    fn count(&self, stop: ServerPhase) -> Open {
-        Open::count(match stop {
-            ServerPhase::Serving => &self.older,
-            ServerPhase::Draining => &self.later,
-            ServerPhase::Refusing | ServerPhase::Closed => &self.last,
+    /// Counts a connection that is accepted in `phase`.
+    fn count(&self, phase: ServerPhase) -> OpenConnectionGuard {
+        OpenConnectionGuard::new(match phase {
+            ServerPhase::Serving => &self.serving,
+            ServerPhase::Draining => &self.draining,
+            ServerPhase::Refusing | ServerPhase::Closed => &self.refusing,
         })
     }
 }
 
-/// Counts a connection as open, from when it was accepted until its task is gone.
+/// Counts a connection as open from when it is accepted until its task has ended.
 ///
-/// Counted by its task instead, a connection would be missed until the task first runs, and a process
-/// that stops could end with a call just taken; one whose handler panicked would count for ever, and the
-/// stop would wait for it until its limit.
+/// If the connection's task did the counting, the connection would not count until the task first
+/// runs, and a stopping process could exit with a call just accepted. A connection whose handler
+/// panicked would count forever, and the stop would wait for it up to its limit.
 #[derive(Debug)]
-struct Open(Arc<AtomicUsize>);
+struct OpenConnectionGuard(Arc<AtomicUsize>);
 
-impl Open {
-    fn count(open: &Arc<AtomicUsize>) -> Self {
+impl OpenConnectionGuard {
+    fn new(open: &Arc<AtomicUsize>) -> Self {
         open.fetch_add(1, Ordering::Relaxed);
         Self(open.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Serves until the stop is over or its channel closed, and counts open connections in `open`.
+/// Serves until the phase is [`ServerPhase::Closed`] or its channel is closed, and counts open
+/// connections in `open`.
 ///
-/// Once it has returned, no further connection is counted. Those that the listener had not accepted are
-/// reset by the system; nothing of them was read.
+/// After it has returned, no further connection is counted. The kernel resets connections that the
+/// listener had not accepted; none of their data was read.
 pub async fn serve<H, Fut>(
     listener: TcpListener,
     cfg: ServerCfg,
-    mut stop: watch::Receiver<ServerPhase>,
+    mut phase: watch::Receiver<ServerPhase>,
     open: Arc<OpenConnections>,
     handler: H,
 ) where
@@ -135,16 +139,16 @@
     loop {
         let accepted = tokio::select! {
             biased;
-            _ = stop.wait_for(|stop| *stop >= ServerPhase::Closed) => return,
+            _ = phase.wait_for(|phase| *phase >= ServerPhase::Closed) => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
             Ok((stream, peer)) => {
-                let open = open.count(*stop.borrow());
-                let (handler, stop) = (handler.clone(), stop.clone());
+                let open_guard = open.count(*phase.borrow());
+                let (handler, phase) = (handler.clone(), phase.clone());
                 tokio::spawn(async move {
-                    let _open = open;
-                    if let Err(err) = connection(stream, peer, cfg, stop, handler).await {
+                    let _open = open_guard;
+                    if let Err(err) = serve_connection(stream, peer, cfg, phase, handler).await {
                         event!(Debug, "caller_connection_ended", peer = peer, error = err);
                     }
                 });
@@ -157,26 +161,26 @@
     }
 }
 
-async fn connection<H, Fut>(
+async fn serve_connection<H, Fut>(
     stream: TcpStream,
     peer: SocketAddr,
     cfg: ServerCfg,
-    mut stop: watch::Receiver<ServerPhase>,
+    mut phase: watch::Receiver<ServerPhase>,
     handler: H,
 ) -> io::Result<()>
 where
     H: Fn(Request<Incoming>, SocketAddr) -> Fut + Send + Sync + 'static,
     Fut: Future<Output = Response<AnyBody>> + Send + 'static,
 {
-    prepare(&stream, cfg.unacknowledged_timeout)?;
-    let (asked, stopped) = (Arc::new(Notify::new()), stop.clone());
-    let first_asked = asked.clone();
+    set_socket_options(&stream, cfg.unacknowledged_timeout)?;
+    let (request_notify, service_phase) = (Arc::new(Notify::new()), phase.clone());
+    let first_request = request_notify.clone();
     let service = service_fn(move |req| {
-        asked.notify_one();
-        let (answer, stopped) = (handler(req, peer), stopped.clone());
+        request_notify.notify_one();
+        let (answer, current_phase) = (handler(req, peer), service_phase.clone());
         async move {
             let mut response = answer.await;
-            if *stopped.borrow() >= ServerPhase::Draining {
+            if *current_phase.borrow() >= ServerPhase::Draining {
                 response
                     .headers_mut()
                     .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -188,25 +192,28 @@
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from(cfg.idle_timeout))
-        .max_buf_size(cfg.max_header_bytes.max(MIN_BUFFER));
+        .max_buf_size(cfg.max_header_bytes.max(MIN_BUFFER_BYTES));
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
-    let may_close = async {
-        let _ = stop.wait_for(|stop| *stop >= ServerPhase::Draining).await;
-        // Closed before its first request is read, a caller would have no answer to a request that is
-        // already on its way, and could not tell that it has not run.
-        let _ = tokio::time::timeout(FIRST_REQUEST.into(), first_asked.notified()).await;
-        tokio::time::sleep(ARRIVED.into()).await;
+    let close_allowed = async {
+        let _ = phase.wait_for(|phase| *phase >= ServerPhase::Draining).await;
+        // If the connection were closed before its first request is read, the caller of a request
+        // in flight would have no answer and could not know that it has not run.
+        let _ = tokio::time::timeout(FIRST_REQUEST_TIMEOUT.into(), first_request.notified()).await;
+        tokio::time::sleep(PENDING_REQUEST_PAUSE.into()).await;
     };
     tokio::select! {
-        ended = connection.as_mut() => return ended.map_err(io::Error::other),
-        () = may_close => connection.as_mut().graceful_shutdown(),
+        result = connection.as_mut() => return result.map_err(io::Error::other),
+        () = close_allowed => connection.as_mut().graceful_shutdown(),
     }
     connection.await.map_err(io::Error::other)
 }
 
-/// Has a connection fail whose peer no longer acknowledges. Behind a cut or on a link that went
-/// silent nothing else would ever end it.
-pub(super) fn prepare(stream: &TcpStream, silent: Millis) -> io::Result<()> {
+/// Sets the options of a connection; it fails once its peer has acknowledged nothing for the given
+/// time. After a network partition or on a dead link nothing else would ever end it.
+pub(super) fn set_socket_options(
+    stream: &TcpStream,
+    unacknowledged_timeout: Millis,
+) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(silent.into()))
+    SockRef::from(stream).set_tcp_user_timeout(Some(unacknowledged_timeout.into()))
 }
--- a/transport/net/src/http.rs
+++ b/transport/net/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP servers of our processes.
+//! Helpers for the ntex HTTP servers of the programs: threads, listeners and error responses.
 
 use std::future::Future;
 use std::io;
@@ -12,14 +12,14 @@
 use sill_wire::{ErrorBody, ErrorCode, ErrorDetail, header};
 use socket2::{Domain, Protocol, Socket, Type};
 
-/// Connections that may wait to be accepted.
+/// Number of connections that may wait to be accepted.
 const BACKLOG: i32 = 4096;
 
-/// Runs an ntex system with one future on a thread of its own.
+/// Runs a future in an ntex system on a new thread.
 ///
 /// # Errors
 ///
-/// Fails when the thread can't be started.
+/// Fails if the thread can't be started.
 pub fn spawn_system<F, Fut>(name: &str, main: F) -> io::Result<JoinHandle<io::Result<()>>>
 where
     F: FnOnce() -> Fut + Send + 'static,
@@ -34,17 +34,18 @@
     })
 }
 
-/// Binds a listener; port 0 takes a free port.
+/// Binds a listener; port 0 selects a free port.
 ///
 /// # Errors
 ///
-/// Fails when the address is taken or not ours.
+/// Fails if the address is in use or not local.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     listen(address).map_err(|err| io::Error::new(err.kind(), format!("{address}: {err}")))
 }
 
-/// The standard library's queue of 128 connections overflows when a balancer, or the callers of a
-/// lost entry instance, connect all at once; those beyond it wait for seconds or are given up.
+/// Listens with a longer accept queue than the standard library's 128 connections. That one
+/// overflows when a load balancer, or the callers of a lost entry instance, connect all at once;
+/// the connections beyond it wait for seconds or fail.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -54,23 +55,23 @@
     Ok(socket.into())
 }
 
-/// An error answer before it is sent.
+/// An error response before it is sent.
 #[derive(Debug, Clone)]
 pub struct Failure {
-    /// For programs.
+    /// The error code, for programs.
     pub code: ErrorCode,
-    /// For people.
+    /// The error text, for people.
     pub message: String,
-    /// All findings of a bad request.
+    /// All findings about an invalid request.
     pub findings: Findings,
-    /// Whether it is certain that no byte of the request has left for an endpoint.
+    /// Whether it is certain that no byte of the request was sent to an endpoint.
     pub not_run: bool,
-    /// Whole seconds after which to come back.
+    /// Seconds after which the caller may retry.
     pub retry_after: Option<u32>,
 }
 
 impl Failure {
-    /// Makes a failure that says nothing on whether the request was run.
+    /// Creates a failure that does not state whether the request was run.
     pub fn new<M>(code: ErrorCode, message: M) -> Self
     where
         M: Into<String>,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Makes the answer.
+    /// Converts the failure to the response for the request with this id.
     pub fn response(self, request_id: &Name) -> HttpResponse {
         let body = ErrorBody {
             error: ErrorDetail {
@@ -107,7 +108,7 @@
     }
 }
 
-/// Makes a JSON answer with a status code.
+/// Returns a JSON response with a status code.
 pub fn json<T>(code: u16, value: &T) -> HttpResponse
 where
     T: Serialize,
--- a/transport/net/src/lib.rs
+++ b/transport/net/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP towards the outside by ntex, relayed HTTP by hyper, and JSON-RPC between our own processes by
+//! HTTP servers and clients on ntex, relayed HTTP/1.1 on hyper, and JSON-RPC between instances on
 //! jsonrpsee.
 
 pub mod client;
--- a/transport/net/src/peer.rs
+++ b/transport/net/src/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between our own processes, authenticated with the cluster key.
+//! RPC between instances, authenticated with the cluster key.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
@@ -19,40 +19,41 @@
 use sill_wire::Call;
 use tower::{BoxError, Layer, Service, ServiceBuilder};
 
-/// The largest message between two of our processes, in bytes.
-const MAX_MESSAGE: u32 = 64 << 20;
+/// Maximum size of a request or response between two instances.
+const MAX_MESSAGE_BYTES: u32 = 64 << 20;
 
-/// Connections that a process takes from peers at once.
+/// Number of connections from peers that a process accepts at once.
 const MAX_CONNECTIONS: u32 = 4096;
 
-/// Time that a connection may take. Between failure domains it takes a few milliseconds; an instance
-/// that is down answers nothing, and whoever waited for it a second asked no other one meanwhile.
-const CONNECT: Millis = Millis(300);
+/// Time-out for opening a connection, which takes a few milliseconds between failure domains. An
+/// instance that is down sends no reply, and a caller that waits a second for it tries no other one
+/// meanwhile.
+const CONNECT_TIMEOUT: Millis = Millis(300);
 
 /// Why a call had no reply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerError {
-    /// The peer can't be reached, or the reply did not come in time; whether the call was carried
+    /// The peer can't be reached, or its reply did not arrive in time; whether the call was carried
     /// out is unknown.
     Unreachable(String),
-    /// The peer answered with an error.
+    /// The peer replied with an error.
     Refused(String),
 }
 
-/// Methods that a process answers.
+/// Collects the methods of a [`PeerServer`] before it starts.
 pub struct PeerServerBuilder {
     module: RpcModule<()>,
     key: Secret,
 }
 
-/// A running server; it stops when dropped.
+/// A running RPC server; it stops when dropped.
 #[derive(Debug)]
 pub struct PeerServer {
     handle: ServerHandle,
     address: SocketAddr,
 }
 
-/// A client of one peer. Clones share its connections.
+/// An RPC client of one peer. Clones share its connections.
 #[derive(Debug, Clone)]
 pub struct PeerClient {
     http: HttpClient,
@@ -60,16 +61,16 @@
 }
 
 impl PeerServerBuilder {
-    /// Starts with no methods.
+    /// Creates a builder without methods; the server accepts only calls with the cluster key `key`.
     pub fn new(key: Secret) -> Self {
         Self { module: RpcModule::new(()), key }
     }
 
-    /// Answers a call.
+    /// Registers the handler of the method for the call type `C`.
     ///
     /// # Panics
     ///
-    /// Panics when the same call is registered twice.
+    /// Panics if the same method is registered twice.
     pub fn answer<C, F, Fut>(&mut self, handler: F) -> &mut Self
     where
         C: Call,
@@ -84,21 +85,21 @@
                 handler(call).await.map_err(ErrorObjectOwned::from)
             }
         });
-        registered.expect("each call is registered once");
+        registered.expect("each method is registered once");
         self
     }
 
-    /// Serves on a listener; must be called inside a tokio runtime.
+    /// Starts to serve on a listener; must be called inside a tokio runtime.
     ///
     /// # Errors
     ///
-    /// Fails when the listener can't be used.
+    /// Fails if the listener can't be used.
     pub fn start(self, listener: TcpListener) -> std::io::Result<PeerServer> {
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let cfg = jsonrpsee_server::ServerConfig::builder()
-            .max_request_body_size(MAX_MESSAGE)
-            .max_response_body_size(MAX_MESSAGE)
+            .max_request_body_size(MAX_MESSAGE_BYTES)
+            .max_response_body_size(MAX_MESSAGE_BYTES)
             .max_connections(MAX_CONNECTIONS)
             .set_tcp_no_delay(true)
             .build();
@@ -116,23 +117,23 @@
 }
 
 impl PeerServer {
-    /// Returns where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops it and closes its connections.
+    /// Stops the server and closes its connections.
     pub fn stop(&self) {
         let _ = self.handle.stop();
     }
 }
 
 impl PeerClient {
-    /// Makes a client; connections are opened on the first call.
+    /// Creates a client; its first call opens a connection. `timeout` applies to each call.
     ///
     /// # Panics
     ///
-    /// Panics when the cluster key holds characters that no HTTP header can carry.
+    /// Panics if the cluster key contains characters that are not allowed in an HTTP header.
     pub fn new(address: SocketAddr, key: &Secret, timeout: Millis) -> Self {
         let bearer = format!("Bearer {}", key.reveal());
         let mut value = HeaderValue::from_str(&bearer).expect("the cluster key is printable ASCII");
@@ -143,9 +144,9 @@
             .set_headers(headers)
             .set_tcp_no_delay(true)
             .request_timeout(timeout.into())
-            .connect_timeout(Duration::from(timeout.min(CONNECT)))
-            .max_request_size(MAX_MESSAGE)
-            .max_response_size(MAX_MESSAGE)
+            .connect_timeout(Duration::from(timeout.min(CONNECT_TIMEOUT)))
+            .max_request_size(MAX_MESSAGE_BYTES)
+            .max_response_size(MAX_MESSAGE_BYTES)
             .build(format!("http://{address}"))
             .expect("an address makes a valid URL");
         Self { http, address }
@@ -156,11 +157,11 @@
         self.address
     }
 
-    /// Calls the peer.
+    /// Calls a method of the peer.
     ///
     /// # Errors
     ///
-    /// Fails when the peer can't be reached in time or refuses.
+    /// Fails if the peer does not reply in time or replies with an error.
     pub async fn call<C>(&self, call: &C) -> Result<C::Reply, PeerError>
     where
         C: Call + Sync,
@@ -193,12 +194,12 @@
 
 impl From<PeerError> for ErrorObjectOwned {
     fn from(err: PeerError) -> Self {
-        const REFUSED: i32 = -32_000;
-        ErrorObjectOwned::owned(REFUSED, err.to_string(), None::<()>)
+        const REFUSED_CODE: i32 = -32_000;
+        ErrorObjectOwned::owned(REFUSED_CODE, err.to_string(), None::<()>)
     }
 }
 
-/// Lets only calls with the cluster key through.
+/// Middleware that rejects calls without the cluster key, with status 401.
 #[derive(Clone)]
 struct KeyLayer {
     key: Secret,
--- a/transport/net/tests/server.rs
+++ b/transport/net/tests/server.rs
@@ -1,4 +1,4 @@
-//! Callers' connections while a server stops.
+//! Connections and requests of callers while a server stops.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,8 +16,8 @@
 use tokio::runtime::{Builder, Handle, Runtime};
 use tokio::sync::watch;
 
-/// How long a test waits for bytes before it counts as hung.
-const HUNG: Duration = Duration::from_secs(20);
+/// Read time-out after which a test fails.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 const CFG: ServerCfg = ServerCfg {
     max_header_bytes: 8 << 10,
@@ -31,75 +31,79 @@
     Response::new(full_body("served"))
 }
 
-async fn panics(_req: Request<Incoming>, _peer: SocketAddr) -> Response<AnyBody> {
-    panic!("a promise is broken")
+async fn panic_handler(_req: Request<Incoming>, _peer: SocketAddr) -> Response<AnyBody> {
+    panic!("a handler panics")
 }
 
 async fn listen() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("a bound listener has an address");
     (listener, address)
 }
 
-fn one_thread() -> Runtime {
-    Builder::new_current_thread().enable_all().build().expect("a runtime")
+fn single_thread_runtime() -> Runtime {
+    Builder::new_current_thread().enable_all().build().expect("the runtime can be built")
 }
 
 fn connect(to: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(to).expect("it listens");
-    stream.set_read_timeout(Some(HUNG)).expect("it is a socket");
+    let stream = TcpStream::connect(to).expect("the server listens");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("the read time-out can be set");
     stream
 }
 
-/// A connection has been accepted, and its task waits for its turn behind others. An instance that
-/// stops and sees no open connection ends right then; the caller's call, which may have been read, is
-/// cut.
+/// A connection has been accepted, but its task has not run yet. If the connection did not count as
+/// open, a stopping instance would exit and cut the call, which may already have been read.
 #[test]
-fn a_connection_counts_as_open_from_when_it_was_accepted() {
-    one_thread().block_on(async {
+fn an_accepted_connection_counts_as_open_before_its_task_runs() {
+    single_thread_runtime().block_on(async {
         let (listener, address) = listen().await;
         let open: Arc<OpenConnections> = Arc::default();
         let (_stop, stopped) = watch::channel(ServerPhase::Serving);
         let mut server = Box::pin(serve(listener, CFG, stopped, open.clone(), answer));
-        let tasks = || Handle::current().metrics().num_alive_tasks();
+        let alive_tasks = || Handle::current().metrics().num_alive_tasks();
         let _callers: Vec<TcpStream> = (0..3).map(|_| connect(address)).collect();
-        // The server is polled from here, so that no task of a connection runs between it and the look.
-        while tasks() < 3 {
+        // The server is polled here, so that no connection's task runs between accept and check.
+        while alive_tasks() < 3 {
             let _ = poll!(server.as_mut());
-            assert_eq!(open.total(), tasks(), "accepted and not counted");
+            assert_eq!(
+                open.total(),
+                alive_tasks(),
+                "a connection was accepted but not counted as open"
+            );
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     });
 }
 
-/// A handler panics, as when a promise is broken. Its connection counted for ever, and a planned stop
-/// would last until its limit, though nothing is left to wait for.
+/// A handler panics, for example on a failed invariant check. If its connection counted as open
+/// forever, a planned stop would wait for it up to its limit.
 #[test]
-fn a_connection_whose_handler_panicked_is_not_open() {
-    one_thread().block_on(async {
+fn a_connection_whose_handler_panicked_does_not_count_as_open() {
+    single_thread_runtime().block_on(async {
         let (listener, address) = listen().await;
         let open: Arc<OpenConnections> = Arc::default();
         let (_stop, stopped) = watch::channel(ServerPhase::Serving);
-        tokio::spawn(serve(listener, CFG, stopped, open.clone(), panics));
+        tokio::spawn(serve(listener, CFG, stopped, open.clone(), panic_handler));
         let caller = thread::spawn(move || {
             let mut stream = connect(address);
-            stream.write_all(REQUEST).expect("it is read");
+            stream.write_all(REQUEST).expect("the request can be sent");
             stream.read_to_end(&mut Vec::new())
         });
         while !caller.is_finished() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
-        assert_eq!(open.total(), 0);
+        assert_eq!(open.total(), 0, "a connection whose handler panicked still counts");
     });
 }
 
-/// A caller connects to an instance that stops, because its balancer has not noticed or too few others
-/// are in rotation, and sends its call a moment later. Closed meanwhile, the caller has no answer and
-/// can't know whether the call has run; one that may run once only is never sent again.
+/// A caller connects to a stopping instance, because its load balancer has not noticed the stop or
+/// has too few other instances, and sends its call a moment later. If the connection is closed
+/// before that, the caller gets no answer and can't know whether the call has run; one that is not
+/// idempotent can't be retried.
 #[test]
 fn a_call_on_a_new_connection_is_answered_during_a_stop() {
-    one_thread().block_on(async {
+    single_thread_runtime().block_on(async {
         for pause in [Duration::ZERO, Duration::from_millis(50)] {
             for _ in 0..20 {
                 let (listener, address) = listen().await;
@@ -108,53 +112,61 @@
                 let caller = thread::spawn(move || {
                     let mut stream = connect(address);
                     thread::sleep(pause);
-                    let mut got = String::new();
+                    let mut answer_text = String::new();
                     stream.write_all(REQUEST)?;
-                    stream.read_to_string(&mut got).map(|_| got)
+                    stream.read_to_string(&mut answer_text).map(|_| answer_text)
                 });
                 while !caller.is_finished() {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
-                let got = caller.join().expect("no panic").expect("the connection is not reset");
-                assert!(got.ends_with("served"), "after {pause:?}: {got:?}");
-                assert!(got.contains("connection: close"), "it would come back here: {got}");
+                let answer_text = caller
+                    .join()
+                    .expect("the caller does not panic")
+                    .expect("the connection is not reset");
+                assert!(answer_text.ends_with("served"), "after {pause:?}: {answer_text:?}");
+                assert!(
+                    answer_text.contains("connection: close"),
+                    "kept alive during a stop: {answer_text}"
+                );
                 server.abort();
             }
         }
     });
 }
 
-/// The stop of an instance is over while a caller's connection still waits to be accepted, its call sent.
-/// The caller is told by a reset. Were the call read all the same, it might run, and the caller would
-/// have no answer.
+/// A server closes while a connection with a sent call still waits to be accepted. The caller must
+/// see a reset. If the call were still read, it could run and the caller would have no answer.
 #[test]
 fn a_connection_that_was_not_accepted_is_reset_unread() {
-    one_thread().block_on(async {
+    single_thread_runtime().block_on(async {
         let (listener, address) = listen().await;
         let (stop, stopped) = watch::channel(ServerPhase::Draining);
-        let (open, read) = (Arc::<OpenConnections>::default(), Arc::<AtomicUsize>::default());
-        let counted = read.clone();
-        let count = move |req, peer| {
-            counted.fetch_add(1, Ordering::Relaxed);
+        let (open, requests) = (Arc::<OpenConnections>::default(), Arc::<AtomicUsize>::default());
+        let handler_requests = requests.clone();
+        let counting_handler = move |req, peer| {
+            handler_requests.fetch_add(1, Ordering::Relaxed);
             answer(req, peer)
         };
         let mut waiting = connect(address);
-        waiting.write_all(REQUEST).expect("the system takes it");
+        waiting.write_all(REQUEST).expect("the kernel buffers the request");
         stop.send_replace(ServerPhase::Closed);
-        serve(listener, CFG, stopped, open.clone(), count).await;
-        assert!(waiting.read_to_end(&mut Vec::new()).is_err(), "a reset says that it was not read");
-        assert!(TcpStream::connect(address).is_err(), "nobody listens");
-        assert_eq!((read.load(Ordering::Relaxed), open.total()), (0, 0));
+        serve(listener, CFG, stopped, open.clone(), counting_handler).await;
+        assert!(
+            waiting.read_to_end(&mut Vec::new()).is_err(),
+            "the connection was closed without a reset"
+        );
+        assert!(TcpStream::connect(address).is_err(), "the listener is still open");
+        assert_eq!((requests.load(Ordering::Relaxed), open.total()), (0, 0));
     });
 }
 
-/// A caller sends its next request on a connection that it has kept, while the thread of the instance is
-/// busy; the instance begins to stop in that moment. The request has arrived, but its connection was ended as
-/// an unused one: the caller had no answer, and could not know that its request had not run.
+/// A caller sends a request on a kept-alive connection while the instance's thread is busy, and the
+/// instance starts to stop at that moment. If the connection is closed as idle although the request
+/// has arrived, the caller gets no answer and can't know that its request has not run.
 #[test]
-fn a_request_that_has_arrived_on_a_kept_connection_is_answered() {
-    let runtime = one_thread();
-    for turn in 0..20 {
+fn a_request_that_arrived_on_a_kept_alive_connection_is_answered_during_a_stop() {
+    let runtime = single_thread_runtime();
+    for round in 0..20 {
         let (tx, stopped) = watch::channel(ServerPhase::Serving);
         let address = runtime.block_on(async {
             let (listener, address) = listen().await;
@@ -162,28 +174,32 @@
             address
         });
         let mut caller = connect(address);
-        let ask = |caller: &mut TcpStream| caller.write_all(REQUEST).expect("it is read");
-        ask(&mut caller);
-        assert!(runtime.block_on(served(caller.try_clone().expect("a socket"))), "turn {turn}");
-        ask(&mut caller);
-        // The thread comes to its tasks once the request has arrived.
+        let send =
+            |caller: &mut TcpStream| caller.write_all(REQUEST).expect("the request can be sent");
+        send(&mut caller);
+        assert!(
+            runtime.block_on(is_answered(caller.try_clone().expect("the socket can be cloned"))),
+            "round {round}: no answer before the stop"
+        );
+        send(&mut caller);
+        // The server's thread runs its tasks only after the request has arrived.
         thread::sleep(Duration::from_millis(10));
         tx.send_replace(ServerPhase::Draining);
-        assert!(runtime.block_on(served(caller)), "turn {turn}: no answer");
+        assert!(runtime.block_on(is_answered(caller)), "round {round}: no answer during the stop");
     }
 }
 
-/// Reads one answer on another thread, while the runtime goes on.
-async fn served(mut caller: TcpStream) -> bool {
-    let read = tokio::task::spawn_blocking(move || {
-        let (mut got, mut buf) = (Vec::new(), [0; 4096]);
-        while !got.ends_with(b"served") {
+/// Returns whether the caller gets an answer. Reads on another thread, while the runtime continues.
+async fn is_answered(mut caller: TcpStream) -> bool {
+    let reader = tokio::task::spawn_blocking(move || {
+        let (mut answer, mut buf) = (Vec::new(), [0; 4096]);
+        while !answer.ends_with(b"served") {
             match caller.read(&mut buf) {
                 Ok(0) | Err(_) => return false,
-                Ok(read) => got.extend_from_slice(&buf[..read]),
+                Ok(len) => answer.extend_from_slice(&buf[..len]),
             }
         }
         true
     });
-    read.await.expect("no panic")
+    reader.await.expect("the reader does not panic")
 }
