--- a/daemons/setup/src/flags.rs
+++ b/daemons/setup/src/flags.rs
@@ -1,4 +1,4 @@
-//! Flags, each with an environment variable, checked and reported together.
+//! Parses flags and their environment variables, and reports all findings together.
 
 use std::env;
 use std::ffi::OsString;
@@ -9,75 +9,75 @@
 use getopts::{Fail, Matches, Options};
 use sill_base::{Findings, Map, Name, Secret};
 
-/// How often a flag may stand, and whether it takes a value.
+/// How often a flag may be given, and whether it takes a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FlagKind {
-    /// One value; the default where none is given.
+    /// At most one value; the default applies if none is given.
     One(Option<&'static str>),
-    /// Any number of values; its variable holds them separated by commas.
+    /// Any number of values; the environment variable holds them separated by commas.
     Many,
-    /// No value; its variable holds `true` or `false`.
+    /// No value; the environment variable holds `true` or `false`.
     Switch,
 }
 
-/// One flag.
+/// The declaration of a flag.
 #[derive(Debug, Clone, Copy)]
 pub struct Flag {
     /// The long name, without dashes.
     pub name: &'static str,
-    /// How often it may stand.
+    /// How often the flag may be given, and whether it takes a value.
     pub kind: FlagKind,
-    /// What its value looks like.
+    /// The form of the value, as shown by `--help` and in findings; empty for a switch.
     pub hint: &'static str,
-    /// What it does.
+    /// The description shown by `--help`.
     pub help: &'static str,
 }
 
-/// A program or one of its verbs, as `--help` shows it.
+/// The command line of a program or of one of its verbs.
 #[derive(Debug, Clone, Copy)]
 pub struct Program {
-    /// The program's name, with the verb.
+    /// The program's name, with the verb if there is one.
     pub name: &'static str,
-    /// What it does.
+    /// The description shown by `--help`.
     pub about: &'static str,
-    /// Words after the flags, as shown in the usage line.
+    /// The arguments after the flags, as shown in the usage line.
     pub operands: &'static str,
-    /// Its flags.
+    /// All flags besides `--help`.
     pub flags: &'static [Flag],
 }
 
-/// What came of reading a command line.
-// There is one for each process, so its size doesn't matter.
+/// The result of parsing a command line.
+// A process has only one, so its size doesn't matter.
 #[allow(clippy::large_enum_variant)]
 #[derive(Debug)]
 pub enum Outcome {
-    /// `--help` was asked for; this is the text.
+    /// `--help` was given; contains the text to print.
     Help(String),
-    /// Values to be checked.
+    /// The values given, which are not checked yet.
     Values(Values),
 }
 
 /// Environment variables by name.
 pub type Variables = Map<String, OsString>;
 
-/// Values of flags and variables, and what was wrong with them so far.
+/// The values of flags and environment variables, and the findings so far.
 #[derive(Debug)]
 pub struct Values {
     program: Program,
     matches: Matches,
     variables: Variables,
     findings: Findings,
-    /// Words that are not flags.
+    /// The arguments that are not flags.
     pub operands: Vec<String>,
 }
 
 impl Flag {
-    /// Makes a flag with one value that has no default.
+    /// Declares a flag with one value and no default.
     pub const fn one(name: &'static str, hint: &'static str, help: &'static str) -> Self {
         Self { name, kind: FlagKind::One(None), hint, help }
     }
 
-    /// Makes a flag with one value and a default.
+    /// Declares a flag with one value and a default.
     pub const fn with_default(
         name: &'static str,
         hint: &'static str,
@@ -87,62 +87,63 @@
         Self { name, kind: FlagKind::One(Some(default)), hint, help }
     }
 
-    /// Makes a flag that may stand more than once.
+    /// Declares a flag that may be given more than once.
     pub const fn many(name: &'static str, hint: &'static str, help: &'static str) -> Self {
         Self { name, kind: FlagKind::Many, hint, help }
     }
 
-    /// Makes a flag without a value.
+    /// Declares a flag without a value.
     pub const fn switch(name: &'static str, help: &'static str) -> Self {
         Self { name, kind: FlagKind::Switch, hint: "", help }
     }
 
-    /// Returns the flag's environment variable.
+    /// Returns the name of the flag's environment variable, for example `SILL_KEY_FILE`.
     pub fn variable(&self) -> String {
         format!("SILL_{}", self.name.to_uppercase().replace('-', "_"))
     }
 
-    /// Returns the place of a finding about the flag.
+    /// Returns the place that findings about the flag state: the flag and its variable.
     pub fn place(&self) -> String {
         format!("--{} ({})", self.name, self.variable())
     }
 }
 
 impl Program {
-    /// Reads the words after the program's name, with the variables of this process.
+    /// Parses the arguments after the program's name, with the environment of this process.
     ///
     /// # Errors
     ///
-    /// Returns findings where nothing could be read at all.
-    pub fn parse<I>(&self, words: I) -> Result<Outcome, Findings>
+    /// Returns findings if the arguments can't be parsed even without those at fault.
+    pub fn parse<I>(&self, args: I) -> Result<Outcome, Findings>
     where
         I: IntoIterator<Item = String>,
     {
         let text_names =
             env::vars_os().filter_map(|(name, value)| Some((name.into_string().ok()?, value)));
-        self.parse_with(words, text_names.collect())
+        self.parse_with(args, text_names.collect())
     }
 
-    /// Reads the words after the program's name, with the given variables. What is wrong with the
-    /// words is kept, to be reported together with what is wrong with the values.
+    /// Parses the arguments after the program's name, with the given environment variables.
+    /// Findings about the arguments are kept and reported together with those about the values.
     ///
     /// # Errors
     ///
-    /// Returns findings where nothing could be read at all.
-    pub fn parse_with<I>(&self, words: I, variables: Variables) -> Result<Outcome, Findings>
+    /// Returns findings if the arguments can't be parsed even without those at fault.
+    pub fn parse_with<I>(&self, args: I, variables: Variables) -> Result<Outcome, Findings>
     where
         I: IntoIterator<Item = String>,
     {
         let options = self.options();
-        let mut words: Vec<String> = words.into_iter().collect();
+        let mut args: Vec<String> = args.into_iter().collect();
         let mut findings = Findings::new();
-        // The parser stops at the first fault; without the faulty word it goes on to the next.
+        // The parser stops at the first fault. Without the argument at fault it reaches the next
+        // one.
         let matches = loop {
-            match options.parse(&words) {
+            match options.parse(&args) {
                 Ok(matches) => break matches,
-                Err(fault) => {
-                    findings.add(self.place_of_fault(&fault), reason(&fault));
-                    if !remove_fault(&mut words, &fault) {
+                Err(fail) => {
+                    findings.add(self.failure_place(&fail), failure_reason(&fail));
+                    if !remove_failed_arg(&mut args, &fail) {
                         return Err(findings);
                     }
                 }
@@ -155,16 +156,17 @@
         Ok(Outcome::Values(Values { program: *self, matches, variables, findings, operands }))
     }
 
-    /// Reads the words after the program's name, or prints the text of `--help` if they ask for it.
+    /// Parses the arguments after the program's name. Prints the help text and returns `None` if
+    /// `--help` is among them.
     ///
     /// # Errors
     ///
-    /// Returns every finding in the words.
-    pub fn values_or_help<I>(&self, words: I) -> Result<Option<Values>, Findings>
+    /// Returns findings if the arguments can't be parsed even without those at fault.
+    pub fn values_or_help<I>(&self, args: I) -> Result<Option<Values>, Findings>
     where
         I: IntoIterator<Item = String>,
     {
-        match self.parse(words)? {
+        match self.parse(args)? {
             Outcome::Help(text) => {
                 print!("{text}");
                 Ok(None)
@@ -175,7 +177,7 @@
 
     fn options(&self) -> Options {
         let mut options = Options::new();
-        options.optflag("h", "help", "show this text");
+        options.optflag("h", "help", "print this help");
         for flag in self.flags {
             match flag.kind {
                 FlagKind::One(_) => options.optopt("", flag.name, flag.help, flag.hint),
@@ -186,8 +188,8 @@
         options
     }
 
-    fn place_of_fault(&self, fault: &Fail) -> String {
-        let name = flag_of(fault);
+    fn failure_place(&self, fail: &Fail) -> String {
+        let name = flag_name(fail);
         match self.flags.iter().find(|flag| flag.name == name) {
             Some(flag) => flag.place(),
             None => format!("--{name}"),
@@ -215,17 +217,17 @@
 }
 
 impl Values {
-    /// Returns a value that may be left out and has no default.
+    /// Returns the value of an optional flag without a default.
     pub fn optional<T>(&mut self, name: &str) -> Option<T>
     where
         T: FromStr,
         T::Err: Display,
     {
-        let text = self.one(name)?;
+        let text = self.single_text(name)?;
         self.parse(self.flag(name), &text)
     }
 
-    /// Returns a value that must be given or has a default; notes a finding otherwise.
+    /// Returns the value of a flag that must be given or has a default; adds a finding otherwise.
     ///
     /// The result is `Some` whenever [`Values::finish`] succeeds.
     pub fn required<T>(&mut self, name: &str) -> Option<T>
@@ -234,11 +236,11 @@
         T::Err: Display,
     {
         let flag = self.flag(name);
-        let faults = self.findings.len();
-        match self.one(name) {
+        let finding_count = self.findings.len();
+        match self.single_text(name) {
             Some(text) => self.parse(flag, &text),
             None => {
-                if self.findings.len() == faults {
+                if self.findings.len() == finding_count {
                     self.findings.add(flag.place(), "missing");
                 }
                 None
@@ -255,8 +257,8 @@
         let flag = self.flag(name);
         let mut texts = self.matches.opt_strs(name);
         if texts.is_empty() {
-            let listed = self.variable(flag).unwrap_or_default();
-            texts = listed.split(',').filter(|t| !t.is_empty()).map(str::to_owned).collect();
+            let list = self.variable(flag).unwrap_or_default();
+            texts = list.split(',').filter(|t| !t.is_empty()).map(str::to_owned).collect();
         }
         texts.iter().filter_map(|text| self.parse(flag, text)).collect()
     }
@@ -271,7 +273,7 @@
         text.and_then(|text| self.parse(flag, &text)).unwrap_or(false)
     }
 
-    /// Returns a well-formed name.
+    /// Returns the value of a required flag that is a well-formed name; adds a finding otherwise.
     pub fn name(&mut self, name: &str) -> Option<Name> {
         let text: String = self.required(name)?;
         if Name::is_well_formed(&text) {
@@ -282,19 +284,19 @@
         None
     }
 
-    /// Returns the secret that stands in the file a flag names.
+    /// Returns the secret in the file that a required flag names, without surrounding whitespace.
     pub fn secret(&mut self, name: &str) -> Option<Secret> {
         let path: String = self.required(name)?;
-        self.secret_in(name, path)
+        self.read_secret(name, path)
     }
 
-    /// Returns the secret that stands in the file a flag names, if it is given.
+    /// Returns the secret in the file that an optional flag names, without surrounding whitespace.
     pub fn optional_secret(&mut self, name: &str) -> Option<Secret> {
         let path: String = self.optional(name)?;
-        self.secret_in(name, path)
+        self.read_secret(name, path)
     }
 
-    fn secret_in(&mut self, name: &str, path: String) -> Option<Secret> {
+    fn read_secret(&mut self, name: &str, path: String) -> Option<Secret> {
         let place = self.flag(name).place();
         match fs::read_to_string(&path) {
             Ok(text) if !text.trim().is_empty() => Some(Secret::new(text.trim())),
@@ -309,17 +311,17 @@
         }
     }
 
-    /// Notes a finding about a flag.
+    /// Adds a finding about a flag.
     pub fn add_finding(&mut self, name: &str, reason: impl Into<String>) {
         let place = self.flag(name).place();
         self.findings.add(place, reason);
     }
 
-    /// Ends the check.
+    /// Completes the check of all values.
     ///
     /// # Errors
     ///
-    /// Returns all findings, each with its flag and variable.
+    /// Returns all findings so far, each with its flag and variable.
     pub fn finish(&mut self) -> Result<(), Findings> {
         std::mem::take(&mut self.findings).into_result(())
     }
@@ -329,21 +331,21 @@
         *flag.unwrap_or_else(|| panic!("flag --{name} is not declared"))
     }
 
-    /// Returns the text of a flag or variable, or its default.
-    fn one(&mut self, name: &str) -> Option<String> {
+    /// Returns the text of a flag, of its variable or of its default, in this order.
+    fn single_text(&mut self, name: &str) -> Option<String> {
         let flag = self.flag(name);
-        let faults = self.findings.len();
-        let given = self.matches.opt_str(name).or_else(|| self.variable(flag));
+        let finding_count = self.findings.len();
+        let text = self.matches.opt_str(name).or_else(|| self.variable(flag));
         match flag.kind {
-            FlagKind::One(Some(default)) if self.findings.len() == faults => {
-                Some(given.unwrap_or_else(|| default.to_owned()))
+            FlagKind::One(Some(default)) if self.findings.len() == finding_count => {
+                Some(text.unwrap_or_else(|| default.to_owned()))
             }
-            _ => given,
+            _ => text,
         }
     }
 
-    /// Returns the text of a flag's variable. One that is set but empty is most often a script's
-    /// own variable that was never filled, so it is not taken for "not set".
+    /// Returns the text of a flag's environment variable. A variable that is set but empty is a
+    /// finding and does not count as unset: most often a script's own variable was never assigned.
     fn variable(&mut self, flag: Flag) -> Option<String> {
         let value = self.variables.get(&flag.variable())?;
         match value.to_str() {
@@ -379,9 +381,9 @@
     }
 }
 
-/// Returns the flag that the parser stopped at, without dashes.
-fn flag_of(fault: &Fail) -> &str {
-    match fault {
+/// Returns the name of the flag at which the parser stopped, without dashes.
+fn flag_name(fail: &Fail) -> &str {
+    match fail {
         Fail::ArgumentMissing(name)
         | Fail::UnrecognizedOption(name)
         | Fail::OptionMissing(name)
@@ -390,43 +392,44 @@
     }
 }
 
-/// Tells what is wrong, without the value, which may be a secret.
-fn reason(fault: &Fail) -> &'static str {
-    match fault {
+/// Describes a fault without the value, which may be a secret.
+fn failure_reason(fail: &Fail) -> &'static str {
+    match fail {
         Fail::ArgumentMissing(_) => "the value is missing",
         Fail::UnrecognizedOption(_) => "unknown flag",
         Fail::OptionMissing(_) => "missing",
-        Fail::OptionDuplicated(_) => "stands more than once",
+        Fail::OptionDuplicated(_) => "given more than once",
         Fail::UnexpectedArgument(_) => "takes no value",
     }
 }
 
-/// Removes the words that the parser stopped at; returns whether there were any.
-fn remove_fault(words: &mut Vec<String>, fault: &Fail) -> bool {
-    let name = flag_of(fault);
-    let is_it = |word: &String| {
-        let word = word.trim_start_matches('-');
-        word == name || word.strip_prefix(name).is_some_and(|rest| rest.starts_with('='))
+/// Removes the argument at which the parser stopped, and its value if the flag was given more than
+/// once; returns whether such an argument was found.
+fn remove_failed_arg(args: &mut Vec<String>, fail: &Fail) -> bool {
+    let name = flag_name(fail);
+    let has_name = |arg: &String| {
+        let arg = arg.trim_start_matches('-');
+        arg == name || arg.strip_prefix(name).is_some_and(|rest| rest.starts_with('='))
     };
-    let is_flag = |word: &String| word.starts_with('-') && is_it(word);
-    let at = match fault {
-        // A short flag can be one letter out of a word of several.
+    let is_flag = |arg: &String| arg.starts_with('-') && has_name(arg);
+    let index = match fail {
+        // A short flag can be one letter of an argument that combines several.
         Fail::UnrecognizedOption(letter) if letter.chars().count() == 1 => {
-            words.iter().position(|word| is_flag(word) || is_short_with(word, letter))
+            args.iter().position(|arg| is_flag(arg) || has_short_flag(arg, letter))
         }
-        _ => words.iter().rposition(is_flag),
+        _ => args.iter().rposition(is_flag),
     };
-    let Some(at) = at else {
+    let Some(index) = index else {
         return false;
     };
-    let word = words.remove(at);
-    let has_value_after = matches!(fault, Fail::OptionDuplicated(_)) && !word.contains('=');
-    if has_value_after && words.get(at).is_some_and(|next| !next.starts_with('-')) {
-        words.remove(at);
+    let arg = args.remove(index);
+    let may_have_value_arg = matches!(fail, Fail::OptionDuplicated(_)) && !arg.contains('=');
+    if may_have_value_arg && args.get(index).is_some_and(|next| !next.starts_with('-')) {
+        args.remove(index);
     }
     true
 }
 
-fn is_short_with(word: &str, letter: &str) -> bool {
-    word.starts_with('-') && !word.starts_with("--") && word.contains(letter)
+fn has_short_flag(arg: &str, letter: &str) -> bool {
+    arg.starts_with('-') && !arg.starts_with("--") && arg.contains(letter)
 }
--- a/daemons/setup/src/lib.rs
+++ b/daemons/setup/src/lib.rs
@@ -1,4 +1,4 @@
-//! What every program needs to start: checked flags and variables, logs, signals.
+//! Start-up of the programs: flags and environment variables, logging, stop signals and exit codes.
 
 pub mod flags;
 pub mod logs;
@@ -7,19 +7,19 @@
 
 pub use flags::{Flag, FlagKind, Outcome, Program, Values, Variables};
 
-/// The exit code for wrong flags, variables or files.
+/// The exit code for invalid flags, environment variables or settings files.
 pub const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// Turns the result of a program into its exit code, prints what went wrong, and has the last lines of the
-/// log written.
+/// Converts the result of a program to its exit code. Prints the error on standard error, and waits
+/// until the last log lines are written.
 pub fn exit_code(result: eyre::Result<()>) -> std::process::ExitCode {
     logs::flush();
     match result {
         Ok(()) => std::process::ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("{err:#}");
-            let bad_settings = err.downcast_ref::<sill_base::Findings>().is_some();
-            std::process::ExitCode::from(if bad_settings { EXIT_BAD_SETTINGS } else { 1 })
+            let is_bad_settings = err.downcast_ref::<sill_base::Findings>().is_some();
+            std::process::ExitCode::from(if is_bad_settings { EXIT_BAD_SETTINGS } else { 1 })
         }
     }
 }
--- a/daemons/setup/src/logs.rs
+++ b/daemons/setup/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs, one key=value line for each event.
+//! Logging: each event is one line of `key=value` pairs.
 
 use std::panic::{self, PanicHookInfo};
 use std::sync::OnceLock;
@@ -11,40 +11,43 @@
 
 use crate::queue::LogQueue;
 
-/// The exit code of a process that found a promise broken.
+/// The exit code of a process in which a promise (an invariant of the product) was broken.
 const EXIT_BROKEN_PROMISE: i32 = 3;
 
-/// Time for which the end of a process waits for its last lines. The writer pauses for 25 ms between two
-/// writes; a reader that has stopped must not hold up the end, which a platform enforces within 500 ms.
-const LAST_LINES: Millis = Millis(200);
+/// Time-out for writing the last lines when a process ends. The writer pauses for 25 ms between two
+/// writes. A reader that has stopped must not delay the exit, which a platform enforces within 500
+/// ms.
+const FLUSH_TIMEOUT: Millis = Millis(200);
 
-/// The queue of a daemon.
+/// The queue of log lines of a daemon; set by [`start_daemon`].
 static QUEUE: OnceLock<LogQueue> = OnceLock::new();
 
-/// Starts logging on standard error. From now on a broken promise ends the process.
+/// Starts logging to standard error. From then on, a broken promise ends the process.
 ///
 /// # Errors
 ///
-/// Fails when a logger was set before.
+/// Fails if a logger has already been set.
 pub fn start(level: LevelFilter) -> Result<()> {
     start_to(level, fern::Output::stderr("\n"))
 }
 
-/// Starts logging on standard output, through a bounded queue that never holds up the caller.
+/// Starts logging to standard output through a bounded queue, so that logging never blocks. From
+/// then on, a broken promise ends the process.
 ///
 /// # Errors
 ///
-/// Fails when a logger was set before or the writer can't be started.
+/// Fails if a logger has already been set or the writer thread can't be started.
 pub fn start_daemon(level: LevelFilter) -> Result<()> {
     let queue = LogQueue::start(io::stdout())?;
     let queue = QUEUE.get_or_init(|| queue);
     start_to(level, fern::Output::call(|record| queue.add(record)))
 }
 
-/// Has a daemon's last lines written, before its process ends.
+/// Waits up to 200 ms until all lines of a daemon's log are written; called before the process
+/// exits.
 pub fn flush() {
     if let Some(queue) = QUEUE.get() {
-        queue.flush(LAST_LINES);
+        queue.flush(FLUSH_TIMEOUT);
     }
 }
 
@@ -54,12 +57,14 @@
             let text = message.to_string();
             let stamp = Millis::wall();
             let level = record.level();
-            // Only our own lines are escaped pairs; a library may log a caller's text as it came.
-            let is_ours = record.target().starts_with("sill") && text.starts_with("event=");
-            if is_ours && !text.contains(['\n', '\r']) {
+            // Only the product's own lines are escaped pairs; a library may log a caller's text
+            // verbatim.
+            let is_product_event =
+                record.target().starts_with("sill") && text.starts_with("event=");
+            if is_product_event && !text.contains(['\n', '\r']) {
                 out.finish(format_args!("at={stamp} level={level} {text}"));
             } else {
-                // A library's free text becomes one escaped value, so that it stays one line.
+                // A library's free text is escaped as one value, so that it stays on one line.
                 let mut line = String::new();
                 push_pair(&mut line, "target", record.target());
                 push_pair(&mut line, "text", &text);
@@ -81,29 +86,31 @@
         .apply()?;
     panic::set_hook(Box::new(|info| {
         log_panic(info);
-        end_on_broken_promise(info);
+        exit_on_broken_promise(info);
     }));
     Ok(())
 }
 
-/// Ends the process when a promise is broken. A panic alone ends only its task; the rest would go on
-/// with a state that is wrong, and without membership or settings if it was their task, silently.
-fn end_on_broken_promise(info: &PanicHookInfo<'_>) {
-    if text_of(info).is_some_and(|text| text.starts_with("promise=")) {
+/// Ends the process if the panic reports a broken promise. The panic alone would end only its task:
+/// the other tasks would continue with an invalid state, and, if it was the task of membership or
+/// settings, without these and without notice.
+fn exit_on_broken_promise(info: &PanicHookInfo<'_>) {
+    if panic_text(info).is_some_and(|text| text.starts_with("promise=")) {
         flush();
         process::exit(EXIT_BROKEN_PROMISE);
     }
 }
 
-fn text_of<'a>(info: &'a PanicHookInfo<'_>) -> Option<&'a str> {
+fn panic_text<'a>(info: &'a PanicHookInfo<'_>) -> Option<&'a str> {
     let payload = info.payload();
     let text = payload.downcast_ref::<&str>().copied();
     text.or_else(|| payload.downcast_ref::<String>().map(String::as_str))
 }
 
-/// Logs a panic as one line; the usual text of several lines could not be told from forged ones.
+/// Logs a panic as one line. The default report has several lines, which could not be distinguished
+/// from forged ones.
 fn log_panic(info: &PanicHookInfo<'_>) {
-    let text = text_of(info);
+    let text = panic_text(info);
     let thread = thread::current();
     let place = info.location().map(ToString::to_string).unwrap_or_default();
     event!(
--- a/daemons/setup/src/signal.rs
+++ b/daemons/setup/src/signal.rs
@@ -1,4 +1,4 @@
-//! Signals that ask a program to stop.
+//! Stop signals of a process, with the time at which each was received.
 
 use std::io;
 use std::thread;
@@ -9,85 +9,84 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc;
 
-/// The stop signals of a process, heard on a thread of their own.
+/// The stop signals of a process, received on a dedicated thread.
 ///
-/// A program makes it before anything else. Until the handlers are set, a signal ends the process on the
-/// spot, with whatever it has taken on by then. The thread does nothing else, so that the time at which a
-/// signal came is known also where the program's own threads are busy.
+/// A program creates it before anything else. Until the handlers are set, a signal kills the
+/// process immediately, with any requests in flight. The thread does nothing else, so that the time
+/// at which a signal was received is known even if the program's own threads are busy.
 #[derive(Debug)]
 pub struct StopSignals {
-    heard: mpsc::UnboundedReceiver<Heard>,
+    rx: mpsc::UnboundedReceiver<ReceivedSignal>,
     clock: Clock,
 }
 
-/// A signal that came.
+/// A signal and the time at which it was received.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
-    kind: Kind,
-    at: Millis,
+struct ReceivedSignal {
+    kind: HandledSignal,
+    received_at: Millis,
 }
 
-/// What a process is told by a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum HandledSignal {
     Terminate,
     Interrupt,
     Hangup,
 }
 
-/// The handlers.
-struct Handlers {
+/// Handlers of the signals that would otherwise kill the process.
+struct SignalHandlers {
     terminate: Signal,
     interrupt: Signal,
-    /// Without a handler a hang-up ends the process on the spot, and what is in flight is cut. It comes
-    /// when a terminal closes, and from supervisors that want settings read anew.
+    /// Without a handler, a SIGHUP kills the process immediately and cuts the requests in flight.
+    /// It is sent when a terminal closes, and by supervisors to have settings reloaded.
     hangup: Signal,
 }
 
 impl StopSignals {
-    /// Starts to listen.
+    /// Sets the signal handlers and starts the thread that receives the signals.
     ///
     /// # Errors
     ///
-    /// Fails when the handlers can't be set or the thread can't be started.
+    /// Fails if the handlers can't be set or the thread can't be started.
     pub fn listen() -> Result<Self> {
         let runtime = Builder::new_current_thread().enable_io().build()?;
         let handlers = {
             let _guard = runtime.enter();
-            Handlers::set()?
+            SignalHandlers::set()?
         };
-        let (clock, (tx, heard)) = (Clock::start(), mpsc::unbounded_channel());
-        let hear = move || hear(&runtime, handlers, clock, &tx);
-        thread::Builder::new().name("signals".into()).spawn(hear)?;
-        Ok(Self { heard, clock })
+        let (clock, (tx, rx)) = (Clock::start(), mpsc::unbounded_channel());
+        let run = move || forward_signals(&runtime, handlers, clock, &tx);
+        thread::Builder::new().name("signals".into()).spawn(run)?;
+        Ok(Self { rx, clock })
     }
 
-    /// Waits for the next SIGTERM or SIGINT, and returns how long ago it came.
+    /// Waits for the next SIGTERM or SIGINT, and returns how long ago it was received.
     ///
-    /// Whoever sent it counts from there until it kills the process. A program that was still starting, or
-    /// whose tasks wait for each other on a small part of a core, comes to it late.
+    /// The sender counts from then until it kills the process. A program that is still starting, or
+    /// whose tasks compete for a small share of a core, handles the signal late.
     pub async fn next(&mut self) -> Millis {
-        let heard = self.next_heard().await;
-        self.clock.now() - heard.at
+        let signal = self.next_signal().await;
+        self.clock.now() - signal.received_at
     }
 
-    /// Waits for the next SIGINT, with which an operator at a terminal cuts a stop short.
+    /// Waits for the next SIGINT, with which an operator at a terminal ends a stop early.
     ///
-    /// A further SIGTERM does not: platforms and supervisors repeat it while a process still runs, and what
-    /// is in flight would be cut though there was time left for it.
+    /// A further SIGTERM does not end it: platforms and supervisors repeat SIGTERM while a process
+    /// still runs, and requests in flight would be cut although there is time left for them.
     pub async fn interrupted(&mut self) {
-        while self.next_heard().await.kind != Kind::Interrupt {}
+        while self.next_signal().await.kind != HandledSignal::Interrupt {}
     }
 
-    async fn next_heard(&mut self) -> Heard {
-        match self.heard.recv().await {
-            Some(heard) => heard,
+    async fn next_signal(&mut self) -> ReceivedSignal {
+        match self.rx.recv().await {
+            Some(signal) => signal,
             None => std::future::pending().await,
         }
     }
 }
 
-impl Handlers {
+impl SignalHandlers {
     fn set() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -97,7 +96,7 @@
     }
 }
 
-impl Kind {
+impl HandledSignal {
     const fn name(self) -> &'static str {
         match self {
             Self::Terminate => "SIGTERM",
@@ -107,24 +106,26 @@
     }
 }
 
-/// Passes signals on until nobody listens any more.
-fn hear(
+/// Sends the stop signals to `tx` until its receiver is dropped. SIGHUP is only logged.
+fn forward_signals(
     runtime: &Runtime,
-    mut handlers: Handlers,
+    mut handlers: SignalHandlers,
     clock: Clock,
-    tx: &mpsc::UnboundedSender<Heard>,
+    tx: &mpsc::UnboundedSender<ReceivedSignal>,
 ) {
     runtime.block_on(async {
         loop {
             let kind = tokio::select! {
-                _ = handlers.terminate.recv() => Kind::Terminate,
-                _ = handlers.interrupt.recv() => Kind::Interrupt,
-                _ = handlers.hangup.recv() => Kind::Hangup,
+                _ = handlers.terminate.recv() => HandledSignal::Terminate,
+                _ = handlers.interrupt.recv() => HandledSignal::Interrupt,
+                _ = handlers.hangup.recv() => HandledSignal::Hangup,
                 () = tx.closed() => return,
             };
-            let at = clock.now();
+            let received_at = clock.now();
             event!(Info, "signal", name = kind.name());
-            if kind != Kind::Hangup && tx.send(Heard { kind, at }).is_err() {
+            if kind != HandledSignal::Hangup
+                && tx.send(ReceivedSignal { kind, received_at }).is_err()
+            {
                 return;
             }
         }
--- a/daemons/setup/tests/flags.rs
+++ b/daemons/setup/tests/flags.rs
@@ -1,4 +1,4 @@
-//! Wrong flags and variables are all reported, each with its flag and variable.
+//! All invalid flags and variables are reported together, each with its flag and variable.
 
 use std::net::SocketAddr;
 
@@ -19,71 +19,72 @@
     ],
 };
 
-const SOUND: [&str; 6] = ["--name", "n1", "--listen", "127.0.0.1:1", "--key-file", "Cargo.toml"];
+const VALID_ARGS: [&str; 6] =
+    ["--name", "n1", "--listen", "127.0.0.1:1", "--key-file", "Cargo.toml"];
 
-/// What is added to sound words, and every finding that follows.
+/// Changes to valid arguments, and all findings that result.
 struct Case {
     name: &'static str,
-    words: &'static [&'static str],
+    args: &'static [&'static str],
     variables: &'static [(&'static str, &'static str)],
     without: &'static [&'static str],
     findings: &'static [&'static str],
 }
 
 const CASES: [Case; 16] = [
-    Case { name: "nothing wrong", words: &[], variables: &[], without: &[], findings: &[] },
+    Case { name: "valid", args: &[], variables: &[], without: &[], findings: &[] },
     Case {
         name: "missing",
-        words: &[],
+        args: &[],
         variables: &[],
         without: &["--name"],
         findings: &["--name (SILL_NAME): missing"],
     },
     Case {
         name: "by variable",
-        words: &[],
+        args: &[],
         variables: &[("SILL_NAME", "n2")],
         without: &["--name"],
         findings: &[],
     },
     Case {
         name: "empty variable",
-        words: &[],
+        args: &[],
         variables: &[("SILL_NAME", "")],
         without: &["--name"],
         findings: &["--name (SILL_NAME): the variable is set but empty"],
     },
     Case {
         name: "empty variable of a flag with a default",
-        words: &[],
+        args: &[],
         variables: &[("SILL_WORKERS", "")],
         without: &[],
         findings: &["--workers (SILL_WORKERS): the variable is set but empty"],
     },
     Case {
         name: "empty variable of a switch",
-        words: &[],
+        args: &[],
         variables: &[("SILL_FAST", "")],
         without: &[],
         findings: &["--fast (SILL_FAST): the variable is set but empty"],
     },
     Case {
-        name: "empty word",
-        words: &["--workers", ""],
+        name: "empty value",
+        args: &["--workers", ""],
         variables: &[],
         without: &[],
         findings: &["--workers (SILL_WORKERS): empty"],
     },
     Case {
         name: "repeated single flag",
-        words: &["--name", "n2"],
+        args: &["--name", "n2"],
         variables: &[],
         without: &[],
-        findings: &["--name (SILL_NAME): stands more than once"],
+        findings: &["--name (SILL_NAME): given more than once"],
     },
     Case {
         name: "port out of range",
-        words: &["--listen", "127.0.0.1:65536"],
+        args: &["--listen", "127.0.0.1:65536"],
         variables: &[],
         without: &["--listen"],
         findings: &[
@@ -91,8 +92,8 @@
         ],
     },
     Case {
-        name: "one bad address out of a list",
-        words: &[],
+        name: "one invalid address in a list",
+        args: &[],
         variables: &[("SILL_PEER", "127.0.0.1:1,127.0.0.1")],
         without: &[],
         findings: &[
@@ -100,8 +101,8 @@
         ],
     },
     Case {
-        name: "unreadable file",
-        words: &["--key-file", "no/such/file"],
+        name: "missing file",
+        args: &["--key-file", "no/such/file"],
         variables: &[],
         without: &["--key-file"],
         findings: &[
@@ -109,15 +110,15 @@
         ],
     },
     Case {
-        name: "bad name",
-        words: &["--name", "a b"],
+        name: "malformed name",
+        args: &["--name", "a b"],
         variables: &[],
         without: &["--name"],
         findings: &["--name (SILL_NAME): \"a b\": expected 1 to 64 of letters, digits, `-_.`"],
     },
     Case {
-        name: "switch with another word",
-        words: &[],
+        name: "switch with an invalid value",
+        args: &[],
         variables: &[("SILL_FAST", "yes")],
         without: &[],
         findings: &[
@@ -126,27 +127,27 @@
     },
     Case {
         name: "switch with a value",
-        words: &["--fast=yes"],
+        args: &["--fast=yes"],
         variables: &[],
         without: &[],
         findings: &["--fast (SILL_FAST): takes no value"],
     },
     Case {
         name: "value missing at the end",
-        words: &["--workers"],
+        args: &["--workers"],
         variables: &[],
         without: &[],
         findings: &["--workers (SILL_WORKERS): the value is missing"],
     },
     Case {
-        name: "everything at once",
-        words: &["--nam", "x", "-z", "--name", "n2", "--workers", "many", "--listen", "here"],
+        name: "all faults at once",
+        args: &["--nam", "x", "-z", "--name", "n2", "--workers", "many", "--listen", "here"],
         variables: &[("SILL_PEER", ""), ("SILL_FAST", "1")],
         without: &["--listen", "--key-file"],
         findings: &[
             "--nam: unknown flag",
             "--z: unknown flag",
-            "--name (SILL_NAME): stands more than once",
+            "--name (SILL_NAME): given more than once",
             "--listen (SILL_LISTEN): \"here\": invalid socket address syntax; expected IP:PORT",
             "--peer (SILL_PEER): the variable is set but empty",
             "--key-file (SILL_KEY_FILE): missing",
@@ -157,18 +158,18 @@
 ];
 
 fn check(case: &Case) -> Result<(), Findings> {
-    let sound = SOUND.chunks(2).filter(|pair| !case.without.contains(&pair[0])).flatten();
-    let words = sound.chain(case.words).map(|word| (*word).to_owned());
+    let valid_args = VALID_ARGS.chunks(2).filter(|pair| !case.without.contains(&pair[0])).flatten();
+    let args = valid_args.chain(case.args).map(|arg| (*arg).to_owned());
     let variables =
         case.variables.iter().map(|(name, value)| ((*name).to_owned(), (*value).into()));
     let variables: Variables = variables.collect();
-    let Outcome::Values(mut values) = PROGRAM.parse_with(words, variables)? else {
-        panic!("{}: no help was asked for", case.name);
+    let Outcome::Values(mut values) = PROGRAM.parse_with(args, variables)? else {
+        panic!("{}: help without --help", case.name);
     };
-    read_all(&mut values)
+    check_values(&mut values)
 }
 
-fn read_all(values: &mut Values) -> Result<(), Findings> {
+fn check_values(values: &mut Values) -> Result<(), Findings> {
     let _ = values.name("name");
     let _ = values.required::<SocketAddr>("listen");
     let _ = values.many::<SocketAddr>("peer");
@@ -179,10 +180,10 @@
 }
 
 #[test]
-fn every_fault_is_reported_with_its_flag_and_variable() {
+fn every_finding_is_reported_with_its_flag_and_variable() {
     for case in &CASES {
-        let found = check(case).err().unwrap_or_default().to_string();
-        assert_eq!(found, case.findings.join("\n"), "{}", case.name);
+        let findings = check(case).err().unwrap_or_default().to_string();
+        assert_eq!(findings, case.findings.join("\n"), "{}", case.name);
     }
 }
 
@@ -190,7 +191,7 @@
 fn help_names_every_flag_and_variable() {
     let Ok(Outcome::Help(text)) = PROGRAM.parse_with(["--help".to_owned()], Variables::default())
     else {
-        panic!("help was asked for");
+        panic!("no help for --help");
     };
     for flag in PROGRAM.flags {
         assert!(text.contains(flag.name) && text.contains(&flag.variable()), "{text}");
--- a/daemons/setup/tests/queue.rs
+++ b/daemons/setup/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Log lines while nobody reads them.
+//! The log queue while its output is blocked.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -8,21 +8,21 @@
 use parking_lot::{Condvar, Mutex};
 use sill_setup::queue::LogQueue;
 
-/// Lines of a burst; the queue holds a third of them.
-const BURST: usize = 25_000;
+/// Number of lines about successes; the queue holds a third of them.
+const SUCCESSES: usize = 25_000;
 const FAILURES: usize = 3000;
 
-/// An output that stands still until it is opened, as a pipe whose reader has stopped.
-struct Stuck {
+/// An output that blocks until its gate is opened, like a pipe whose reader has stopped.
+struct BlockedOutput {
     gate: Arc<(Mutex<bool>, Condvar)>,
-    written: Sender<Vec<u8>>,
+    written_tx: Sender<Vec<u8>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         let (is_open, opened) = &*self.gate;
         opened.wait_while(&mut is_open.lock(), |is_open| !*is_open);
-        let _ = self.written.send(buf.to_vec());
+        let _ = self.written_tx.send(buf.to_vec());
         Ok(buf.len())
     }
 
@@ -31,29 +31,31 @@
     }
 }
 
-fn read(written: &Receiver<Vec<u8>>) -> String {
+fn read_text(written: &Receiver<Vec<u8>>) -> String {
     let mut text = Vec::new();
     while let Ok(part) = written.recv_timeout(Duration::from_secs(1)) {
         text.extend(part);
     }
-    String::from_utf8(text).expect("text")
+    String::from_utf8(text).expect("the output is UTF-8")
 }
 
-/// Returns the number that follows a key.
+/// Returns the number after `key` in a log line.
 fn number(line: &str, key: &str) -> usize {
-    let words = line.split(' ');
-    let value = words.filter_map(|word| word.strip_prefix(key)).next();
+    let fields = line.split(' ');
+    let value = fields.filter_map(|field| field.strip_prefix(key)).next();
     value.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("no {key} in {line}"))
 }
 
-/// The reader of the standard output stops, and ten times the usual lines come. No request may wait for
-/// that; what tells of failures is kept before what tells of successes, and the loss is told.
+/// The reader of standard output stops during a burst of ten times the usual lines. No request may
+/// block on that. Lines about failures must be kept before those about successes, and dropped lines
+/// counted.
 #[test]
-fn lines_are_dropped_and_counted_and_failures_stay() {
+fn a_blocked_output_drops_successes_before_failures_and_counts_them() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
     let (tx, written) = channel();
-    let queue = LogQueue::start(Stuck { gate: gate.clone(), written: tx }).expect("it starts");
-    for i in 0..BURST {
+    let queue = LogQueue::start(BlockedOutput { gate: gate.clone(), written_tx: tx })
+        .expect("the writer thread starts");
+    for i in 0..SUCCESSES {
         queue.add_line(format!("success {i}"), true);
     }
     for i in 0..FAILURES {
@@ -62,14 +64,18 @@
     let (is_open, opened) = &*gate;
     *is_open.lock() = true;
     opened.notify_all();
-    let text = read(&written);
+    let text = read_text(&written);
     let failures = text.lines().filter(|line| line.starts_with("failure")).count();
     let successes = text.lines().filter(|line| line.starts_with("success")).count();
-    assert_eq!(failures, FAILURES, "failures were dropped before successes");
-    assert!(successes < BURST, "a queue without a bound");
-    // The writer tells what was dropped with each batch, and may have taken one during the burst.
-    let told = text.lines().filter(|line| line.contains("event=log_lines_dropped"));
-    let told: Vec<&str> = told.collect();
-    let sum = |key: &str| told.iter().map(|line| number(line, key)).sum::<usize>();
-    assert_eq!((sum("successes="), sum("failures=")), (BURST - successes, 0), "{told:?}");
+    assert_eq!(
+        failures, FAILURES,
+        "lines about failures were dropped before those about successes"
+    );
+    assert!(successes < SUCCESSES, "the queue has no bound: no line was dropped");
+    // The writer reports dropped lines with each batch, and may have taken a batch during the
+    // burst.
+    let reports = text.lines().filter(|line| line.contains("event=log_lines_dropped"));
+    let reports: Vec<&str> = reports.collect();
+    let sum = |key: &str| reports.iter().map(|line| number(line, key)).sum::<usize>();
+    assert_eq!((sum("successes="), sum("failures=")), (SUCCESSES - successes, 0), "{reports:?}");
 }
--- a/daemons/setup/tests/random.rs
+++ b/daemons/setup/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random command lines and log values.
+//! Random command lines and random log values.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -26,17 +26,18 @@
 }
 
 #[test]
-fn any_command_line_is_read_without_a_panic() {
-    let known =
+fn a_random_command_line_never_panics() {
+    let known_args =
         vec!["--name", "--name=x", "--peer", "1", "--fast", "--fast=1", "-h", "--", "-xyz", "-"];
-    let word = prop_oneof![3 => prop::sample::select(known).prop_map(str::to_owned), 1 => ".{0,8}"];
+    let arg =
+        prop_oneof![3 => prop::sample::select(known_args).prop_map(str::to_owned), 1 => ".{0,8}"];
     let variables = (".{0,4}", ".{0,4}");
-    let run = runner().run(&(vec(word, 0..8), variables), |(words, (name, peer))| {
+    let result = runner().run(&(vec(arg, 0..8), variables), |(args, (name, peer))| {
         let variables: Variables =
             [("SILL_NAME".to_owned(), name.into()), ("SILL_PEER".to_owned(), peer.into())]
                 .into_iter()
                 .collect();
-        if let Ok(Outcome::Values(mut values)) = PROGRAM.parse_with(words, variables) {
+        if let Ok(Outcome::Values(mut values)) = PROGRAM.parse_with(args, variables) {
             let _ = values.name("name");
             let _ = values.many::<u32>("peer");
             let _ = values.switch("fast");
@@ -44,43 +45,43 @@
         }
         Ok(())
     });
-    run.expect("every command line");
+    result.expect("no command line fails");
 }
 
-/// A caller puts a line break, quotes or `key=value` into a model's name. Who reads the log must
-/// see one line, and the caller's text as one value of it.
+/// A caller puts a line break, quotes or `key=value` into a model's name. The log must still
+/// contain one line, with the caller's text as one of its values.
 #[test]
-fn no_value_forges_a_line_or_a_pair() {
+fn no_value_forges_a_log_line_or_pair() {
     let text = prop_oneof!["(?s).{0,24}", "[ =\"\\\\\\n\\ra-c]{0,24}"];
-    let run = runner().run(&vec(text, 1..4), |values| {
+    let result = runner().run(&vec(text, 1..4), |values| {
         let mut line = String::from("event=x");
         for value in &values {
             push_pair(&mut line, "key", value);
         }
         prop_assert!(!line.chars().any(|c| c.is_control()), "{line:?}");
-        prop_assert_eq!(pairs(&line), values);
+        prop_assert_eq!(parse_values(&line), values);
         Ok(())
     });
-    run.expect("every value");
+    result.expect("no values fail");
 }
 
-/// Reads the values of a line back as a log reader does: up to the next space, or a quoted text.
-fn pairs(line: &str) -> Vec<String> {
-    let mut rest = line.strip_prefix("event=x").expect("the event");
+/// Parses the values of a line as a log reader does: up to the next space, or a quoted text.
+fn parse_values(line: &str) -> Vec<String> {
+    let mut remainder = line.strip_prefix("event=x").expect("the line starts with the event");
     let mut values = Vec::new();
-    while !rest.is_empty() {
-        rest = rest.strip_prefix(" key=").expect("a pair");
-        let end = match rest.strip_prefix('"') {
+    while !remainder.is_empty() {
+        remainder = remainder.strip_prefix(" key=").expect("another pair follows");
+        let end = match remainder.strip_prefix('"') {
             Some(quoted) => 1 + quoted_end(quoted),
-            None => rest.find(' ').unwrap_or(rest.len()),
+            None => remainder.find(' ').unwrap_or(remainder.len()),
         };
-        values.push(unquote(&rest[..end]));
-        rest = &rest[end..];
+        values.push(unquote(&remainder[..end]));
+        remainder = &remainder[end..];
     }
     values
 }
 
-/// Returns the length of a quoted text with its closing quote.
+/// Returns the length of a quoted text up to and including its closing quote.
 fn quoted_end(text: &str) -> usize {
     let mut escaped = false;
     for (i, c) in text.char_indices() {
@@ -105,15 +106,15 @@
             plain.push(c);
             continue;
         }
-        match chars.next().expect("an escaped character") {
+        match chars.next().expect("a character follows the backslash") {
             'n' => plain.push('\n'),
             'r' => plain.push('\r'),
             't' => plain.push('\t'),
             '0' => plain.push('\0'),
             'u' => {
                 let code: String = chars.by_ref().skip(1).take_while(|c| *c != '}').collect();
-                let code = u32::from_str_radix(&code, 16).expect("a code point");
-                plain.push(char::from_u32(code).expect("a character"));
+                let code = u32::from_str_radix(&code, 16).expect("a hexadecimal code point");
+                plain.push(char::from_u32(code).expect("a valid code point"));
             }
             other => plain.push(other),
         }
