--- a/daemons/control/src/app/state.rs
+++ b/daemons/control/src/app/state.rs
@@ -1,4 +1,4 @@
-//! The state that all control instances come to.
+//! The replicated state, identical on all control instances at the same log index.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -15,26 +15,26 @@
 use sill_wire::feed::{Change, FeedReply};
 
 use crate::app::audit::{AuditFilter, AuditTrail, without_hashes};
-use crate::app::change_ids::{Answer, AskName, ChangeIds};
+use crate::app::change_ids::{Answer, ChangeIds, IdempotencyKey};
 use crate::app::command::{
-    ChangeAsk, Checked, Command, DrainAsk, Edition, Holder, Origin, Outcome, UsageStatement,
+    ChangeAsk, CheckedChange, Command, DrainAsk, Edition, Holder, Origin, Outcome, UsageStatement,
     refusal,
 };
 use crate::app::history::History;
 
-/// Places of findings that an audit record names.
-const AUDITED_FINDINGS: usize = 20;
+/// Findings whose places an audit record lists.
+const MAX_AUDITED_FINDINGS: usize = 20;
 
-/// Drains that are remembered.
+/// Drains kept.
 const MAX_DRAINS: usize = 10_000;
 
-/// Windows whose usage is remembered; at 5 s each they reach back for ten minutes.
-const MAX_WINDOWS: usize = 120;
+/// Usage windows kept; at 5 s each they cover ten minutes.
+const MAX_USAGE_WINDOWS: usize = 120;
 
-/// Claims that are held at once; each takes about 1 kB of memory here.
+/// Claims held at once; each takes about 1 kB of memory.
 const MAX_CLAIMS: usize = 300_000;
 
-/// The state after some entry of the log.
+/// The state after the log entry with index `index`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct App {
     index: u64,
@@ -45,45 +45,49 @@
     audit: AuditTrail,
     claims: ClaimTable,
     drains: BTreeMap<Name, Drain>,
-    /// The edition in force, by the path of its subtree.
+    /// The editions in force, by the paths of their subtrees.
     #[serde(default)]
     editions: BTreeMap<Name, Edition>,
-    /// The stated usage of the newest windows.
+    /// The usage of the newest windows, by window number.
     #[serde(default)]
     usage: BTreeMap<u64, UsageStatement>,
 }
 
-/// An instance that is to get no new work.
+/// The exclusion of an instance from new work.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Drain {
-    /// Who asked for it.
+    /// The operator who asked for it.
     pub author: Name,
-    /// When.
+    /// The wall-clock time at the leader.
     pub at: Millis,
 }
 
-/// A document that a newer version of the program wrote.
+/// A document that this version of the program can't parse.
 #[derive(Debug)]
-pub struct NewerDocument {
+pub struct UnsupportedDocument {
     path: Name,
     error: serde_json::Error,
 }
 
-/// Where in the log a command stands.
+/// The position of a command in the log, and its time.
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct LogPosition {
     index: u64,
     term: u64,
     at: Millis,
 }
 
-impl Display for NewerDocument {
+impl Display for UnsupportedDocument {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{} is of a newer version of sill-control: {}", self.path, self.error)
+        write!(
+            f,
+            "the document of {} was written by a newer version of sill-control: {}",
+            self.path, self.error
+        )
     }
 }
 
-impl Error for NewerDocument {}
+impl Error for UnsupportedDocument {}
 
 impl Default for App {
     fn default() -> Self {
@@ -104,49 +108,49 @@
 }
 
 impl App {
-    /// Returns the last entry that was applied.
+    /// Returns the index of the last applied entry.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Returns the tree.
+    /// Returns the settings tree at the newest revision.
     pub fn tree(&self) -> &Tree {
         &self.tree
     }
 
-    /// Returns the newest revision.
+    /// Returns the newest revision of the settings tree.
     pub fn revision(&self) -> Revision {
         Revision(self.tree.revision)
     }
 
-    /// Returns the number of claims.
+    /// Returns the number of claims held.
     pub fn claims(&self) -> usize {
         self.claims.len()
     }
 
-    /// Returns the instances that are to be drained.
+    /// Returns the drains by instance.
     pub fn drains(&self) -> &BTreeMap<Name, Drain> {
         &self.drains
     }
 
-    /// Returns the edition in force of a subtree.
+    /// Returns the edition in force of the subtree at a path.
     pub fn edition(&self, path: &str) -> Option<&Edition> {
         self.editions.get(path)
     }
 
-    /// Returns the stated usage of a window.
+    /// Returns the recorded usage of a window.
     pub fn usage(&self, window: u64) -> Option<&UsageStatement> {
         self.usage.get(&window)
     }
 
-    /// Returns the windows whose usage was stated, the newest of them.
-    pub fn stated_windows(&self) -> impl Iterator<Item = &UsageStatement> {
+    /// Iterates over the recorded usage of the newest windows, the oldest first.
+    pub fn usage_statements(&self) -> impl Iterator<Item = &UsageStatement> {
         self.usage.values()
     }
 
-    /// Returns the answer to a change whose edition is not above the one in force. Nothing is done
-    /// about it, and it counts as accepted: the outside system need not know what came between.
-    pub fn overtaken(&self, ask: &ChangeAsk) -> Option<ChangeReply> {
+    /// Returns the answer to a change whose edition is not above the one in force. It has no effect
+    /// and counts as accepted: the outside system need not know of the editions in between.
+    pub fn superseded_reply(&self, ask: &ChangeAsk) -> Option<ChangeReply> {
         let edition = ask.edition.as_ref()?;
         let current = self.editions.get(&ask.path)?;
         let subtree = self.tree.subtrees.get(&ask.path);
@@ -158,12 +162,12 @@
         })
     }
 
-    /// Returns what is newer than a revision.
-    pub fn newer_than(&self, have: Revision) -> FeedReply {
-        self.history.newer_than(&self.tree, have)
+    /// Returns the changes after a revision, or a snapshot of the tree.
+    pub fn changes_since(&self, have: Revision) -> FeedReply {
+        self.history.changes_since(&self.tree, have)
     }
 
-    /// Returns the audit records that an operator may see and a filter lets through.
+    /// Returns the audit records that match a filter and that an operator may see.
     pub fn audit(&self, operator: &Operator, filter: &AuditFilter) -> Vec<AuditRecord> {
         let is_root = *operator == Operator::Root;
         let may_see = |record: &&AuditRecord| {
@@ -174,15 +178,16 @@
         self.audit.find(filter).filter(may_see).cloned().collect()
     }
 
-    /// Returns whether a token is the root's or owns any subtree.
-    pub fn is_known(&self, operator: &Operator) -> bool {
+    /// Returns whether an operator is root or owns any subtree.
+    pub fn has_access(&self, operator: &Operator) -> bool {
         let mut paths = self.tree.subtrees.keys();
         *operator == Operator::Root || paths.any(|path| self.tree.is_owned_by(operator, path))
     }
 
-    /// Returns the first answer to an ask that was sent before.
-    pub fn known(&self, origin: &Origin, content: &Name) -> Option<Outcome> {
-        let answer = self.change_ids.get(&ask_name(origin))?;
+    /// Returns the stored outcome of an earlier ask with the same `Change-Id`, or a refusal if its
+    /// content was another.
+    pub fn previous_outcome(&self, origin: &Origin, content: &Name) -> Option<Outcome> {
+        let answer = self.change_ids.get(&idempotency_key(origin))?;
         if answer.content == *content {
             return Some(answer.outcome.clone());
         }
@@ -190,16 +195,16 @@
         Some(Outcome::Refused(refusal("change_id_reused", message)))
     }
 
-    /// Reads the documents that nobody has looked at yet.
+    /// Parses the documents that were not read before.
     ///
     /// # Errors
     ///
-    /// Fails on one that this version of the program can't read. Going on without it would make this
-    /// instance's state differ from the others' for good.
-    pub fn read_documents(&self) -> Result<(), NewerDocument> {
+    /// Fails on a document that this version of the program can't parse. Continuing without it
+    /// would make this instance's state differ from the others' permanently.
+    pub fn read_documents(&self) -> Result<(), UnsupportedDocument> {
         for (path, subtree) in &self.tree.subtrees {
             let read = subtree.document.read();
-            read.map_err(|error| NewerDocument { path: path.clone(), error })?;
+            read.map_err(|error| UnsupportedDocument { path: path.clone(), error })?;
         }
         Ok(())
     }
@@ -208,13 +213,13 @@
     ///
     /// # Panics
     ///
-    /// Panics on an entry that this version of the program can't read: going on without it would
-    /// make this instance's state differ from the others' for good.
+    /// Panics on an entry that this version of the program can't parse: continuing without it would
+    /// make this instance's state differ from the others' permanently.
     pub fn apply(&mut self, index: u64, entry: &Entry) -> Option<Outcome> {
         assert_promise!(
             Promise::AcceptedChangeStays,
             index == self.index + 1,
-            "entry {index} applied after {}",
+            "log entry {index} applied after entry {}",
             self.index
         );
         self.index = index;
@@ -224,53 +229,56 @@
             Payload::Members(members) => {
                 let voters: Vec<&str> = members.voters.iter().map(|id| &*id.name).collect();
                 let reason = format!("voters: {}", voters.join(", "));
-                let place = self.place(index, entry.term, Millis::ZERO);
-                self.audit.add(record(place, "control".into(), "voters", "".into(), reason));
+                let position = self.log_position(index, entry.term, Millis::ZERO);
+                self.audit.add(record(position, "control".into(), "voters", "".into(), reason));
                 None
             }
             Payload::Command(text) => {
                 let command = serde_json::from_str(text);
                 let command = command.unwrap_or_else(|err| {
-                    panic!("entry {index} is of a newer version of sill-control: {err}")
+                    panic!(
+                        "log entry {index} was written by a newer version of sill-control: {err}"
+                    )
                 });
-                Some(self.carry_out(index, entry.term, command))
+                Some(self.apply_command(index, entry.term, command))
             }
         };
         assert_promise!(
             Promise::AcceptedChangeStays,
             self.tree.revision >= before,
-            "the tree went back from revision {before}"
+            "entry {index} set the tree back from revision {before} to {}",
+            self.tree.revision
         );
         outcome
     }
 
-    fn carry_out(&mut self, index: u64, term: u64, command: Command) -> Outcome {
+    fn apply_command(&mut self, index: u64, term: u64, command: Command) -> Outcome {
         match command {
             Command::Change { at, checked } => {
-                let place = self.place(index, term, at);
-                self.change(place, checked, None)
+                let position = self.log_position(index, term, at);
+                self.change(position, checked, None)
             }
             Command::Refuse { at, checked, refusal } => {
-                let place = self.place(index, term, at);
-                self.change(place, checked, Some(refusal))
+                let position = self.log_position(index, term, at);
+                self.change(position, checked, Some(refusal))
             }
             Command::Drain { at, ask } => {
-                let place = self.place(index, term, at);
-                self.drain(place, ask)
+                let position = self.log_position(index, term, at);
+                self.drain(position, ask)
             }
             Command::Claims { at, asks } => {
-                let at = self.place(index, term, at).at;
+                let at = self.log_position(index, term, at).at;
                 self.claim(at, &asks)
             }
-            Command::Usage(statement) => self.state_usage(statement),
+            Command::Usage(statement) => self.record_usage(statement),
         }
     }
 
-    /// Returns the place of a command. Its time never goes back, also when a leader with a slower
+    /// Returns the position of a command. Its time never goes back, even if a leader with a slower
     /// clock takes over.
-    fn place(&mut self, index: u64, term: u64, at: Millis) -> Place {
+    fn log_position(&mut self, index: u64, term: u64, at: Millis) -> LogPosition {
         self.now = self.now.max(at);
-        Place { index, term, at: self.now }
+        LogPosition { index, term, at: self.now }
     }
 
     fn claim(&mut self, at: Millis, asks: &[ClaimAsk]) -> Outcome {
@@ -278,40 +286,40 @@
         Outcome::Verdicts { verdicts }
     }
 
-    fn state_usage(&mut self, statement: UsageStatement) -> Outcome {
+    fn record_usage(&mut self, statement: UsageStatement) -> Outcome {
         let window = statement.window;
-        let stated = self.usage.entry(window).or_insert(statement).clone();
-        while self.usage.len() > MAX_WINDOWS {
+        let first = self.usage.entry(window).or_insert(statement).clone();
+        while self.usage.len() > MAX_USAGE_WINDOWS {
             self.usage.pop_first();
         }
-        Outcome::Usage(stated)
+        Outcome::Usage(first)
     }
 
     fn change(
         &mut self,
-        place: Place,
-        checked: Checked,
+        position: LogPosition,
+        checked: CheckedChange,
         refused: Option<ChangeRefusal>,
     ) -> Outcome {
-        let Checked { ask, content, against } = checked;
-        if let Some(outcome) = self.known(&ask.origin, &content) {
+        let CheckedChange { ask, content, against } = checked;
+        if let Some(outcome) = self.previous_outcome(&ask.origin, &content) {
             return outcome;
         }
         let author = self.author(&ask.origin.holder);
         let outcome = match self.conflict(&ask) {
             Some(conflict) => Outcome::Refused(conflict),
-            // Another change was committed between the check and this entry. The check may not
-            // hold any more, as with a limit that both changes raised by all that was left.
+            // Another change was committed between the check and this entry. The check may be
+            // outdated, for example if each of the changes used up all that was left of a limit.
             None if against != self.revision() => return Outcome::Recheck,
-            None => match (self.overtaken(&ask), refused) {
+            None => match (self.superseded_reply(&ask), refused) {
                 (Some(reply), _) => Outcome::Changed(reply),
                 (None, Some(refusal)) => Outcome::Refused(refusal),
                 (None, None) => Outcome::Changed(self.put(&ask, author.clone())),
             },
         };
-        self.note_change(place, &ask, &outcome, author);
-        let name = ask_name(&ask.origin);
-        self.change_ids.keep(Answer { name, content, outcome: outcome.clone() });
+        self.audit_change(position, &ask, &outcome, author);
+        let name = idempotency_key(&ask.origin);
+        self.change_ids.insert(Answer { name, content, outcome: outcome.clone() });
         outcome
     }
 
@@ -337,8 +345,8 @@
         }
         if let Some(edition) = &ask.edition {
             self.editions.insert(path.clone(), edition.clone());
-            // It replaces the document as a whole, mostly the largest part of the tree. A thousand
-            // of them would take more memory than the instance has.
+            // An edition replaces a whole document, usually the largest part of the tree. A
+            // thousand of them in the history would take more memory than the instance has.
             self.history = History::default();
         } else {
             let document = ask.document.as_ref().map(DocumentText::value);
@@ -347,9 +355,15 @@
         ChangeReply { revision, path, in_force: false }
     }
 
-    fn note_change(&mut self, place: Place, ask: &ChangeAsk, outcome: &Outcome, author: Name) {
+    fn audit_change(
+        &mut self,
+        position: LogPosition,
+        ask: &ChangeAsk,
+        outcome: &Outcome,
+        author: Name,
+    ) {
         let why = ask.origin.reason.clone();
-        let mut entry = record(place, author, "change", ask.path.clone(), why);
+        let mut entry = record(position, author, "change", ask.path.clone(), why);
         match outcome {
             Outcome::Changed(reply) => {
                 entry.revision = Some(reply.revision);
@@ -372,12 +386,12 @@
         self.audit.add(entry);
     }
 
-    fn drain(&mut self, place: Place, ask: DrainAsk) -> Outcome {
+    fn drain(&mut self, position: LogPosition, ask: DrainAsk) -> Outcome {
         let content = ask.content();
-        if let Some(outcome) = self.known(&ask.origin, &content) {
+        if let Some(outcome) = self.previous_outcome(&ask.origin, &content) {
             return outcome;
         }
-        let name = ask_name(&ask.origin);
+        let name = idempotency_key(&ask.origin);
         let author = self.author(&ask.origin.holder);
         let (action, outcome) = if ask.origin.holder != Holder::Root {
             let refusal = refusal("forbidden", "only the root's token may drain an instance");
@@ -386,13 +400,13 @@
             let refusal = refusal("too_many", "too many drains are remembered");
             ("refused", Outcome::Refused(refusal))
         } else {
-            let drain = Drain { author: author.clone(), at: place.at };
+            let drain = Drain { author: author.clone(), at: position.at };
             self.drains.insert(ask.subject.clone(), drain);
             ("drain", Outcome::Drained)
         };
         let why = ask.origin.reason.clone();
-        self.audit.add(record(place, author, action, ask.subject.clone(), why));
-        self.change_ids.keep(Answer { name, content, outcome: outcome.clone() });
+        self.audit.add(record(position, author, action, ask.subject.clone(), why));
+        self.change_ids.insert(Answer { name, content, outcome: outcome.clone() });
         outcome
     }
 
@@ -407,25 +421,25 @@
     }
 }
 
-/// Names an ask by its token, not by what the token owns: the answer must be found again after the
-/// change itself has altered that.
-fn ask_name(origin: &Origin) -> AskName {
+/// Returns the key of an ask. It holds the token's hash, not the path that the token owns: the
+/// answer must still be found after the change itself altered the ownership.
+fn idempotency_key(origin: &Origin) -> IdempotencyKey {
     let author = match &origin.holder {
         Holder::Root => "root".into(),
         Holder::Token(hash) => hash.0.clone(),
     };
-    AskName { author, change_id: origin.change_id.clone() }
+    IdempotencyKey { author, change_id: origin.change_id.clone() }
 }
 
 impl ChangeAsk {
-    /// Returns a hash of what is asked for.
+    /// Returns a hash of the path, base revision and document asked for.
     pub fn content(&self) -> Name {
         content_hash(&(&self.path, self.base, &self.document))
     }
 }
 
 impl DrainAsk {
-    /// Returns a hash of what is asked for.
+    /// Returns a hash of the instance to drain.
     pub fn content(&self) -> Name {
         content_hash(&("drain", &self.subject))
     }
@@ -439,11 +453,11 @@
     blake3::hash(&bytes).to_hex().as_str().into()
 }
 
-/// Returns why something was refused. Findings quote the document, which may hold a secret in a
-/// wrong place, so only their places are told.
+/// Returns the reason of a refusal for the audit trail. Findings quote the document, which may hold
+/// a secret in the wrong field, so only their places are included.
 fn audited_reason(refusal: &ChangeRefusal, reason: &str) -> String {
     let mut text = format!("{}: {}", refusal.code, refusal.message);
-    for finding in refusal.findings.iter().take(AUDITED_FINDINGS) {
+    for finding in refusal.findings.iter().take(MAX_AUDITED_FINDINGS) {
         text.push_str(&format!("; {}", finding.place));
     }
     if !reason.is_empty() {
@@ -452,11 +466,17 @@
     text
 }
 
-fn record(place: Place, author: Name, action: &str, subject: Name, reason: String) -> AuditRecord {
+fn record(
+    position: LogPosition,
+    author: Name,
+    action: &str,
+    subject: Name,
+    reason: String,
+) -> AuditRecord {
     AuditRecord {
-        index: place.index,
-        term: place.term,
-        at: place.at,
+        index: position.index,
+        term: position.term,
+        at: position.at,
         author,
         action: action.into(),
         subject,
--- a/daemons/control/src/duty.rs
+++ b/daemons/control/src/duty.rs
@@ -1,4 +1,4 @@
-//! What the leader does for all: it reports usage to the platform, and orders endpoints from it.
+//! The leader's duties towards the platform: it reports usage, and orders endpoints.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -19,59 +19,62 @@
 use crate::shared::Shared;
 use crate::submit;
 
-/// How often duties are looked at.
-const TICK: Millis = Millis(250);
+/// Interval between two checks whether a duty is due.
+const TICK_INTERVAL: Millis = Millis(250);
 
-/// Time after the end of a window before its usage is stated, so that the last reports are in: an
-/// entry instance reports at least every half second, and its control instance every 400 ms.
+/// Time after the end of a window before its usage is recorded, so that the last reports have
+/// arrived: an entry instance reports at least every half second, and its control instance every
+/// 400 ms.
 const USAGE_DELAY: Millis = Millis(2500);
 
-/// Time after the end of a window at which its usage is stated even without some reports. Entry instances
-/// that are cut off report again when the cut ends; the platform waits for ten seconds.
-const USAGE_LATEST: Millis = Millis(8000);
+/// Time after the end of a window at which its usage is recorded even if reports are missing. Entry
+/// instances behind a network partition report again when it ends; the platform waits for ten
+/// seconds.
+const USAGE_DEADLINE: Millis = Millis(8000);
 
-/// Windows that a new leader still states; the platform takes no older ones.
-const USAGE_WINDOWS: u64 = 3;
+/// Past windows that a new leader still reports; the platform accepts no older ones.
+const MAX_USAGE_WINDOWS: u64 = 3;
 
-/// How long a commit of usage may take.
-const PATIENCE: Millis = Millis(2000);
+/// Timeout of committing the usage of a window.
+const USAGE_COMMIT_TIMEOUT: Millis = Millis(2000);
 
-/// How long an instance must have been up before it orders endpoints: it knows only those that made
-/// themselves heard since.
-const SETTLE: Millis = Millis(3000);
+/// Uptime before an instance orders endpoints: it knows only those that sent a heartbeat since its
+/// start.
+const MIN_UPTIME_TO_ORDER: Millis = Millis(3000);
 
-/// How often the number of endpoints is looked at.
-const PLAN_EVERY: Millis = Millis(500);
+/// Interval between two plans of the number of endpoints.
+const PLAN_INTERVAL: Millis = Millis(500);
 
-/// How long an endpoint that said it ends still tells the planner of a reclaim. Some say nothing before; the
-/// planner looks twice a second.
-const JUST_ENDED: Millis = Millis(2000);
+/// How long an endpoint that reported its end is still shown to the planner, as a sign of a
+/// reclaim. Some endpoints report nothing before their end, and the planner runs only twice a
+/// second.
+const ENDED_RETENTION: Millis = Millis(2000);
 
-/// Who acts, and a number that is higher for each later one.
+/// A fencing token: the platform rejects calls with a lower token than it has seen.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fence {
-    /// The control instance.
+    /// The control instance that makes the call.
     pub holder: Name,
-    /// Its term as the leader.
+    /// The term in which it is the leader; a later leader's is higher.
     pub token: u64,
 }
 
-/// What became of a call to the platform.
+/// The outcome of a call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It was carried out.
+    /// The platform carried out the call.
     Done,
-    /// The platform has none to give.
+    /// The platform has no capacity left for the order.
     NoneLeft,
-    /// A later holder has acted.
+    /// The platform rejected the call, as it has seen a later fencing token.
     Fenced,
-    /// Not heard, or heard and not answered.
+    /// No answer arrived, so the call may or may not have been carried out; with the error.
     Unanswered(String),
 }
 
-/// Calls to the platform.
+/// The platform's interface for usage reports and endpoint orders.
 pub trait Platform: Send + Sync {
-    /// Reports the usage of a window.
+    /// Reports the recorded usage of a window.
     fn report_usage<'a>(
         &'a self,
         fence: &'a Fence,
@@ -86,53 +89,54 @@
     ) -> BoxFuture<'a, CallOutcome>;
 }
 
-/// What is to be done.
+/// Which duties the leader has; set by the program that embeds the control instance.
 #[derive(Debug, Clone, Default)]
 pub struct DutyCfg {
-    /// The length of a window of usage, if usage is to be reported.
+    /// The length of a usage window; none if usage is not reported.
     pub usage_window: Option<Millis>,
-    /// Whether endpoints are to be ordered.
+    /// Whether the leader orders endpoints.
     pub orders_endpoints: bool,
-    /// Time for which an instance that leads again waits after its last call of an earlier term, so
-    /// that with another one between them its calls never fall into one lease of the platform's.
-    pub turn_wait: Millis,
-    /// Figures for the number of endpoints.
+    /// Minimum time between the last call of an instance in one term and its first call in a later
+    /// one. If another instance led in between, the calls then never fall into the same lease of
+    /// the platform.
+    pub handover_wait: Millis,
+    /// Settings of the planner for the number of endpoints.
     pub counts: CountCfg,
 }
 
-/// The duties of one term.
+/// The state of the duties in one term.
 struct Duties {
     shared: Arc<Shared>,
     platform: Arc<dyn Platform>,
     cfg: DutyCfg,
     fence: Fence,
-    reported: BTreeSet<u64>,
+    reported_windows: BTreeSet<u64>,
     planner: CountPlanner,
     plan_at: Millis,
-    /// Whether a later holder was seen; this term never acts again then.
-    is_over: bool,
+    /// Whether the platform has seen a later token; this term makes no further calls then.
+    is_fenced: bool,
 }
 
-/// Carries out the duties while this instance leads.
+/// Performs the duties while this instance is the leader.
 pub async fn run(shared: Arc<Shared>, platform: Arc<dyn Platform>, cfg: DutyCfg) {
     let mut duties: Option<Duties> = None;
     let mut acted_at = None;
     loop {
-        tokio::time::sleep(TICK.into()).await;
+        tokio::time::sleep(TICK_INTERVAL.into()).await;
         let (now, status) = (shared.clock.now(), shared.log.status());
         let may_act = status.role == RoleName::Leader && now < status.reads_until;
         if status.role != RoleName::Leader {
-            if let Some(lost) = duties.take() {
-                event!(Info, "duties_lost", term = lost.fence.token);
+            if let Some(duties) = duties.take() {
+                event!(Info, "duties_lost", term = duties.fence.token);
             }
             continue;
         }
-        let is_taken = duties.as_ref().is_some_and(|duties| duties.fence.token == status.term);
-        let must_wait = acted_at.is_some_and(|acted_at| now - acted_at < cfg.turn_wait);
-        if !may_act || !is_taken && must_wait {
+        let has_duties = duties.as_ref().is_some_and(|duties| duties.fence.token == status.term);
+        let must_wait = acted_at.is_some_and(|acted_at| now - acted_at < cfg.handover_wait);
+        if !may_act || !has_duties && must_wait {
             continue;
         }
-        if !is_taken {
+        if !has_duties {
             event!(Info, "duties_taken", term = status.term);
             let fence = Fence { holder: shared.cfg.name.clone(), token: status.term };
             duties = Some(Duties::new(shared.clone(), platform.clone(), cfg.clone(), fence));
@@ -152,47 +156,51 @@
             platform,
             cfg,
             fence,
-            reported: BTreeSet::new(),
+            reported_windows: BTreeSet::new(),
             planner,
             plan_at: Millis::ZERO,
-            is_over: false,
+            is_fenced: false,
         }
     }
 
     async fn act(&mut self, now: Millis) {
-        if self.is_over {
+        if self.is_fenced {
             return;
         }
         if let Some(length) = self.cfg.usage_window {
             self.report_usage(now, length).await;
         }
-        if self.cfg.orders_endpoints && now >= SETTLE && now >= self.plan_at && !self.is_over {
-            self.plan_at = now + PLAN_EVERY;
+        if self.cfg.orders_endpoints
+            && now >= MIN_UPTIME_TO_ORDER
+            && now >= self.plan_at
+            && !self.is_fenced
+        {
+            self.plan_at = now + PLAN_INTERVAL;
             self.order_endpoints(now).await;
         }
     }
 
-    /// States the usage of windows that have ended, then reports it.
+    /// Records the usage of windows that have ended in the replicated log, then reports it.
     ///
-    /// What is stated lies in the replicated log before it is sent. A successor that counts anew may
-    /// count otherwise; it repeats what was stated, so the platform never gets two versions.
+    /// A later leader that counts again may get other figures. It repeats the recorded ones, so the
+    /// platform never gets two versions.
     async fn report_usage(&mut self, now: Millis, length: Millis) {
         let true_now = self.shared.link.true_time(now);
         let newest = window_of(true_now - USAGE_DELAY, length);
-        for window in newest.saturating_sub(USAGE_WINDOWS)..newest {
-            if self.reported.contains(&window) {
+        for window in newest.saturating_sub(MAX_USAGE_WINDOWS)..newest {
+            if self.reported_windows.contains(&window) {
                 continue;
             }
             let Some(counts) = self.shared.link.usage(window) else { continue };
             let ended = true_now - length * (window + 1);
             let is_complete = self.shared.link.is_usage_complete(now, now - ended);
-            if !is_complete && ended < USAGE_LATEST {
+            if !is_complete && ended < USAGE_DEADLINE {
                 continue;
             }
             let ask = Ask::Usage(UsageStatement { window, counts });
-            let stated = submit::submit_within(&self.shared, &ask, PATIENCE).await;
-            let Ok(Outcome::Usage(statement)) = stated else { return };
-            if !self.still_leads() {
+            let commit = submit::submit_within(&self.shared, &ask, USAGE_COMMIT_TIMEOUT).await;
+            let Ok(Outcome::Usage(statement)) = commit else { return };
+            if !self.holds_lease() {
                 return;
             }
             let outcome = self.platform.report_usage(&self.fence, &statement).await;
@@ -207,10 +215,10 @@
             );
             match outcome {
                 CallOutcome::Done => {
-                    self.reported.insert(window);
+                    self.reported_windows.insert(window);
                 }
                 CallOutcome::Fenced => {
-                    self.is_over = true;
+                    self.is_fenced = true;
                     return;
                 }
                 CallOutcome::NoneLeft | CallOutcome::Unanswered(_) => {}
@@ -219,30 +227,31 @@
     }
 
     async fn order_endpoints(&mut self, now: Millis) {
-        for (service, slots, range) in self.ranges() {
-            let live = self.live(now, &service);
+        for (service, slots, range) in self.capacity_ranges() {
+            let live = self.live_endpoints(now, &service);
             if live.is_empty() {
                 continue;
             }
-            let work = self.work(now, &service);
+            let reports = self.service_reports(now, &service);
             let view = PoolView {
                 service: &service,
                 range: &range,
                 slots: slots.max(1),
-                prefill_tokens_per_s: speed(&work).map(|speed| speed.prefill_tokens_per_s),
+                prefill_tokens_per_s: median_engine_speed(&reports)
+                    .map(|speed| speed.prefill_tokens_per_s),
                 endpoints: &live,
-                demand: demand(&work),
+                demand: demand(&reports),
             };
             for order in self.planner.plan(now, &view) {
-                if !self.still_leads() {
+                if !self.holds_lease() {
                     return;
                 }
-                self.order(now, order).await;
+                self.place_order(now, order).await;
             }
         }
     }
 
-    async fn order(&mut self, now: Millis, order: CountOrder) {
+    async fn place_order(&mut self, now: Millis, order: CountOrder) {
         let outcome = self.platform.order_count(&self.fence, &order).await;
         event!(
             Info,
@@ -258,17 +267,17 @@
         match outcome {
             CallOutcome::Done => self.planner.record_grant(&order),
             CallOutcome::NoneLeft => self.planner.record_refusal(now, &order),
-            CallOutcome::Fenced => self.is_over = true,
+            CallOutcome::Fenced => self.is_fenced = true,
             CallOutcome::Unanswered(_) => self.planner.record_no_answer(&order),
         }
     }
 
-    fn still_leads(&self) -> bool {
+    fn holds_lease(&self) -> bool {
         let status = self.shared.log.status();
         status.term == self.fence.token && self.shared.clock.now() < status.reads_until
     }
 
-    fn ranges(&self) -> Vec<(Name, u32, CapacityRange)> {
+    fn capacity_ranges(&self) -> Vec<(Name, u32, CapacityRange)> {
         let app = self.shared.log.app().read();
         let document: Option<&Document> = app.tree().subtrees.get(SERVED).map(|s| &*s.document);
         let services = document.into_iter().flat_map(|document| &document.services);
@@ -283,12 +292,12 @@
         ranges.collect()
     }
 
-    fn live(&self, now: Millis, service: &Name) -> Vec<LiveEndpoint> {
+    fn live_endpoints(&self, now: Millis, service: &Name) -> Vec<LiveEndpoint> {
         let facts = self.shared.link.endpoints(now).into_iter();
         let has_just_ended =
-            |f: &EndpointFact| f.state == EndpointState::Gone && f.age < JUST_ENDED;
-        let is_told = |f: &EndpointFact| f.state < EndpointState::Silent || has_just_ended(f);
-        let of_service = facts.filter(|f| f.service == *service && is_told(f));
+            |f: &EndpointFact| f.state == EndpointState::Gone && f.age < ENDED_RETENTION;
+        let is_counted = |f: &EndpointFact| f.state < EndpointState::Silent || has_just_ended(f);
+        let of_service = facts.filter(|f| f.service == *service && is_counted(f));
         let live = of_service.map(|fact| LiveEndpoint {
             is_leaving: fact.state != EndpointState::Ready,
             domain: fact.domain,
@@ -297,21 +306,21 @@
         live.collect()
     }
 
-    /// Returns what each entry instance reports of a service.
-    fn work(&self, now: Millis, service: &Name) -> Vec<ServiceReport> {
-        let reports = self.shared.link.reports(now).into_iter();
-        reports.flat_map(|report| report.services).filter(|s| s.service == *service).collect()
+    /// Returns the reports of all entry instances on a service.
+    fn service_reports(&self, now: Millis, service: &Name) -> Vec<ServiceReport> {
+        let all = self.shared.link.reports(now).into_iter();
+        all.flat_map(|report| report.services).filter(|s| s.service == *service).collect()
     }
 }
 
-/// Returns the speed of a service's engines, as most entry instances have learned it.
-fn speed(work: &[ServiceReport]) -> Option<EngineSpeed> {
-    median_speed(work.iter().filter_map(|report| report.speed))
+/// Returns the median of the engine speeds that entry instances measured for a service.
+fn median_engine_speed(reports: &[ServiceReport]) -> Option<EngineSpeed> {
+    median_speed(reports.iter().filter_map(|report| report.speed))
 }
 
-fn demand(work: &[ServiceReport]) -> Demand {
+fn demand(reports: &[ServiceReport]) -> Demand {
     let mut demand = Demand::default();
-    for report in work {
+    for report in reports {
         demand.running += report.running;
         demand.fresh_tokens_per_s += report.fresh_tokens_per_s;
         demand.refused_per_s += report.refused_per_s;
--- a/daemons/entry/src/members.rs
+++ b/daemons/entry/src/members.rs
@@ -1,4 +1,5 @@
-//! Membership of the entry instance: the core under its lock, its clock and its calls.
+//! Membership of the entry instance: the membership core behind a lock, with its timer and its
+//! calls to peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,50 +23,50 @@
 /// Time between two ticks of the core.
 const TICK: Millis = Millis(200);
 
-/// How long a peer has to answer; the core asks another one then.
-const TIMEOUT: Millis = Millis(800);
+/// How long a peer has to answer; after that the core asks another one.
+const REQUEST_TIMEOUT: Millis = Millis(800);
 
-/// Clients kept at most; beyond, all are made anew.
+/// Most peer clients kept; when there are more, all are dropped and created again on use.
 const MAX_CLIENTS: usize = 1024;
 
-/// Who lives, who is leaving and who was replaced.
+/// Entry instances and endpoints that are live, leaving or replaced.
 #[derive(Debug)]
 pub struct Membership {
     core: Mutex<Members>,
     clock: Clock,
-    questions: UnboundedSender<Question>,
-    asked: Mutex<Option<UnboundedReceiver<Question>>>,
+    request_tx: UnboundedSender<SyncRequest>,
+    request_rx: Mutex<Option<UnboundedReceiver<SyncRequest>>>,
 }
 
-/// How many of each are known.
+/// Numbers of live peers and of endpoints in the failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
-    /// Live entry instances of the domain beside this one.
+    /// Live entry instances of the domain, without this one.
     pub peers: usize,
     /// Endpoints that may get requests.
     pub ready: usize,
-    /// Endpoints that are leaving and not gone.
+    /// Endpoints that are leaving and not yet removed.
     pub leaving: usize,
 }
 
-/// Answers that the core gave in one step.
+/// Replies that the core produced in one step.
 #[derive(Debug, Default)]
-pub struct Answers {
-    /// To an endpoint.
-    pub accept: Option<AnnounceReply>,
-    /// To a peer.
-    pub reply: Option<MemberReply>,
+pub struct StepReplies {
+    /// Reply to the announcement of an endpoint.
+    pub announce_reply: Option<AnnounceReply>,
+    /// Reply to the request of a peer.
+    pub peer_reply: Option<MemberReply>,
 }
 
 #[derive(Debug)]
-struct Question {
+struct SyncRequest {
     id: u64,
     peer: Name,
     sync: MemberSync,
 }
 
 impl Membership {
-    /// Makes the core of an instance that listens at these addresses.
+    /// Creates the core of an instance that listens at these addresses.
     pub fn new(
         cfg: &EntryCfg,
         clock: Clock,
@@ -84,23 +85,23 @@
         };
         let seeds = cfg.peers.iter().map(|peer| peer.to_string().into()).collect();
         let core = Members::new(MemberCfg::new(own, seeds, incarnation.0));
-        let (questions, asked) = unbounded_channel();
-        Self { core: Mutex::new(core), clock, questions, asked: Mutex::new(Some(asked)) }
+        let (request_tx, request_rx) = unbounded_channel();
+        Self { core: Mutex::new(core), clock, request_tx, request_rx: Mutex::new(Some(request_rx)) }
     }
 
-    /// Gives the core an event and does what it asks for.
-    pub fn step(&self, routing: &Routing, event: Event) -> Answers {
-        let mut answers = Answers::default();
-        let mut out = Vec::new();
-        // The router hears under the core's lock. Else it could hear of an endpoint as ready after
-        // it heard that the endpoint is leaving, from two steps that raced.
+    /// Passes an event to the core and executes the resulting actions.
+    pub fn step(&self, routing: &Routing, event: Event) -> StepReplies {
+        let mut replies = StepReplies::default();
+        let mut actions = Vec::new();
+        // The routers are updated under the core's lock. Otherwise, with two concurrent steps, a
+        // router could receive that an endpoint is ready after it received that it is leaving.
         let mut core = self.core.lock();
         let now = self.clock.now();
-        core.step(CLOCK_START + now, event, &mut out);
-        for action in out {
-            self.act(now, routing, action, &mut answers);
+        core.step(CLOCK_START + now, event, &mut actions);
+        for action in actions {
+            self.execute(now, routing, action, &mut replies);
         }
-        answers
+        replies
     }
 
     /// Returns the live entry instances of the failure domain, without this one.
@@ -108,28 +109,27 @@
         self.core.lock().peers_of_domain(self.now())
     }
 
-    /// Returns the entry instance of the domain that keeps what belongs to a key; it may be this
-    /// one.
+    /// Returns the entry instance of the domain that is the home of a key, which may be this one.
     pub fn home_for(&self, key: &str) -> Option<EntryInfo> {
         self.core.lock().home_for(self.now(), key)
     }
 
-    /// Returns the entry instances of the domain that speak with other domains.
+    /// Returns the entry instances of the domain that communicate with other domains.
     pub fn gateways(&self) -> Vec<EntryInfo> {
         self.core.lock().gateways(self.now())
     }
 
-    /// Returns the peer address of the entry instance that adds up figures of a failure domain.
+    /// Returns the peer address of the entry instance that aggregates figures of a failure domain.
     pub fn aggregator(&self, domain: &str) -> Option<SocketAddr> {
         self.core.lock().aggregator(self.now(), domain)?.parse().ok()
     }
 
-    /// Returns the failure domains that are known, with the own one.
+    /// Returns all known failure domains, including the local one.
     pub fn domains(&self) -> Vec<Name> {
         self.core.lock().domains()
     }
 
-    /// Returns how many of each are known.
+    /// Returns the current numbers of peers and endpoints, for the gauges.
     pub fn counts(&self) -> Counts {
         let core = self.core.lock();
         Counts {
@@ -144,13 +144,13 @@
         self.core.lock().ready().into_iter().cloned().collect()
     }
 
-    /// Returns the endpoints of the domain that are leaving and not gone.
+    /// Returns the endpoints of the domain that are leaving and not yet removed.
     pub fn leaving(&self) -> Vec<Announcement> {
         self.core.lock().leaving().into_iter().cloned().collect()
     }
 
     /// Returns the peer addresses of the domain's live entry instances in the order of the fan-out
-    /// tree, and the place of this one among them.
+    /// tree, and the index of this one among them.
     pub fn feed_tree(&self) -> (Vec<Name>, usize) {
         self.core.lock().ranking(self.now(), "settings")
     }
@@ -159,13 +159,13 @@
         CLOCK_START + self.clock.now()
     }
 
-    fn act(&self, now: Millis, routing: &Routing, action: Action, answers: &mut Answers) {
+    fn execute(&self, now: Millis, routing: &Routing, action: Action, replies: &mut StepReplies) {
         match action {
             Action::SendRequest { id, peer, sync } => {
-                let _ = self.questions.send(Question { id, peer, sync });
+                let _ = self.request_tx.send(SyncRequest { id, peer, sync });
             }
-            Action::Reply(reply) => answers.reply = Some(*reply),
-            Action::AnnounceReply(reply) => answers.accept = Some(reply),
+            Action::Reply(reply) => replies.peer_reply = Some(*reply),
+            Action::AnnounceReply(reply) => replies.announce_reply = Some(reply),
             Action::UpdateEndpoint { announcement, age } => {
                 routing.apply(now, sill_route::Event::Announced { announcement, age });
             }
@@ -173,47 +173,53 @@
                 routing.apply(now, sill_route::Event::Gone { endpoint, incarnation });
             }
             Action::AllowRouting { until } => routing.set_valid_until(until - CLOCK_START),
-            Action::Report(found) => report(&found),
+            Action::Report(report) => log_report(&report),
         }
     }
 }
 
-/// Ticks the core and carries its questions until the process ends.
+/// Ticks the core and sends its requests to peers until the process ends.
 pub async fn run(shared: Arc<Shared>) {
-    let Some(mut asked) = shared.members.asked.lock().take() else { return };
+    let Some(mut request_rx) = shared.members.request_rx.lock().take() else { return };
     let mut ticks = tokio::time::interval(TICK.into());
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut clients: FxHashMap<Name, PeerClient> = FxHashMap::default();
-    let mut wanted_at = Revision::default();
-    let mut is_leaving = false;
+    let mut reported_revision = Revision::default();
+    let mut is_shutdown_announced = false;
     loop {
         tokio::select! {
             _ = ticks.tick() => {
-                tell_wanted(&shared, &mut wanted_at);
-                tell_leaving(&shared, &mut is_leaving);
+                update_services(&shared, &mut reported_revision);
+                announce_shutdown(&shared, &mut is_shutdown_announced);
                 shared.members.step(&shared.routing, Event::Tick);
                 shared.metrics.gauges.set(&shared);
             }
-            question = asked.recv() => {
-                let Some(question) = question else { return };
-                ask(&shared, &mut clients, question);
+            request = request_rx.recv() => {
+                let Some(request) = request else { return };
+                send_request(&shared, &mut clients, request);
             }
         }
     }
 }
 
-/// Answers the question of a peer.
+/// Answers the membership request of a peer.
 ///
 /// # Errors
 ///
-/// Never fails; the type is what peer calls ask for.
+/// Fails when the core produces no reply, which is a bug.
 pub async fn answer(shared: Arc<Shared>, sync: MemberSync) -> Result<MemberReply, PeerError> {
-    let answers = shared.members.step(&shared.routing, Event::PeerRequest(sync));
-    answers.reply.ok_or_else(|| PeerError::Refused("the membership core gave no reply".to_owned()))
+    let replies = shared.members.step(&shared.routing, Event::PeerRequest(sync));
+    replies
+        .peer_reply
+        .ok_or_else(|| PeerError::Refused("the membership core gave no reply".to_owned()))
 }
 
-fn ask(shared: &Arc<Shared>, clients: &mut FxHashMap<Name, PeerClient>, question: Question) {
-    let Question { id, peer, sync } = question;
+fn send_request(
+    shared: &Arc<Shared>,
+    clients: &mut FxHashMap<Name, PeerClient>,
+    request: SyncRequest,
+) {
+    let SyncRequest { id, peer, sync } = request;
     let Ok(address) = peer.parse() else {
         shared.members.step(&shared.routing, Event::RequestFailed { id });
         return;
@@ -221,7 +227,7 @@
     if clients.len() > MAX_CLIENTS {
         clients.clear();
     }
-    let make = || PeerClient::new(address, &shared.cfg.cluster_key, TIMEOUT);
+    let make = || PeerClient::new(address, &shared.cfg.cluster_key, REQUEST_TIMEOUT);
     let client = clients.entry(peer).or_insert_with(make).clone();
     let shared = shared.clone();
     tokio::spawn(async move {
@@ -236,25 +242,25 @@
     });
 }
 
-fn tell_wanted(shared: &Shared, told: &mut Revision) {
+fn update_services(shared: &Shared, reported: &mut Revision) {
     let revision = shared.settings.revision();
-    if revision != *told {
-        *told = revision;
+    if revision != *reported {
+        *reported = revision;
         let names = shared.settings.current().services.keys().cloned().collect();
         shared.members.step(&shared.routing, Event::Services(names));
     }
 }
 
-fn tell_leaving(shared: &Shared, told: &mut bool) {
-    if shared.stopping.load(Ordering::Relaxed) && !*told {
-        *told = true;
-        let left = shared.cfg.drain_notice + shared.cfg.drain_limit;
-        shared.members.step(&shared.routing, Event::ShutdownStarted { left });
+fn announce_shutdown(shared: &Shared, is_announced: &mut bool) {
+    if shared.is_stopping.load(Ordering::Relaxed) && !*is_announced {
+        *is_announced = true;
+        let remaining = shared.cfg.drain_notice + shared.cfg.drain_limit;
+        shared.members.step(&shared.routing, Event::ShutdownStarted { left: remaining });
     }
 }
 
-fn report(found: &Report) {
-    match found {
+fn log_report(report: &Report) {
+    match report {
         Report::NameClaimedTwice { endpoint, winner, refused } => {
             let (winner, refused) = (winner.0, refused.0);
             event!(Warn, "name_claimed_twice", name = endpoint, winner = winner, refused = refused);
