--- a/daemons/control/src/cli.rs
+++ b/daemons/control/src/cli.rs
@@ -7,13 +7,13 @@
 use crate::cfg::{CONTROL, ControlCfg};
 use crate::daemon::Control;
 
-/// Runs the daemon until it is asked to stop.
+/// Runs the daemon until it receives a signal to stop.
 ///
 /// # Errors
 ///
-/// Fails when a flag is wrong or the daemon can't start.
-pub fn run(words: Vec<String>) -> Result<()> {
-    let Some(mut values) = CONTROL.values_or_help(words)? else {
+/// Fails if a flag is invalid or the daemon can't start.
+pub fn run(args: Vec<String>) -> Result<()> {
+    let Some(mut values) = CONTROL.values_or_help(args)? else {
         return Ok(());
     };
     let mut stops = StopSignals::listen()?;
@@ -23,8 +23,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let control = Control::start(cfg)?;
     runtime.block_on(async {
-        let late = stops.next().await;
-        event!(Info, "control_stops", late_ms = late);
+        let delay = stops.next().await;
+        event!(Info, "control_stops", late_ms = delay);
         control.stop().await;
         Ok(())
     })
