--- a/bench/soak/src/operator.rs
+++ b/bench/soak/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator, who changes settings all the time and reads them back.
+//! The operator, which keeps changing settings and reading them back.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,55 +20,59 @@
 use crate::backend::SERVICE;
 use crate::caller::{CLERKS, GUESTS, HOST, Kind};
 use crate::cluster::key;
-use crate::exchange::{self, Got};
+use crate::exchange::{self, HttpResponse};
 
-/// How long a change or a read may take.
-const PATIENCE: Millis = Millis(4000);
+/// Timeout of a single change or read.
+const REQUEST_TIMEOUT: Millis = Millis(4000);
 
-/// Times that one change is sent before the next one follows.
-const TRIES: usize = 5;
+/// Maximum number of times that one change is sent.
+const MAX_TRIES: usize = 5;
 
-/// Marks an answer that may be old.
-const STALE: &str = "sill-stale";
+/// The response header that marks settings as possibly stale.
+const STALE_HEADER: &str = "sill-stale";
 
-/// A change that was acknowledged.
+/// An acknowledged change of the settings.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Acknowledged {
-    /// Its revision.
+    /// Revision assigned to the change.
     pub revision: u64,
-    /// The number that stands in its document.
+    /// Number of the change, which its document contains.
     pub number: u64,
 }
 
-/// What the operator saw.
+/// Acknowledged changes, reads and findings of the operator.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// The newest change that was acknowledged.
+pub struct Observations {
+    /// The acknowledged change with the highest revision.
     pub newest: Acknowledged,
-    /// How many were.
+    /// Number of acknowledged changes.
     pub changes: u64,
-    /// Reads that were answered as new.
+    /// Number of reads that were not marked as stale.
     pub reads: u64,
-    /// Answers that break a promise.
+    /// Responses that violate a guarantee.
     pub findings: Vec<String>,
 }
 
-/// The operator.
+/// Sends changes and reads to random control instances.
 #[derive(Debug)]
 pub struct Operator {
     controls: Vec<SocketAddr>,
-    seen: Arc<Mutex<Seen>>,
+    observations: Arc<Mutex<Observations>>,
     rng: Rng,
     number: u64,
 }
 
 impl Operator {
-    /// Makes an operator who can reach control instances at these addresses.
-    pub fn new(seed: u64, controls: Vec<SocketAddr>, seen: Arc<Mutex<Seen>>) -> Self {
-        Self { controls, seen, rng: seeded(seed), number: 0 }
+    /// Creates an operator that uses control instances at these addresses.
+    pub fn new(
+        seed: u64,
+        controls: Vec<SocketAddr>,
+        observations: Arc<Mutex<Observations>>,
+    ) -> Self {
+        Self { controls, observations, rng: seeded(seed), number: 0 }
     }
 
-    /// Changes and reads settings until it is told to stop.
+    /// Changes and reads settings until `stop` is set.
     pub async fn run(mut self, stop: watch::Receiver<bool>) -> Self {
         while !*stop.borrow() {
             self.change().await;
@@ -78,22 +82,21 @@
         self
     }
 
-    /// Makes one change. Where the outcome stays unclear, it may come into force later.
-    ///
-    /// Returns whether it was acknowledged.
+    /// Makes one change and returns whether its outcome is final. Without a response the change may
+    /// still be applied later.
     pub async fn change(&mut self) -> bool {
         self.number += 1;
         let number = self.number;
-        let body = serde_json::to_vec(&document(number)).expect("it can be written");
-        for _ in 0..TRIES {
+        let body = serde_json::to_vec(&document(number)).expect("a document can be serialised");
+        for _ in 0..MAX_TRIES {
             let req = Request::put("/tree/serving")
                 .header("host", "control")
                 .header("authorization", format!("Bearer {}", key("root-token")))
                 .header(header::CHANGE_ID, format!("change-{number}"))
                 .body(Full::new(Bytes::from(body.clone())))
-                .expect("a request of fixed parts");
-            if let Ok(got) = exchange::once(self.pick(), req, PATIENCE).await
-                && self.is_answered(number, &got)
+                .expect("a request with valid headers");
+            if let Ok(got) = exchange::send_once(self.pick_control(), req, REQUEST_TIMEOUT).await
+                && self.note_response(number, &got)
             {
                 return true;
             }
@@ -102,72 +105,76 @@
         false
     }
 
-    fn is_answered(&self, number: u64, got: &Got) -> bool {
+    fn note_response(&self, number: u64, got: &HttpResponse) -> bool {
         let revision = json(got).and_then(|body| body.get("revision").and_then(Value::as_u64));
-        let mut seen = self.seen.lock();
+        let mut observations = self.observations.lock();
         match (got.status, revision) {
             (200, Some(revision)) => {
-                seen.changes += 1;
-                // An earlier change whose answer was lost may be newer than what is repeated here.
-                if revision > seen.newest.revision {
-                    seen.newest = Acknowledged { revision, number };
+                observations.changes += 1;
+                // A retry may return an older revision than the newest acknowledged change.
+                if revision > observations.newest.revision {
+                    observations.newest = Acknowledged { revision, number };
                 }
                 true
             }
             (status, _) if (400..500).contains(&status) && status != 429 => {
-                seen.findings.push(format!("accepted_change_stays: change {number} got {status}"));
+                observations
+                    .findings
+                    .push(format!("accepted_change_stays: change {number} got {status}"));
                 true
             }
             _ => false,
         }
     }
 
-    /// Reads the settings at any control instance, and checks that they are not old.
+    /// Reads the settings from a random control instance, and checks that they are no older than
+    /// the newest acknowledged change.
     ///
-    /// Returns whether they were read as new.
+    /// Returns whether there was a response that is not marked as stale.
     pub async fn read(&mut self) -> bool {
-        let before = self.seen.lock().newest;
-        let Ok((revision, number)) = self.fresh().await else { return false };
-        let mut seen = self.seen.lock();
-        seen.reads += 1;
+        let before = self.observations.lock().newest;
+        let Ok((revision, number)) = self.read_fresh().await else { return false };
+        let mut observations = self.observations.lock();
+        observations.reads += 1;
         let is_other = revision == before.revision && number != before.number;
         if revision < before.revision || is_other {
             let what = format!(
                 "accepted_change_stays: read revision {revision}, number {number}, after {before:?}"
             );
-            seen.findings.push(what);
+            observations.findings.push(what);
         }
         true
     }
 
-    async fn fresh(&mut self) -> Result<(u64, u64)> {
+    async fn read_fresh(&mut self) -> Result<(u64, u64)> {
         let req = Request::get("/tree/serving")
             .header("host", "control")
             .header("authorization", format!("Bearer {}", key("root-token")))
             .body(Full::default())?;
-        let got = exchange::once(self.pick(), req, PATIENCE).await?;
+        let got = exchange::send_once(self.pick_control(), req, REQUEST_TIMEOUT).await?;
         let Some(body) = json(&got).filter(|_| got.status == 200) else { bail!("{}", got.status) };
-        if got.header(STALE).is_some() {
-            bail!("may be old");
+        if got.header(STALE_HEADER).is_some() {
+            bail!("the settings are marked as possibly stale");
         }
         let revision = body.get("revision").and_then(Value::as_u64);
         let number = body.pointer("/document/services/cases/max_connections");
         match (revision, number.and_then(Value::as_u64)) {
             (Some(revision), Some(number)) => Ok((revision, number - 1000)),
-            _ => bail!("another shape"),
+            _ => bail!("the response has no revision or no change number"),
         }
     }
 
-    fn pick(&mut self) -> SocketAddr {
+    fn pick_control(&mut self) -> SocketAddr {
         self.controls[self.rng.random_range(0..self.controls.len())]
     }
 }
 
-fn json(got: &Got) -> Option<Value> {
+fn json(got: &HttpResponse) -> Option<Value> {
     serde_json::from_slice(got.body.as_ref()?).ok()
 }
 
-/// Returns the settings of a run, with a number by which changes are told apart.
+/// Returns the settings of a run. The number is stored in `max_connections` and identifies the
+/// change.
 fn document(number: u64) -> Document {
     let mut document = Document::default();
     let pool = Pool { max_connections: Some(1000 + number as u32), ..Pool::default() };
--- a/bench/soak/src/run.rs
+++ b/bench/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: start, faults, recovery, verdict.
+//! One run: starts the cluster, injects faults, waits for recovery and checks the records.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -17,76 +17,78 @@
 use crate::caller::{self, CLERKS, CallerCfg, GUESTS, Kind, Record};
 use crate::cluster::Cluster;
 use crate::exchange;
-use crate::hit::Hits;
+use crate::injector::FaultInjector;
 use crate::journal::Journal;
-use crate::operator::{Operator, Seen};
+use crate::operator::{Observations, Operator};
 use crate::plan::{self, Sizes};
 use crate::verdict::{self, Verdict};
 
-/// How many there are of each by default: a few dozen processes and ways in all.
+/// Default number of processes of each kind: a few dozen processes and links in total.
 pub const SIZES: Sizes = Sizes { controls: 3, entries: 3, endpoints: 4 };
 
-/// Callers for each entry instance, each with one connection. Half of them ask for streams.
-const CALLERS: usize = 6;
+/// Number of callers per entry instance, each with one connection. Half of them request streams.
+const CALLERS_PER_ENTRY: usize = 6;
 
-/// Callers at most. All requests are kept until the verdict: with 1,500 callers the soak itself took 22 GB
-/// within a minute and a half, on machines that others use as well.
-const MOST_CALLERS: usize = 200;
+/// Maximum number of callers. All requests are kept in memory until the verdict: with 1,500 callers
+/// the soak test itself used 22 GB within a minute and a half, on shared machines.
+const MAX_CALLERS: usize = 200;
 
-/// One caller in so many has an account with a limit.
-const LIMITED: usize = 6;
+/// One in this many callers uses the account with a rate limit.
+const LIMITED_EVERY: usize = 6;
 
-/// One caller in so many comes to one entry instance only.
-const FAITHFUL: usize = 3;
+/// One in this many callers uses a single entry instance.
+const PINNED_EVERY: usize = 3;
 
-/// How long everything may take to serve, at the start and after the faults. No figure is measured by
-/// it; a run that reaches it has hung.
-const HUNG: Millis = Millis(40_000);
+/// Timeout for the cluster to serve, at the start and after the faults. It bounds no measured
+/// figure: a run that reaches it has hung.
+const HANG_TIMEOUT: Millis = Millis(40_000);
 
-/// Requests in a row that each entry instance must answer at the end.
-const IN_A_ROW: usize = 10;
+/// Number of consecutive requests that each entry instance must answer to count as serving.
+const REQUIRED_ANSWERS: usize = 10;
 
-/// Time for what is still on its way when callers stop: their patience, and a paused process.
-const SETTLE: Duration = Duration::from_millis(4500);
+/// Time for requests that are still in flight when callers stop: the timeout of callers, and the
+/// rest of a pause of a process.
+const SETTLE_TIME: Duration = Duration::from_millis(4500);
 
 /// Settings of a run.
 #[derive(Debug, Clone)]
 pub struct SoakCfg {
-    /// The program to run.
+    /// Path of the `sill` program.
     pub sill: PathBuf,
-    /// The seed.
+    /// Seed of the faults, the callers and the operator.
     pub seed: u64,
-    /// How long faults go on.
+    /// Duration of fault injection in seconds.
     pub seconds: u64,
-    /// How many entry instances there are.
+    /// Number of entry instances.
     pub entries: usize,
-    /// Where the logs of a run with findings stay.
+    /// Folder that keeps the logs of runs with findings.
     pub logs: PathBuf,
 }
 
-/// The seed and length of a run that is short and still has a fault for each promise.
+/// Seed and duration of a short run.
 #[derive(Debug, Clone, Copy)]
-pub struct Short {
-    /// The seed.
+pub struct ShortRun {
+    /// Seed of the run.
     pub seed: u64,
-    /// How long faults go on.
+    /// Duration of fault injection in seconds.
     pub seconds: u64,
 }
 
-/// The run that CI plays.
-pub const SHORT: Short = Short { seed: 163, seconds: 10 };
+/// The run in CI, which is short and still has a fault for each guarantee.
+pub const SHORT_RUN: ShortRun = ShortRun { seed: 163, seconds: 10 };
 
-/// What a run goes through.
+/// The fault injector of a run and the findings collected so far.
 struct Run {
-    hits: Hits,
+    injector: FaultInjector,
     findings: Arc<Mutex<Vec<String>>>,
 }
 
-/// Runs once.
+/// Runs the soak test once with the given seed.
 ///
 /// # Errors
 ///
-/// Fails when a program can't be started; what breaks a promise is a finding of the verdict.
+/// Fails when a program can't be started or the cluster never acknowledges a change. A violated
+/// guarantee is no error but a finding of the verdict.
 pub fn run_once(cfg: &SoakCfg) -> Result<Verdict> {
     let folder = cfg.logs.join(format!("seed-{}", cfg.seed));
     if folder.exists() {
@@ -110,37 +112,40 @@
     let (entries, controls) = (cluster.entry_addresses.clone(), cluster.control_addresses.clone());
     let cluster = Arc::new(tokio::sync::Mutex::new(cluster));
     let journal: Arc<Journal> = Arc::default();
-    let hits = Hits { cluster, journal: journal.clone() };
-    let run = Run { hits, findings: Arc::default() };
-    let seen: Arc<Mutex<Seen>> = Arc::default();
-    let mut operator = Operator::new(cfg.seed, controls, seen.clone());
+    let injector = FaultInjector { cluster, journal: journal.clone() };
+    let run = Run { injector, findings: Arc::default() };
+    let observations: Arc<Mutex<Observations>> = Arc::default();
+    let mut operator = Operator::new(cfg.seed, controls, observations.clone());
     let began = journal.now();
     while !operator.change().await {
-        if journal.now() - began > HUNG {
-            bail!("no change was acknowledged; see {}", folder.display());
+        if journal.now() - began > HANG_TIMEOUT {
+            bail!(
+                "no settings change was acknowledged within {HANG_TIMEOUT} ms; see the logs in {}",
+                folder.display()
+            );
         }
     }
     run.wait_until_served(&entries, "start").await;
     let (stop, stopped) = watch::channel(false);
     let records: Arc<Mutex<Vec<Record>>> = Arc::default();
     let mut callers = JoinSet::new();
-    for i in 0..MOST_CALLERS.min(CALLERS * sizes.entries) {
+    for i in 0..MAX_CALLERS.min(CALLERS_PER_ENTRY * sizes.entries) {
         let caller = caller_cfg(cfg, i, entries.clone());
         callers.spawn(caller::run(caller, journal.clone(), records.clone(), stopped.clone()));
     }
     let operating = tokio::spawn(operator.run(stopped));
-    let faults = run.bring_about(cfg).await;
+    let faults = run.inject_faults(cfg).await;
     run.wait_until_served(&entries, "end").await;
     stop.send_replace(true);
     while callers.join_next().await.is_some() {}
     let mut operator = operating.await?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     run.wait_until_read(&mut operator).await;
-    run.note_ended().await;
+    run.note_exits().await;
     let records = records.lock();
     let mut findings = verdict::check(&records, &ledger, &journal);
     findings.append(&mut run.findings.lock());
-    findings.append(&mut seen.lock().findings);
+    findings.append(&mut observations.lock().findings);
     let answers = || records.iter().filter_map(|record| record.answer.as_ref());
     Ok(Verdict {
         seed: cfg.seed,
@@ -151,7 +156,7 @@
         limit_most: verdict::limit_most(&GUESTS, &records, &ledger),
         cut: verdict::count_cuts(&records, &ledger, &journal),
         faults,
-        changes: seen.lock().changes,
+        changes: observations.lock().changes,
         findings,
     })
 }
@@ -160,9 +165,9 @@
     CallerCfg {
         name: format!("r{i}"),
         seed: cfg.seed * 1000 + i as u64,
-        client: if i % LIMITED == 2 { &GUESTS } else { &CLERKS },
-        streams: i % 2 == 1,
-        only: i.is_multiple_of(FAITHFUL).then_some(i / FAITHFUL % entries.len()),
+        client: if i % LIMITED_EVERY == 2 { &GUESTS } else { &CLERKS },
+        is_streaming: i % 2 == 1,
+        pinned_entry: i.is_multiple_of(PINNED_EVERY).then_some(i / PINNED_EVERY % entries.len()),
         entries,
     }
 }
@@ -174,81 +179,93 @@
 }
 
 impl Run {
-    /// Carries out the plan, and waits until all faults are over.
-    async fn bring_about(&self, cfg: &SoakCfg) -> usize {
+    /// Injects all faults of the plan and waits until they are over. Returns the number of faults.
+    async fn inject_faults(&self, cfg: &SoakCfg) -> usize {
         let plan = plan::plan(cfg.seed, Millis::from_secs(cfg.seconds), cfg.sizes());
-        let journal = &self.hits.journal;
+        let journal = &self.injector.journal;
         let (count, began) = (plan.len(), journal.now());
-        let mut under_way = JoinSet::new();
-        for planned in plan {
-            let until = (began + planned.at).since(journal.now());
+        let mut tasks = JoinSet::new();
+        for scheduled in plan {
+            let until = (began + scheduled.at).since(journal.now());
             tokio::time::sleep(until.into()).await;
-            self.note_ended().await;
-            println!("at={} now={} fault={:?}", planned.at, journal.now(), planned.fault);
-            let (hits, findings) = (self.hits.clone(), self.findings.clone());
-            under_way.spawn(async move {
-                if let Err(err) = hits.carry_out(planned.fault).await {
+            self.note_exits().await;
+            println!("at={} now={} fault={:?}", scheduled.at, journal.now(), scheduled.fault);
+            let (injector, findings) = (self.injector.clone(), self.findings.clone());
+            tasks.spawn(async move {
+                if let Err(err) = injector.inject(scheduled.fault).await {
                     findings.lock().push(format!("soak: {err:#}"));
                 }
             });
         }
-        while under_way.join_next().await.is_some() {}
+        while tasks.join_next().await.is_some() {}
         count
     }
 
-    /// Notes programs that ended by themselves, as when an invariant did not hold.
-    async fn note_ended(&self) {
-        let mut cluster = self.hits.cluster.lock().await;
+    /// Adds a finding for each program that exited on its own, for example after a failed
+    /// assertion.
+    async fn note_exits(&self) {
+        let mut cluster = self.injector.cluster.lock().await;
         let Cluster { controls, entries, .. } = &mut *cluster;
         for process in controls.iter_mut().chain(entries) {
-            if process.is_expected()
-                && let Some(status) = process.ended()
+            if process.is_expected_running()
+                && let Some(status) = process.take_exit_status()
             {
-                self.findings.lock().push(format!("process: {} ended, {status}", process.name));
+                self.findings
+                    .lock()
+                    .push(format!("process: {} exited unexpectedly with {status}", process.name));
             }
         }
     }
 
-    /// Waits until each entry instance answers several requests in a row.
+    /// Waits until each entry instance answers consecutive requests. One that does not within
+    /// `HANG_TIMEOUT` is a finding.
     async fn wait_until_served(&self, entries: &[SocketAddr], when: &str) {
         let mut waits = JoinSet::new();
         for (i, entry) in entries.iter().copied().enumerate() {
             let name = format!("{when}-{i}");
             waits.spawn(async move {
-                let served = tokio::time::timeout(HUNG.into(), serves(entry, name)).await;
+                let served =
+                    tokio::time::timeout(HANG_TIMEOUT.into(), wait_until_serving(entry, name))
+                        .await;
                 served.err().map(|_| i)
             });
         }
         while let Some(waited) = waits.join_next().await {
             if let Ok(Some(i)) = waited {
-                let what = format!("recovery: g{i} doesn't serve at the {when}");
+                let what = format!(
+                    "recovery: g{i} doesn't serve at the {when} of the run within {HANG_TIMEOUT} ms"
+                );
                 self.findings.lock().push(what);
             }
         }
     }
 
-    /// Waits until the settings are read as new once more; they are checked on the way.
+    /// Waits until one more read returns settings that are not marked as stale. The operator checks
+    /// them against the acknowledged changes.
     async fn wait_until_read(&self, operator: &mut Operator) {
-        let began = self.hits.journal.now();
+        let began = self.injector.journal.now();
         while !operator.read().await {
-            if self.hits.journal.now() - began > HUNG {
-                return self.findings.lock().push("recovery: no settings are read".to_owned());
+            if self.injector.journal.now() - began > HANG_TIMEOUT {
+                return self
+                    .findings
+                    .lock()
+                    .push("recovery: no control instance returns current settings".to_owned());
             }
         }
     }
 }
 
-/// Returns once an entry instance has answered several requests in a row.
-async fn serves(entry: SocketAddr, name: String) {
+/// Returns once an entry instance has answered `REQUIRED_ANSWERS` consecutive requests.
+async fn wait_until_serving(entry: SocketAddr, name: String) {
     let mut in_a_row = 0;
     for number in 0.. {
         let probe = Record::new(format!("{name}-{number}"), Kind::Idempotent);
-        let sent = exchange::once(entry, caller::request(&probe), Millis(2000)).await;
+        let sent = exchange::send_once(entry, caller::request(&probe), Millis(2000)).await;
         in_a_row = match sent {
             Ok(got) if got.status == 200 => in_a_row + 1,
             _ => 0,
         };
-        if in_a_row == IN_A_ROW {
+        if in_a_row == REQUIRED_ANSWERS {
             return;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/bench/standin/src/endpoint.rs
+++ b/bench/standin/src/endpoint.rs
@@ -1,4 +1,5 @@
-//! An endpoint: a model engine or a plain service, with the habits that the brief describes.
+//! A stand-in endpoint: a model engine or a plain service with a prefix cache, slots, delayed load
+//! reports and reclaim notices.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,53 +28,53 @@
 use crate::orders::{self, Orders};
 use crate::run;
 
-/// Time between two announcements.
-const ANNOUNCE_EVERY: Millis = Millis(1000);
+/// Interval between announcements.
+const ANNOUNCE_INTERVAL: Millis = Millis(1000);
 
-/// KV imports under way at once.
-const IMPORTS: usize = 64;
+/// Maximum number of concurrent KV cache imports.
+const MAX_IMPORTS: usize = 64;
 
-/// The largest body taken, in bytes.
-const MAX_BODY: usize = 32 << 20;
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 32 << 20;
 
 /// Settings of a stand-in endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointCfg {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: Name,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub domain: Name,
-    /// Where it listens; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Entry instances that it announces itself to.
+    /// Entry instances that receive its announcements and cache events.
     pub entries: Vec<SocketAddr>,
-    /// The join token.
+    /// Token that authorises announcements and cache events.
     pub join_token: Secret,
-    /// What it serves.
+    /// Models or services that it serves at the start.
     pub serves: Vec<Servable>,
-    /// Requests that it runs side by side.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Microseconds to compute a prompt token.
+    /// Microseconds to compute one prompt token.
     pub prefill_us_per_token: u64,
-    /// Microseconds to move the KV cache of one token to another endpoint.
+    /// Microseconds to transfer the KV cache of one token to another endpoint.
     pub kv_us_per_token: u64,
     /// Time between two tokens of an answer.
     pub decode: Millis,
-    /// Tokens that its prefix cache holds.
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: u64,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether it refuses orders with an outdated fencing token.
     pub checks_fencing: bool,
-    /// How old its load reports and cache events are when they are sent.
+    /// Age of load reports and cache events when they are sent.
     pub lag: Millis,
-    /// Out of a hundred cache event batches, how many are lost.
+    /// Percentage of cache event batches that are dropped.
     pub lose_events: u8,
-    /// Machine class.
+    /// Machine class of the instance.
     pub class: Name,
-    /// Whether the platform may take it back.
+    /// Whether the platform may reclaim the instance.
     pub reclaimable: bool,
-    /// Price in thousandths of a currency unit an hour.
+    /// Price in thousandths of a currency unit per hour.
     pub price: u64,
-    /// Whether the process ends when the endpoint dies.
+    /// Whether the process exits when the endpoint is reclaimed.
     pub exit_on_death: bool,
 }
 
@@ -81,11 +82,11 @@
 #[derive(Debug, Clone)]
 pub struct Endpoint {
     shared: Arc<Shared>,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub address: SocketAddr,
 }
 
-/// What the parts of an endpoint share.
+/// State shared by the request handlers and background tasks of an endpoint.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) cfg: EndpointCfg,
@@ -98,14 +99,14 @@
     queued: AtomicU32,
     queued_tokens: AtomicU64,
     cache: Mutex<PrefixCache>,
-    reported: Mutex<LoadReport>,
+    load_report: Mutex<LoadReport>,
     pub(crate) ledger: Ledger,
     pub(crate) exports: Mutex<Exports>,
     pub(crate) outbox: Outbox,
     pub(crate) orders: Orders,
-    cancelled: Mutex<Set<Name>>,
-    dies_at: Mutex<Option<Millis>>,
-    dead: AtomicBool,
+    cancelled_requests: Mutex<Set<Name>>,
+    terminates_at: Mutex<Option<Millis>>,
+    is_dead: AtomicBool,
 }
 
 impl Default for EndpointCfg {
@@ -134,7 +135,7 @@
 }
 
 impl Endpoint {
-    /// Starts the endpoint on a thread of its own.
+    /// Starts the endpoint on a new thread.
     ///
     /// # Errors
     ///
@@ -152,14 +153,14 @@
             queued: AtomicU32::new(0),
             queued_tokens: AtomicU64::new(0),
             cache: Mutex::new(PrefixCache::new(cfg.cache_tokens)),
-            reported: Mutex::new(LoadReport::new(cfg.lag)),
+            load_report: Mutex::new(LoadReport::new(cfg.lag)),
             ledger: Ledger::default(),
             exports: Mutex::new(Exports::default()),
             outbox: Outbox::default(),
             orders: Orders::new(cfg.serves.clone()),
-            cancelled: Mutex::default(),
-            dies_at: Mutex::new(None),
-            dead: AtomicBool::new(false),
+            cancelled_requests: Mutex::default(),
+            terminates_at: Mutex::new(None),
+            is_dead: AtomicBool::new(false),
             cfg,
         });
         let name = format!("endpoint-{}", shared.cfg.name);
@@ -168,33 +169,33 @@
         Ok(Self { shared, address })
     }
 
-    /// Returns its runs.
+    /// Returns all runs so far, in order of arrival.
     pub fn ledger(&self) -> Vec<LedgerEntry> {
         self.shared.ledger.runs()
     }
 
-    /// Gives it notice; it dies hard after that time.
-    pub fn reclaim(&self, in_ms: Millis) {
-        self.shared.reclaim(in_ms);
+    /// Delivers a reclaim notice: the endpoint terminates abruptly once `time_left` has passed.
+    pub fn reclaim(&self, time_left: Millis) {
+        self.shared.reclaim(time_left);
     }
 
-    /// Returns whether it is dead.
+    /// Returns whether the endpoint was terminated by a reclaim notice.
     pub fn is_dead(&self) -> bool {
-        self.shared.dead.load(Ordering::Relaxed)
+        self.shared.is_dead.load(Ordering::Relaxed)
     }
 }
 
 impl Shared {
-    fn reclaim(&self, in_ms: Millis) {
-        let at = self.clock.now() + in_ms;
-        let mut dies_at = self.dies_at.lock();
-        *dies_at = Some(dies_at.map_or(at, |before| before.min(at)));
-        event!(Info, "reclaim_notice", name = self.cfg.name, in_ms = in_ms);
+    fn reclaim(&self, time_left: Millis) {
+        let at = self.clock.now() + time_left;
+        let mut terminates_at = self.terminates_at.lock();
+        *terminates_at = Some(terminates_at.map_or(at, |current| current.min(at)));
+        event!(Info, "reclaim_notice", name = self.cfg.name, in_ms = time_left);
     }
 
     fn announcement(&self) -> Announcement {
         let cfg = &self.cfg;
-        let dies_at = *self.dies_at.lock();
+        let terminates_at = *self.terminates_at.lock();
         Announcement {
             name: cfg.name.clone(),
             incarnation: self.incarnation,
@@ -210,8 +211,8 @@
             prefill_tokens_per_s: (1_000_000 / cfg.prefill_us_per_token.max(1)) as u32,
             decode_ms: cfg.decode.0 as u32,
             cache_tokens: cfg.cache_tokens,
-            load: self.reported.lock().at(self.clock.now()),
-            leaving: dies_at.map(|at| at - self.clock.now()),
+            load: self.load_report.lock().report_at(self.clock.now()),
+            leaving: terminates_at.map(|at| at - self.clock.now()),
             checks_fencing: cfg.checks_fencing,
         }
     }
@@ -224,10 +225,11 @@
             cached_tokens: self.cache.lock().tokens(),
             age: Millis::ZERO,
         };
-        self.reported.lock().sample(self.clock.now(), load);
+        self.load_report.lock().sample(self.clock.now(), load);
     }
 
-    /// Waits for a slot and for the prompt to be computed.
+    /// Waits for a slot and looks up the cached prefix of the prompt. Returns `None` once the
+    /// endpoint stops.
     pub(crate) async fn admit(&self, blocks: &[u64], prompt_tokens: u64) -> Option<Admission> {
         self.queued.fetch_add(1, Ordering::Relaxed);
         self.queued_tokens.fetch_add(prompt_tokens, Ordering::Relaxed);
@@ -235,8 +237,8 @@
         self.queued.fetch_sub(1, Ordering::Relaxed);
         self.queued_tokens.fetch_sub(prompt_tokens, Ordering::Relaxed);
         let permit = permit?;
-        let held = self.cache.lock().longest_prefix(blocks);
-        let cached_tokens = ((held * prefix::BLOCK_TOKENS) as u64).min(prompt_tokens);
+        let cached_blocks = self.cache.lock().longest_prefix(blocks);
+        let cached_tokens = ((cached_blocks * prefix::BLOCK_TOKENS) as u64).min(prompt_tokens);
         Some(Admission { permit, cached_tokens })
     }
 
@@ -245,23 +247,23 @@
     }
 
     pub(crate) fn is_dead(&self) -> bool {
-        self.dead.load(Ordering::Relaxed)
+        self.is_dead.load(Ordering::Relaxed)
     }
 
-    /// Holds the blocks of a prompt in the prefix cache.
-    pub(crate) fn store(&self, blocks: &[u64]) {
+    /// Adds the blocks of a prompt to the prefix cache and queues the cache events.
+    pub(crate) fn cache_prompt(&self, blocks: &[u64]) {
         let events = self.cache.lock().insert(blocks);
         self.outbox.add(self.clock.now() + self.cfg.lag, events);
     }
 
-    /// Returns whether a request was cancelled.
+    /// Returns whether `POST /cancel/REQUEST` was received for a request.
     pub(crate) fn is_cancelled(&self, request: &Name) -> bool {
-        self.cancelled.lock().contains(request)
+        self.cancelled_requests.lock().contains(request)
     }
 }
 
-/// Waits to the millisecond; the HTTP library's own timer is coarse, and would hide what an entry
-/// instance adds.
+/// Sleeps with millisecond accuracy. The timer of the HTTP library is too coarse: it would hide the
+/// latency that an entry instance adds.
 pub(crate) async fn pause(span: Millis) {
     if span > Millis::ZERO {
         tokio::time::sleep(span.into()).await;
@@ -276,11 +278,12 @@
 async fn serve(shared: Arc<Shared>, listener: std::net::TcpListener) -> io::Result<()> {
     let app = shared.clone();
     let server = HttpServer::new(async move || {
-        let http = client::streaming(IMPORTS).await.expect("a client without TLS can be made");
+        let http =
+            client::streaming(MAX_IMPORTS).await.expect("an HTTP client without TLS can be built");
         App::new()
             .state(app.clone())
             .state(http)
-            .state(web::types::PayloadConfig::new(MAX_BODY))
+            .state(web::types::PayloadConfig::new(MAX_BODY_BYTES))
             .service((
                 web::resource("/v1/chat/completions").route(web::post().to(run::chat)),
                 web::resource("/v1/completions").route(web::post().to(run::chat)),
@@ -292,7 +295,7 @@
                 web::resource("/ledger").route(web::get().to(ledger)),
                 web::resource("/reclaim").route(web::post().to(reclaim)),
             ))
-            .default_service(web::route().to(plain))
+            .default_service(web::route().to(serve_plain))
     })
     .workers(1)
     .disable_signals()
@@ -300,26 +303,27 @@
     .run();
     let announcer = ntex::rt::spawn(announce(shared.clone()));
     let publisher = ntex::rt::spawn(events::publish(shared.clone()));
-    let dying = server.clone();
+    let stopping_server = server.clone();
     ntex::rt::spawn(async move {
-        die_on_time(&shared).await;
-        dying.stop(false).await;
+        wait_for_termination(&shared).await;
+        stopping_server.stop(false).await;
         if shared.cfg.exit_on_death {
             std::process::exit(137);
         }
     });
-    let ended = server.await;
+    let result = server.await;
     announcer.cancel();
     publisher.cancel();
-    ended
+    result
 }
 
-async fn die_on_time(shared: &Shared) {
+/// Returns once the time of a reclaim notice has passed, and marks the endpoint as dead.
+async fn wait_for_termination(shared: &Shared) {
     const POLL: ntex::time::Millis = ntex::time::Millis(5);
     loop {
-        let due = shared.dies_at.lock().is_some_and(|at| at <= shared.clock.now());
+        let due = shared.terminates_at.lock().is_some_and(|at| at <= shared.clock.now());
         if due {
-            shared.dead.store(true, Ordering::Relaxed);
+            shared.is_dead.store(true, Ordering::Relaxed);
             event!(Info, "died", name = shared.cfg.name);
             return;
         }
@@ -327,36 +331,37 @@
     }
 }
 
-/// Announces itself to one entry instance after another until one takes it in.
+/// Announces the endpoint periodically. If an entry instance does not accept the announcement, the
+/// next one is tried.
 async fn announce(shared: Arc<Shared>) {
     let Ok(http) = client::streaming(4).await else {
         return;
     };
-    let mut turn = 0;
-    let mut told_leaving = false;
+    let mut entry_index = 0;
+    let mut has_announced_leaving = false;
     while !shared.is_dead() {
         let announcement = shared.announcement();
-        told_leaving = announcement.leaving.is_some();
+        has_announced_leaving = announcement.leaving.is_some();
         for _ in 0..shared.cfg.entries.len() {
-            let entry = shared.cfg.entries[turn % shared.cfg.entries.len()];
-            if tell(&http, &shared, entry, &announcement).await {
+            let entry = shared.cfg.entries[entry_index % shared.cfg.entries.len()];
+            if send_announcement(&http, &shared, entry, &announcement).await {
                 break;
             }
-            turn += 1;
+            entry_index += 1;
         }
-        // A notice must not wait for the next turn.
-        for _ in 0..ANNOUNCE_EVERY.0 / 20 {
+        // A reclaim notice is announced at once, not only after the full interval.
+        for _ in 0..ANNOUNCE_INTERVAL.0 / 20 {
             ntex::time::sleep(ntex::time::Millis(20)).await;
             shared.sample_load();
-            if !told_leaving && shared.dies_at.lock().is_some() {
+            if !has_announced_leaving && shared.terminates_at.lock().is_some() {
                 break;
             }
         }
     }
-    let _ = told_leaving;
+    let _ = has_announced_leaving;
 }
 
-async fn tell(
+async fn send_announcement(
     http: &ntex::client::Client,
     shared: &Shared,
     entry: SocketAddr,
@@ -373,10 +378,12 @@
     }
 }
 
+/// `GET /ledger`.
 async fn ledger(app: web::types::State<Arc<Shared>>) -> HttpResponse {
     http::json(200, &app.ledger.runs())
 }
 
+/// `POST /reclaim`.
 async fn reclaim(
     app: web::types::State<Arc<Shared>>,
     notice: web::types::Json<ReclaimNotice>,
@@ -385,22 +392,26 @@
     http::json(200, &json!({ "accepted": true }))
 }
 
-/// `POST /cancel/REQUEST`.
+/// `POST /cancel/REQUEST`: makes the stream of a request break off.
 async fn cancel(
     app: web::types::State<Arc<Shared>>,
     request: web::types::Path<Name>,
 ) -> HttpResponse {
-    app.cancelled.lock().insert(request.into_inner());
+    app.cancelled_requests.lock().insert(request.into_inner());
     HttpResponse::NoContent().finish()
 }
 
-/// Takes any call of a plain service, and answers with what was called.
-async fn plain(app: web::types::State<Arc<Shared>>, req: HttpRequest, body: Bytes) -> HttpResponse {
+/// Serves any request to a plain service. Echoes method, path and hash of the body.
+async fn serve_plain(
+    app: web::types::State<Arc<Shared>>,
+    req: HttpRequest,
+    body: Bytes,
+) -> HttpResponse {
     let request = request_header(&req, header::REQUEST_ID);
     let run = app.ledger.open(LedgerEntry {
         request: request.clone(),
         attempt: attempt(&req),
-        idempotency_key: key(&req),
+        idempotency_key: idempotency_key(&req),
         path: format!("{} {}", req.method(), req.path()),
         ..LedgerEntry::default()
     });
@@ -412,10 +423,10 @@
     app.running.fetch_sub(1, Ordering::Relaxed);
     drop(admission);
     app.ledger.close(run, RunEnd::Finished);
-    let echo = blake3::hash(&body).to_hex();
+    let body_hash = blake3::hash(&body).to_hex();
     http::json(
         200,
-        &json!({ "method": req.method().as_str(), "path": req.path(), "body": echo.as_str() }),
+        &json!({ "method": req.method().as_str(), "path": req.path(), "body": body_hash.as_str() }),
     )
 }
 
@@ -427,6 +438,6 @@
     request_header(req, header::ATTEMPT).parse().unwrap_or_default()
 }
 
-pub(crate) fn key(req: &HttpRequest) -> Option<Name> {
+pub(crate) fn idempotency_key(req: &HttpRequest) -> Option<Name> {
     Some(request_header(req, header::IDEMPOTENCY_KEY)).filter(|k| !k.is_empty())
 }
