--- a/bench/load/src/experiment/model.rs
+++ b/bench/load/src/experiment/model.rs
@@ -1,7 +1,7 @@
-//! A simple endpoint in virtual time: slots, serial prefill, decoding, a prefix cache.
+//! Simple model of an endpoint in virtual time: slots, serial prefill, decode, a prefix cache.
 //!
-//! Decoding requests share the accelerator with the prefill of others and with each other, so a
-//! prompt that has to be computed also slows the answers that run.
+//! Decoding requests share the accelerator with the prefill of others and with each other, so the
+//! prefill of an uncached prompt also slows down the decoding requests.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,62 +12,62 @@
 use sill_wire::prefix::BLOCK_TOKENS;
 use sill_wire::{Announcement, Incarnation, Load, Priority, Role, Servable};
 
-/// The model that every endpoint serves.
+/// Name of the language model that every endpoint serves.
 pub const MODEL: &str = "m";
 
-/// Share of the accelerator that a prefill takes from the answers that run.
+/// Share of the accelerator that a prefill takes from decoding requests.
 const PREFILL_SHARE: f64 = 0.4;
 
-/// How much slower a full batch decodes than a single answer.
+/// Relative slowdown of decode in a full batch, compared to a single request.
 const BATCH_SLOWDOWN: f64 = 0.3;
 
 /// Virtual time in microseconds.
 pub type Micros = u64;
 
-/// What an endpoint is.
+/// Properties of an endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointSpec {
-    /// Its failure domain.
+    /// Number of its failure domain.
     pub domain: usize,
-    /// Requests side by side.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// Prompt tokens computed in a second.
+    /// Prompt tokens computed per second.
     pub prefill_tokens_per_s: u32,
-    /// Time between two tokens of an answer that runs alone, in milliseconds.
+    /// Time between two tokens of a request that decodes alone, in milliseconds.
     pub decode_ms: u32,
-    /// Tokens that the prefix cache holds.
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: u64,
-    /// Whether the platform may take it back.
+    /// Whether the platform may reclaim the instance.
     pub reclaimable: bool,
-    /// Price an hour in thousandths.
+    /// Price per hour in thousandths of a currency unit.
     pub price: u64,
 }
 
-/// A request at an endpoint.
+/// One attempt of a job at an endpoint.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// The number of the job.
+    /// Index of the job.
     pub job: usize,
-    /// Which attempt of the job.
+    /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// Its whole blocks.
+    /// Ids of the prompt's complete blocks.
     pub blocks: Arc<[u64]>,
-    /// Tokens to compute or find in the cache.
+    /// Prompt tokens, cached or not.
     pub prompt_tokens: u64,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub tokens: u32,
-    /// Its priority.
+    /// Priority in the endpoint's queue.
     pub priority: Priority,
 }
 
-/// What came of the passing of time.
+/// Event at an endpoint as time advances.
 #[derive(Debug)]
-pub enum Signal {
-    /// A prefill began.
+pub enum EndpointEvent {
+    /// A prefill started.
     Prefill {
-        /// The request.
+        /// The attempt whose prompt is computed.
         run: Run,
-        /// Blocks that were found in the cache.
+        /// Number of its blocks found in the cache.
         cached_blocks: usize,
     },
     /// The first token was sent.
@@ -76,24 +76,24 @@
     Finished(Run),
 }
 
-/// An endpoint.
+/// State of a simulated endpoint.
 #[derive(Debug)]
 pub struct EndpointModel {
-    /// What it is.
+    /// Fixed properties.
     pub spec: EndpointSpec,
-    /// Its name.
+    /// Name in announcements.
     pub name: Name,
-    /// Whether it runs.
-    pub up: bool,
-    /// When it goes, once it knows.
-    pub leaving: Option<Micros>,
-    /// Its cache.
+    /// Whether its instance runs.
+    pub is_up: bool,
+    /// Time at which its instance will be reclaimed, once it has notice.
+    pub leaves_at: Option<Micros>,
+    /// Prefix cache.
     pub cache: PrefixCache,
-    /// Cache events that were not published yet.
+    /// Cache events not published yet.
     pub events: Vec<CacheEvent>,
-    /// The number of the next cache event.
+    /// Sequence number of the next cache event to publish.
     pub next_event: u64,
-    /// Its life.
+    /// Incarnation; each restart increments it.
     pub incarnation: u64,
     sequence: u64,
     waiting: VecDeque<Run>,
@@ -107,7 +107,7 @@
 #[derive(Debug)]
 struct Prefill {
     run: Run,
-    ends: Micros,
+    ends_at: Micros,
 }
 
 #[derive(Debug)]
@@ -117,14 +117,14 @@
 }
 
 impl EndpointModel {
-    /// Makes an endpoint with an empty cache.
+    /// Creates a running endpoint with an empty cache.
     pub fn new(number: usize, spec: EndpointSpec) -> Self {
         Self {
             name: format!("lm-{number}").into(),
             cache: PrefixCache::new(spec.cache_tokens),
             spec,
-            up: true,
-            leaving: None,
+            is_up: true,
+            leaves_at: None,
             events: Vec::new(),
             next_event: 1,
             incarnation: 1,
@@ -138,22 +138,22 @@
         }
     }
 
-    /// Starts a new life.
+    /// Starts a new incarnation with an empty cache.
     pub fn restart(&mut self, now: Micros) {
         self.cache = PrefixCache::new(self.spec.cache_tokens);
         self.events.clear();
         self.next_event = 1;
         self.incarnation += 1;
         self.sequence = 0;
-        self.up = true;
-        self.leaving = None;
+        self.is_up = true;
+        self.leaves_at = None;
         self.progress_at = now;
     }
 
-    /// Dies, and returns the requests that it held, each with the tokens already sent.
-    pub fn die(&mut self, now: Micros) -> Vec<(Run, u32)> {
+    /// Stops the endpoint and returns its requests, each with the number of tokens already sent.
+    pub fn stop(&mut self, now: Micros) -> Vec<(Run, u32)> {
         self.advance(now);
-        self.up = false;
+        self.is_up = false;
         let progress = self.progress_ms;
         let decode_ms = f64::from(self.spec.decode_ms);
         let mut lost: Vec<(Run, u32)> = Vec::new();
@@ -168,13 +168,13 @@
         lost
     }
 
-    /// Takes a request.
-    pub fn offer(&mut self, run: Run) {
+    /// Queues a request, behind those of the same or a higher priority.
+    pub fn enqueue(&mut self, run: Run) {
         let behind = self.waiting.iter().position(|other| other.priority < run.priority);
         self.waiting.insert(behind.unwrap_or(self.waiting.len()), run);
     }
 
-    /// Drops a request whose caller went away.
+    /// Removes the request of a job whose caller has timed out.
     pub fn cancel(&mut self, now: Micros, job: usize) {
         self.advance(now);
         self.waiting.retain(|run| run.job != job);
@@ -185,26 +185,26 @@
         }
     }
 
-    /// Returns the requests that it holds.
+    /// Returns the number of running and queued requests.
     pub fn active(&self) -> usize {
         self.running() + self.waiting.len()
     }
 
-    /// Carries out all that is due, and returns when something is due next.
-    pub fn work(&mut self, now: Micros, out: &mut Vec<Signal>) -> Option<Micros> {
+    /// Processes everything due at `now` and returns the time at which something is due next.
+    pub fn work(&mut self, now: Micros, out: &mut Vec<EndpointEvent>) -> Option<Micros> {
         self.advance(now);
-        if self.prefill.as_ref().is_some_and(|p| p.ends <= now) {
-            let run = self.prefill.take().expect("checked").run;
+        if self.prefill.as_ref().is_some_and(|p| p.ends_at <= now) {
+            let run = self.prefill.take().expect("a prefill is running").run;
             self.events.extend(self.cache.insert(&run.blocks));
             let span = f64::from(run.tokens.max(1) - 1) * f64::from(self.spec.decode_ms);
             let ends_at_progress = self.progress_ms + span;
-            out.push(Signal::FirstToken(run.clone()));
+            out.push(EndpointEvent::FirstToken(run.clone()));
             self.decoding.push(Decoding { run, ends_at_progress });
         }
         const ROUNDING_MS: f64 = 0.002;
         let progress = self.progress_ms + ROUNDING_MS;
         for ended in self.decoding.extract_if(.., |d| d.ends_at_progress <= progress) {
-            out.push(Signal::Finished(ended.run));
+            out.push(EndpointEvent::Finished(ended.run));
         }
         while self.running() < self.spec.slots as usize {
             let Some(run) = self.waiting.pop_front() else {
@@ -213,12 +213,12 @@
             self.admitted.push_back(run);
         }
         if self.prefill.is_none() {
-            self.begin_prefill(now, out);
+            self.start_prefill(now, out);
         }
         self.next_due(now)
     }
 
-    /// Returns its announcement.
+    /// Returns the next announcement.
     pub fn announcement(&mut self, now: Micros, load: Load, domain: Name) -> Announcement {
         self.sequence += 1;
         Announcement {
@@ -241,18 +241,18 @@
             decode_ms: self.spec.decode_ms,
             cache_tokens: self.spec.cache_tokens,
             load,
-            leaving: self.leaving.map(|at| Millis(at.saturating_sub(now) / 1000)),
+            leaving: self.leaves_at.map(|at| Millis(at.saturating_sub(now) / 1000)),
             checks_fencing: true,
         }
     }
 
-    /// Returns its load as it would report it now.
+    /// Returns the load to report now.
     pub fn load(&self) -> Load {
         let waiting = self.waiting.iter().chain(&self.admitted);
         Load {
             running: self.running() as u32,
             queued: self.waiting.len() as u32,
-            queued_tokens: waiting.map(|run| self.uncached(run)).sum(),
+            queued_tokens: waiting.map(|run| self.uncached_tokens(run)).sum(),
             cached_tokens: self.cache.tokens(),
             age: Millis::ZERO,
         }
@@ -262,41 +262,41 @@
         self.admitted.len() + usize::from(self.prefill.is_some()) + self.decoding.len()
     }
 
-    fn uncached(&self, run: &Run) -> u64 {
+    fn uncached_tokens(&self, run: &Run) -> u64 {
         let cached = self.cache.longest_prefix(&run.blocks) * BLOCK_TOKENS;
         run.prompt_tokens.saturating_sub(cached as u64)
     }
 
-    fn begin_prefill(&mut self, now: Micros, out: &mut Vec<Signal>) {
+    fn start_prefill(&mut self, now: Micros, out: &mut Vec<EndpointEvent>) {
         let Some(run) = self.admitted.pop_front() else {
             return;
         };
         let cached_blocks = self.cache.longest_prefix(&run.blocks);
-        let tokens = self.uncached(&run).max(1);
+        let tokens = self.uncached_tokens(&run).max(1);
         let span = tokens * 1_000_000 / u64::from(self.spec.prefill_tokens_per_s);
-        out.push(Signal::Prefill { run: run.clone(), cached_blocks });
-        self.prefill = Some(Prefill { run, ends: now + span });
+        out.push(EndpointEvent::Prefill { run: run.clone(), cached_blocks });
+        self.prefill = Some(Prefill { run, ends_at: now + span });
     }
 
-    /// Milliseconds of undisturbed decoding done in a millisecond.
-    fn speed(&self) -> f64 {
+    /// Returns the decode speed relative to a request that decodes alone, per request.
+    fn decode_speed(&self) -> f64 {
         let batch = self.decoding.len() as f64 / f64::from(self.spec.slots);
         let share = if self.prefill.is_some() { 1.0 - PREFILL_SHARE } else { 1.0 };
         share / (1.0 + BATCH_SLOWDOWN * batch)
     }
 
     fn advance(&mut self, now: Micros) {
-        self.progress_ms += (now - self.progress_at) as f64 / 1000.0 * self.speed();
+        self.progress_ms += (now - self.progress_at) as f64 / 1000.0 * self.decode_speed();
         self.progress_at = now;
     }
 
     fn next_due(&self, now: Micros) -> Option<Micros> {
         let first = self.decoding.iter().map(|d| d.ends_at_progress).reduce(f64::min);
-        let decoded = first.map(|ends| {
-            let left_ms = (ends - self.progress_ms).max(0.0) / self.speed();
+        let decode_end = first.map(|ends| {
+            let left_ms = (ends - self.progress_ms).max(0.0) / self.decode_speed();
             now + (left_ms * 1000.0).ceil() as Micros + 1
         });
-        let prefilled = self.prefill.as_ref().map(|p| p.ends);
-        decoded.into_iter().chain(prefilled).min()
+        let prefill_end = self.prefill.as_ref().map(|p| p.ends_at);
+        decode_end.into_iter().chain(prefill_end).min()
     }
 }
--- a/bench/load/src/experiment/route.rs
+++ b/bench/load/src/experiment/route.rs
@@ -1,23 +1,23 @@
-//! Policies of the router against each other, through a reclaim wave.
+//! Compares routing policies during a reclaim wave.
 
 use serde::Serialize;
 use sill_base::Millis;
 use sill_route::{Policy, PolicyCfg};
 
 use super::figures::Row;
-use super::pool::{Callers, Pool, PoolCfg, Wave};
+use super::pool::{CallerCfg, Pool, PoolCfg, Wave};
 use super::traffic::Mix;
 
-/// Every policy on one mix.
+/// Results of all policies with one mix.
 #[derive(Debug, Serialize)]
 pub struct RouteTable {
-    /// The mix.
+    /// Name of the mix.
     pub mix: &'static str,
-    /// A row for each policy.
+    /// One row per policy.
     pub rows: Vec<Row>,
 }
 
-/// Runs all policies on both mixes.
+/// Runs all policies with both mixes.
 pub fn run(seed: u64) -> Vec<RouteTable> {
     let tables = [Mix::Shared, Mix::CaseFiles].map(|mix| {
         let rows =
@@ -68,7 +68,7 @@
             notice: Millis::from_secs(2),
             replaced_after: Millis::from_secs(60),
         }),
-        callers: Callers::default(),
+        callers: CallerCfg::default(),
         seed,
     }
 }
--- a/bench/load/src/experiment/traffic.rs
+++ b/bench/load/src/experiment/traffic.rs
@@ -1,4 +1,4 @@
-//! What callers ask for: long shared prompts, or whole case files.
+//! Simulated requests: prompts with long shared prefixes, or questions about case files.
 
 use std::sync::Arc;
 
@@ -9,29 +9,29 @@
 
 use super::model::EndpointSpec;
 
-/// Which user's work is modelled.
+/// User whose workload is modelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mix {
-    /// Waitaha: release-note and fault prompts that share long beginnings; 10 servers.
+    /// Waitaha: release-note and fault prompts with long shared prefixes; 10 servers.
     Shared,
-    /// Co-op: case files, each asked about several times within minutes; 12 servers.
+    /// Co-op: case files, each with several questions within minutes; 12 servers.
     CaseFiles,
 }
 
-/// A request to come.
+/// Prompt, length and priority of a simulated request.
 #[derive(Debug, Clone)]
-pub struct Wanted {
-    /// Whole blocks of the prompt.
+pub struct RequestSpec {
+    /// Ids of the prompt's complete blocks.
     pub blocks: Arc<[u64]>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of answer tokens.
     pub tokens: u32,
-    /// Its priority.
+    /// Priority that the caller asks for.
     pub priority: Priority,
 }
 
-/// Makes requests.
+/// Generates the requests of a mix.
 #[derive(Debug)]
 pub struct Traffic {
     mix: Mix,
@@ -44,11 +44,11 @@
 struct Case {
     id: u64,
     blocks: u64,
-    left: u32,
+    requests_left: u32,
 }
 
 impl Mix {
-    /// The mix's name in tables.
+    /// Returns the name of the mix in tables.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Shared => "shared prompts",
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Requests a second over all entry instances, which least-loaded routing can just answer.
+    /// Returns the requests per second over all entry instances that least-loaded routing can just
+    /// handle.
     pub const fn rate(self) -> f64 {
         match self {
             Self::Shared => 10.0,
@@ -64,15 +65,15 @@
         }
     }
 
-    /// One-way time between failure domains in microseconds.
-    pub const fn between_domains(self) -> u64 {
+    /// Returns the one-way network latency between failure domains in microseconds.
+    pub const fn between_domains_us(self) -> u64 {
         match self {
             Self::Shared => 500,
             Self::CaseFiles => 1500,
         }
     }
 
-    /// The time to the first token that is aimed for, in milliseconds.
+    /// Returns the target for the time to first token in milliseconds.
     pub const fn ttft_target_ms(self) -> f64 {
         match self {
             Self::Shared => 820.0,
@@ -80,7 +81,8 @@
         }
     }
 
-    /// The endpoints of the pool, spread over four failure domains, two thirds reclaimable.
+    /// Returns the endpoints of the user's pool, spread over four failure domains; two thirds are
+    /// reclaimable.
     pub fn endpoints(self) -> Vec<EndpointSpec> {
         match self {
             Self::Shared => self.pool(10),
@@ -88,7 +90,7 @@
         }
     }
 
-    /// A pool of another size.
+    /// Returns the endpoints of a pool with `count` of them.
     pub fn pool(self, count: usize) -> Vec<EndpointSpec> {
         let cache_tokens = match self {
             Self::Shared => 60_000,
@@ -108,11 +110,11 @@
 }
 
 impl Traffic {
-    /// Makes the traffic of a mix.
+    /// Creates the generator of a mix.
     pub fn new(mix: Mix) -> Self {
-        const PROMPTS: u32 = 40;
+        const PROMPT_COUNT: u32 = 40;
         let mut sum = 0.0;
-        let popularity = (1..=PROMPTS).map(|rank| {
+        let popularity = (1..=PROMPT_COUNT).map(|rank| {
             sum += 1.0 / f64::from(rank).powf(0.8);
             sum
         });
@@ -121,39 +123,46 @@
     }
 
     /// Returns the next request.
-    pub fn next(&mut self, rng: &mut Rng) -> Wanted {
+    pub fn next_request(&mut self, rng: &mut Rng) -> RequestSpec {
         match self.mix {
-            Mix::Shared => self.shared(rng),
+            Mix::Shared => self.shared_prompt(rng),
             Mix::CaseFiles => self.case_file(rng),
         }
     }
 
-    fn shared(&mut self, rng: &mut Rng) -> Wanted {
+    fn shared_prompt(&mut self, rng: &mut Rng) -> RequestSpec {
         let total = self.popularity.last().copied().unwrap_or(1.0);
         let drawn = rng.random_range(0.0..total);
         let prompt = self.popularity.partition_point(|sum| *sum < drawn) as u64;
         let blocks = 80 + prompt * 7 % 30;
         let own_blocks = rng.random_range(3..10);
-        self.wanted(prompt, blocks, own_blocks, rng.random_range(150..400), rng)
+        self.request(prompt, blocks, own_blocks, rng.random_range(150..400), rng)
     }
 
-    fn case_file(&mut self, rng: &mut Rng) -> Wanted {
+    fn case_file(&mut self, rng: &mut Rng) -> RequestSpec {
         const OPEN_CASES: usize = 60;
         while self.cases.len() < OPEN_CASES {
             self.next_unique += 1;
-            let (blocks, left) = (rng.random_range(180..320), rng.random_range(4..9));
-            self.cases.push(Case { id: self.next_unique, blocks, left });
+            let (blocks, requests_left) = (rng.random_range(180..320), rng.random_range(4..9));
+            self.cases.push(Case { id: self.next_unique, blocks, requests_left });
         }
         let chosen = rng.random_range(0..OPEN_CASES);
-        self.cases[chosen].left -= 1;
+        self.cases[chosen].requests_left -= 1;
         let case = self.cases[chosen].clone();
-        if case.left == 0 {
+        if case.requests_left == 0 {
             self.cases.swap_remove(chosen);
         }
-        self.wanted(case.id, case.blocks, 2, rng.random_range(100..300), rng)
+        self.request(case.id, case.blocks, 2, rng.random_range(100..300), rng)
     }
 
-    fn wanted(&mut self, prefix: u64, shared: u64, own: u64, tokens: u32, rng: &mut Rng) -> Wanted {
+    fn request(
+        &mut self,
+        prefix: u64,
+        shared: u64,
+        own: u64,
+        tokens: u32,
+        rng: &mut Rng,
+    ) -> RequestSpec {
         self.next_unique += 1;
         let unique = self.next_unique;
         let own_blocks = (0..own).map(|b| unique << 16 | b);
@@ -164,6 +173,6 @@
             _ => Priority::High,
         };
         let prompt_tokens = (blocks.len() * BLOCK_TOKENS) as u64;
-        Wanted { blocks, prompt_tokens, tokens, priority }
+        RequestSpec { blocks, prompt_tokens, tokens, priority }
     }
 }
--- a/bench/load/tests/experiment.rs
+++ b/bench/load/tests/experiment.rs
@@ -1,8 +1,8 @@
-//! The aims of the routing policy, on short runs of the experiments in virtual time.
+//! Targets of the routing policy, on short runs of the experiments in virtual time.
 
 use sill_base::Millis;
 use sill_load::experiment::figures::Row;
-use sill_load::experiment::pool::{Callers, Pool, PoolCfg, Wave};
+use sill_load::experiment::pool::{CallerCfg, Pool, PoolCfg, Wave};
 use sill_load::experiment::traffic::Mix;
 use sill_route::{Policy, PolicyCfg};
 
@@ -22,16 +22,17 @@
         length: Millis::from_secs(240),
         warm_up: Millis::from_secs(60),
         wave: Some(wave),
-        callers: Callers::default(),
+        callers: CallerCfg::default(),
         seed: 1,
     };
     Pool::new(cfg).run().row("")
 }
 
-/// Through a reclaim wave, less than half of what the usual least-loaded choice computes again, and
-/// callers wait no longer for the first token or between tokens.
+/// Guards against a routing policy that loses its advantage over least-loaded routing during a
+/// reclaim wave: it must recompute less than half as many tokens and lose no request, and its times
+/// to first token and between tokens must not be longer.
 #[test]
-fn less_is_computed_again_than_by_least_loaded() {
+fn recomputes_less_than_half_of_least_loaded() {
     for mix in [Mix::Shared, Mix::CaseFiles] {
         let (ours, usual) = (run(mix, Policy::Cost), run(mix, Policy::LeastLoaded));
         let name = mix.name();
